--- a/thistlelever/ground/__init__.py
+++ b/thistlelever/ground/__init__.py
@@ -1,1 +1,1 @@
-"""What all parts use and what uses none of them: words, configuration, clock, log, counters."""
+"""Shared foundations, imported by all other packages: types, configuration, clock, log and counters."""
--- a/thistlelever/ground/log.py
+++ b/thistlelever/ground/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard output, written by orjson."""
+"""The structured log: one JSON object a line for each event, on standard output."""
 
 from __future__ import annotations
 
@@ -11,21 +11,27 @@
 
 from thistlelever.ground import clock
 
-# Of one kind of event so many lines are written in a minute; the next after it says how many were not.
+# Lines of one event written in a minute. The next line of that event has the number that was left out.
 MOST_A_MINUTE = 30
 
 
 class Log:
-    """Writes events. Lines are few, as each counts as memory where the log is kept in it."""
+    """Writes events as JSON lines, limited in number a minute for each event.
+
+    The limit keeps the volume low, as some hosts keep the log in the memory of the front.
+    """
 
     def __init__(self, name: str, sink: BinaryIO | None = None) -> None:
-        """Write under the front's name, to standard output unless a sink is given."""
+        """Log under the front's name, to standard output unless a sink is given."""
         self.name, self.sink = name, sink or sys.stdout.buffer
-        # Of each event the minute, the lines written in it, and those left out since the last one written.
+        # By event: the minute, the lines written in it, and those left out since the last one written.
         self.said: dict[str, tuple[int, int, int]] = {}
 
     def __call__(self, event: str, **facts) -> None:
-        """Write one event, unless too many of its kind were written in this minute."""
+        """Write one event with its fields, unless the event has reached its limit for this minute.
+
+        A field that JSON has no type for is written as its `str`. Errors of the sink are ignored.
+        """
         now = clock.now()
         minute, lines, left_out = self.said.get(event, (0, 0, 0))
         if minute != now // 60:
@@ -37,21 +43,21 @@
         line = {"at": round(clock.wall(), 4), "front": self.name, "event": event, **facts}
         if left_out:
             line["left_out"] = left_out
-        # A log that nobody takes any more must not take the front with it.
+        # The front goes on serving when the reader of its log has gone.
         with suppress(OSError, ValueError):
             self.sink.write(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
             self.sink.flush()
 
 
 class Libraries(logging.Handler):
-    """What libraries log, as lines of the same form."""
+    """Writes records of Python's `logging`, which libraries use, as events named `library`."""
 
     def __init__(self, log: Log) -> None:
-        """Take warnings and worse."""
+        """Handle records of level WARNING and above."""
         super().__init__(logging.WARNING)
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, with its traceback on the same line."""
+        """Write one record, with its traceback in the field `trace`."""
         trace = logging.Formatter().formatException(record.exc_info) if record.exc_info else ""
         self.log("library", source=record.name, text=record.getMessage(), trace=trace)
--- a/thistlelever/ground/manifest.py
+++ b/thistlelever/ground/manifest.py
@@ -1,4 +1,8 @@
-"""Reads settings into a Manifest, for the bench's wire and the real front alike: their names end here."""
+"""Parses the platform's settings into a `Manifest`.
+
+The settings come as text with one `path=value` a line (`thistlelever.wirehost`) or as part of the front's
+configuration (`ground/papers.py`). Their names are used in this module only.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +24,27 @@
 
 
 class Unreadable(Exception):
-    """A setting is missing or says what the wire's page does not know."""
+    """The configuration, a setting or the operator file can't be used; the text names the key at fault."""
 
 
 class Conf:
-    """The settings as words, looked up by path."""
+    """Typed access to settings, which are strings looked up by their dotted paths.
+
+    All methods raise `Unreadable` where the setting is missing or invalid, unless they say otherwise.
+    """
 
     def __init__(self, pairs: dict[str, str]) -> None:
+        """Wrap the settings' values by path."""
         self.pairs = pairs
 
     def word(self, path: str) -> str:
+        """Return a setting as it is written."""
         if path not in self.pairs:
             raise Unreadable(f"setting {path} is missing")
         return self.pairs[path]
 
     def number(self, path: str) -> float:
+        """Return a finite number."""
         word = self.word(path)
         try:
             value = float(word)
@@ -45,25 +55,33 @@
         return value
 
     def whole(self, path: str) -> int:
+        """Return a number truncated to an integer."""
         return int(self.number(path))
 
     def seconds(self, path: str) -> float:
+        """Return a duration in seconds; the setting is in microseconds."""
         return self.number(path) / 1e6
 
     def truth(self, path: str) -> bool:
+        """Return a boolean, written `true` or `false`."""
         return self.among(path, {"true": True, "false": False})
 
     def among(self, path: str, known: dict):
+        """Return the value that `known` has for the setting's word."""
         word = self.word(path)
         if word not in known:
             raise Unreadable(f"setting {path} says {word}")
         return known[word]
 
     def words(self, path: str) -> list[str]:
+        """Return the non-empty items of a comma-separated list."""
         return [word for word in self.word(path).split(",") if word]
 
     def place(self, word: str, names: str, path: str) -> int:
-        """A place in a list of names, given as its number or by its name."""
+        """Return the index of `word`, a name or a decimal index, in the list that is the setting `names`.
+
+        `path` is the setting that has the word, for the error message.
+        """
         known = self.words(names)
         if word in known:
             return known.index(word)
@@ -72,17 +90,19 @@
         raise Unreadable(f"setting {path} says {word}, which is no place of {names}")
 
     def places(self, path: str, names: str) -> frozenset[int] | None:
+        """Return the indexes of a list's items as `place` does; None where the setting is missing."""
         if path not in self.pairs:
             return None
         return frozenset(self.place(word, names, path) for word in self.words(path))
 
 
 def manifest(text: str) -> it.Manifest:
-    """The Manifest that the settings' text describes, one `path=value` a line."""
+    """Parse settings from text, one `path=value` a line; raises `Unreadable`."""
     return made(Conf(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
 
 
 def made(conf: Conf) -> it.Manifest:
+    """Build the `Manifest` from settings; raises `Unreadable` for any that is missing or invalid."""
     try:
         return read(conf)
     except (ValueError, OverflowError) as why:
@@ -90,6 +110,7 @@
 
 
 def read(conf: Conf) -> it.Manifest:
+    """Build the `Manifest`; lists of numbers raise ValueError or OverflowError for a bad item."""
     groups = range(conf.whole("Classes.count"))
     widths = [int(float(w)) for w in conf.words("FamilyInfo.WidthByClass")]
     holds = [w == "true" for w in conf.words("FamilyInfo.HoldsTables")]
@@ -149,6 +170,11 @@
 
 
 def tariff(conf: Conf, at: str, width: int, holds: bool, yields: bool) -> it.Tariff:
+    """Build the terms of the query class whose settings are at the path prefix `at`.
+
+    `width`, `holds` and `yields` are its items of the `FamilyInfo` lists `WidthByClass`, `HoldsTables` and
+    `YieldsToLoads`.
+    """
     repeat = conf.among(at + "Idempotency", REPEATS)
     referenced = repeat is it.Repeat.REFERENCED
     return it.Tariff(
--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -1,5 +1,8 @@
-"""The operator file: what is switched on beyond the platform's own front. JSON, one section a subsystem, each
-absent by default; `deploy/operator.schema.json` is made from the types here."""
+"""The operator file: JSON that switches on the optional subsystems of a front, one section each.
+
+All sections are absent by default. `deploy/operator.schema.json` is generated from the types of this module,
+with their docstrings as its descriptions.
+"""
 
 from __future__ import annotations
 
@@ -19,15 +22,14 @@
 Bytes = Annotated[int, Meta(ge=1_024, le=1_073_741_824)]
 Part = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
-# What each section imports beside the core: the extra of the same name installs it.
+# The third-party modules that a section needs; the package's extra of the same name installs them.
 EXTRAS = {
     "flight": ("grpc", "google.rpc", "pyarrow", "itsdangerous"),
     "takeover": ("xxhash",),
     "state": ("apsw",),
 }
 
-
-# What takes effect at a reload; the rest waits for a restart.
+# Keys that take effect at a reload; all others need a restart.
 AT_ONCE = frozenset(
     [
         f"flight.{key}"
@@ -173,7 +175,11 @@
 
 
 def load(path: str | None = None, environ: Mapping[str, str] = os.environ) -> Operator:
-    """The file that is named, by default by BALANCER_OPERATOR; all absent where none is."""
+    """Read the operator file at `path`, by default the one that BALANCER_OPERATOR names.
+
+    Without either, all sections are absent. Raises `Unreadable` as `read` does, and for a file that can't be
+    opened.
+    """
     path = path or environ.get("BALANCER_OPERATOR")
     if not path:
         return Operator()
@@ -186,7 +192,7 @@
 
 
 def read(data: bytes) -> Operator:
-    """What the file's bytes say; `Unreadable` with the path of the key that is at fault."""
+    """Parse and check the operator file; raises `Unreadable` with the path of the key at fault."""
     try:
         operator = msgspec.json.decode(data, type=Operator)
     except msgspec.ValidationError as why:
@@ -208,13 +214,14 @@
 
 
 def fault(error: msgspec.ValidationError) -> str:
-    """What does not fit the types, behind the path of its key."""
+    """Return the text of a validation error as `KEY.PATH: reason`."""
     what, _, path = str(error).partition(" - at ")
     key = path.strip("`").replace("$.", "").replace("$", "") or "the whole"
     return f"{key}: {what}"
 
 
 def installed(module: str) -> bool:
+    """Whether a module can be found; it is not imported, but its parent packages are."""
     try:
         return find_spec(module) is not None
     except ModuleNotFoundError:
@@ -222,17 +229,21 @@
 
 
 def schema() -> bytes:
-    """The JSON schema of the file, as `deploy/operator.schema.json` holds it."""
+    """Generate the JSON schema of the operator file, the content of `deploy/operator.schema.json`."""
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(Operator)), indent=2) + b"\n"
 
 
 def address(word: str) -> tuple[str, int]:
+    """Split `HOST:PORT` into host and port; the text has been checked against `Address`."""
     host, _, port = word.rpartition(":")
     return host, int(port)
 
 
 def differing(old: Operator, new: Operator, at_once: frozenset[str]) -> list[str]:
-    """The keys by their paths that have changed and are not among those that take effect at once."""
+    """Return the paths of the keys that differ, without those in `at_once`.
+
+    A section that was added or removed is named as a whole.
+    """
     found = []
     for section in Operator.__struct_fields__:
         was, now = getattr(old, section), getattr(new, section)
--- a/thistlelever/ground/orders.py
+++ b/thistlelever/ground/orders.py
@@ -1,4 +1,7 @@
-"""What judges of budgets and of takeover ask of a batch's task. Off, nothing sends them."""
+"""Commands that budgets and takeover send to the task of one batch; `number` is the batch's number.
+
+While both are switched off, nothing sends them.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,13 @@
 
 
 class Release(NamedTuple):
-    """Tell the decisions of it."""
+    """Pass a batch that was held back on to the dispatch decisions."""
 
     number: int
 
 
 class Refuse(NamedTuple):
-    """Push it back, with the seconds to stay away and why."""
+    """Push the batch back to its client, with the seconds after which to retry and the reason."""
 
     number: int
     after: float
@@ -20,14 +23,18 @@
 
 
 class Preempt(NamedTuple):
-    """Give up what is out of it, for another's sake."""
+    """Give the batch up in favour of another one.
+
+    Its running dispatches are cancelled. The client is pushed back for `after` seconds, or gets an error
+    where a retry could run the batch a second time.
+    """
 
     number: int
     after: float
 
 
 class TakenOver(NamedTuple):
-    """Another front has it, or it was handed over: nothing more may be done for it here."""
+    """End the batch at this front: another front has taken it over, or it was handed over."""
 
     number: int
 
--- a/thistlelever/ground/papers.py
+++ b/thistlelever/ground/papers.py
@@ -1,4 +1,4 @@
-"""The one place where a front's configuration is read, checked and given defaults."""
+"""Reads and checks a front's configuration: the JSON file that BALANCER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 from thistlelever.ground.manifest import Conf, Unreadable
 
 Address = tuple[str, int]
-# What applies where the configuration is silent; all of it is about sockets, none about decisions.
+# Defaults of the section `limits`: file descriptors, memory in MB and CPU cores of the front. They bound its
+# connections; dispatch decisions do not use them.
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, DEFAULT_CORES = 1024, 192.0, 1.0
+# The states of engines by their names in the registry's events.
 STANDINGS = {
     "Ready": it.Standing.READY,
     "Terminating": it.Standing.DRAINING,
@@ -23,14 +25,19 @@
 
 
 class Entry(NamedTuple):
-    """An engine and where it listens."""
+    """An engine of the list and the address where it listens."""
 
     engine: it.Engine
     address: Address
 
 
 class Papers(NamedTuple):
-    """All that one front is told at its start."""
+    """The configuration of one front.
+
+    `seed` seeds its random choices; `directory` is the address of the DNS directory; `known` is the list of
+    engines at the version `serial`; `zones` and `kinds` are names by index. `idle` (seconds until an idle
+    connection is closed) and `answer_slack` (seconds) come from the settings.
+    """
 
     name: str
     listen: Address
@@ -39,7 +46,7 @@
     memory_mb: float
     cores: float
     peer_listen: Address | None
-    # One address for each front of the tier; `rank` is this front's place among them, or -1.
+    # The peer addresses of all fronts of the tier; `rank` is this front's index among them, -1 if unknown.
     peers: tuple[Address, ...]
     rank: int
     directory: Address
@@ -53,15 +60,21 @@
 
 
 class Node:
-    """A part of the configuration that knows its own path, so that a complaint can name it."""
+    """A JSON value of the configuration with its path, which error messages name.
+
+    All methods raise `Unreadable` where the value is not of the form they return.
+    """
 
     def __init__(self, value, path: str = "") -> None:
+        """Wrap a decoded value; the root has the empty path."""
         self.value, self.path = value, path
 
     def bad(self, wanted: str) -> Unreadable:
+        """Return the error that says what was expected at this path."""
         return Unreadable(f"{self.path or 'the configuration'}: {wanted} expected")
 
     def at(self, key: str) -> Node:
+        """Return the value of a required key of an object."""
         path = f"{self.path}.{key}" if self.path else key
         if type(self.value) is not dict:
             raise self.bad("an object")
@@ -70,41 +83,49 @@
         return Node(self.value[key], path)
 
     def get(self, key: str) -> Node | None:
+        """Return the value of an optional key of an object, or None."""
         if type(self.value) is dict and key not in self.value:
             return None
         return self.at(key)
 
     def items(self) -> list[Node]:
+        """Return the items of a list."""
         if type(self.value) is not list:
             raise self.bad("a list")
         return [Node(value, f"{self.path}[{n}]") for n, value in enumerate(self.value)]
 
     def string(self) -> str:
+        """Return a non-empty string."""
         if type(self.value) is not str or not self.value:
             raise self.bad("a string")
         return self.value
 
     def number(self, least: float = 0.0) -> float:
+        """Return a number of at least `least`."""
         if type(self.value) not in (int, float) or self.value < least:
             raise self.bad(f"a number from {least:g} up")
         return float(self.value)
 
     def whole(self, least: int = 0) -> int:
+        """Return an integer of at least `least`."""
         if type(self.value) is not int or self.value < least:
             raise self.bad(f"a whole number from {least} up")
         return self.value
 
     def truth(self) -> bool:
+        """Return a boolean."""
         if type(self.value) is not bool:
             raise self.bad("true or false")
         return self.value
 
     def among(self, known: Mapping):
+        """Return the value that `known` has for this string."""
         if type(self.value) is not str or self.value not in known:
             raise self.bad(f"one of {', '.join(known)}")
         return known[self.value]
 
     def address(self) -> Address:
+        """Return host and port of a string `HOST:PORT`."""
         host, _, port = self.string().rpartition(":")
         if not host or not port.isdigit() or not 0 <= int(port) < 65536:
             raise self.bad("HOST:PORT")
@@ -112,7 +133,7 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Papers:
-    """The papers that the environment names."""
+    """Read the configuration from the file that BALANCER_CONFIG names; raises `Unreadable`."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise Unreadable("BALANCER_CONFIG: missing; the path of the configuration is expected")
@@ -127,7 +148,10 @@
 
 
 def read(value, environ: Mapping[str, str]) -> Papers:
-    """The papers that a configuration holds; name and place may come from the environment alone."""
+    """Check a decoded configuration and fill in the defaults; raises `Unreadable` with the key's path.
+
+    `name` and `listen` may be absent if the environment has BALANCER_NAME and BALANCER_LISTEN.
+    """
     root = Node(value)
     name = root.get("name") or Node(environ.get("BALANCER_NAME"), "name")
     listen = root.get("listen") or Node(environ.get("BALANCER_LISTEN"), "listen")
@@ -164,7 +188,11 @@
 
 
 def listed(events: list[Node], zones: tuple[str, ...], kinds: tuple[str, ...]) -> list[Entry]:
-    """The list after all events: the first holds it whole, later ones what has changed."""
+    """Return the list of engines after a sequence of registry events.
+
+    An event with `reset` starts a new list; any other adds, changes or removes the engines that it names.
+    Raises `Unreadable` for an event that is malformed or names an unknown zone or kind.
+    """
     entries: dict[str, Entry] = {}
     places = {zone: z for z, zone in enumerate(zones)}, {kind: k for k, kind in enumerate(kinds)}
     for event in events:
@@ -193,13 +221,17 @@
 
 
 def pairs(settings: Node) -> dict[str, str]:
-    """Nested settings as the pairs of path and value that the bench's wire has them in."""
+    """Flatten nested settings into strings by dotted path, the form in which `ground/manifest.py` reads them.
+
+    A list of objects is written with indexes in the path and its length as `PATH.count`; other lists are
+    joined by commas.
+    """
     found: dict[str, str] = {}
 
     def word(value) -> str:
         if type(value) is bool:
             return "true" if value else "false"
-        # As on the bench's wire: a comma is kept for lists.
+        # Same escape as in the text form of the settings, where a comma separates the items of a list.
         return str(value).replace(" ", "_").replace(",", "_")
 
     def walk(path: str, value) -> None:
--- a/thistlelever/ground/submission.py
+++ b/thistlelever/ground/submission.py
@@ -1,4 +1,4 @@
-"""The fields of one batch as its client sent them, checked in one place, whatever door they came by."""
+"""Checks the fields of one batch as its client sent them, the same for every protocol."""
 
 from __future__ import annotations
 
@@ -7,15 +7,23 @@
 
 
 class Unfit(Exception):
-    """A field of a submission can't be used; `still_open` where it names what is open already."""
+    """A field of a submission is missing or invalid; the text, which goes to the client, names it.
+
+    `still_open` is set where the batch's id is that of a batch which is still open.
+    """
 
     def __init__(self, field: str, why: str, still_open: bool = False) -> None:
+        """Name the field and the reason."""
         super().__init__(f"{field}: {why}")
         self.field, self.still_open = field, still_open
 
 
 class Submission(NamedTuple):
-    """One batch; times in seconds, memory in MB, the statement as the client wrote it."""
+    """One batch as submitted; times in seconds, memory in MB, the statement as the client wrote it.
+
+    `wait` is how long the client waits for the answer, `work` its estimate of the cost in core-seconds (None:
+    not given), `repeat` whether this is a retry, and `reference` the idempotency key ("": none).
+    """
 
     txn: str
     wait: float
@@ -28,8 +36,11 @@
 
 
 def submission(fields: Mapping, statement: bytes) -> Submission:
-    """The batch that fields describe: id, wait, tenant, once, cost, need_mb, retry; `Unfit` names the field
-    that is missing or out of form."""
+    """Check and convert the fields id, wait, tenant, once, cost, need_mb and retry of a batch.
+
+    `wait` and `cost` come in milliseconds, `need_mb` in MB; `id` has 16 hex digits, `once` has 32. Raises
+    `Unfit` for a field that is missing or malformed.
+    """
     given = Fields(fields)
     txn = given.string("id")
     if not digits(txn, 16):
@@ -39,7 +50,7 @@
         raise Unfit("wait", "milliseconds above 0 expected")
     reference = given.string("once", "")
     if reference and not digits(reference, 32):
-        # It goes into a header as it is.
+        # The value is copied into a request header unescaped.
         raise Unfit("once", "32 hex digits expected")
     work = given.figure("cost")
     return Submission(
@@ -55,22 +66,26 @@
 
 
 def digits(word: str, count: int) -> bool:
+    """Whether the word consists of exactly `count` lower-case hex digits."""
     return len(word) == count and all(c in "0123456789abcdef" for c in word)
 
 
 class Fields:
-    """Fields by name, each checked as it is taken."""
+    """Access to a submission's fields by name, with a check of their types."""
 
     def __init__(self, fields: Mapping) -> None:
+        """Wrap the fields as decoded from a request."""
         self.fields = fields
 
     def string(self, name: str, absent: str | None = None) -> str:
+        """Return a string field, or `absent` if it is missing; raises `Unfit` if there is no string."""
         value = self.fields.get(name, absent)
         if type(value) is not str:
             raise Unfit(name, "a string expected")
         return value
 
     def figure(self, name: str) -> float | None:
+        """Return a number from 0 to below 1e12, or None if it is missing; raises `Unfit` for others."""
         value = self.fields.get(name)
         if value is None:
             return None
--- a/thistlelever/ground/tally.py
+++ b/thistlelever/ground/tally.py
@@ -1,4 +1,7 @@
-"""Counters, and what must hold: raised in debug builds, counted in release builds (`python -O`)."""
+"""Event counters and invariant checks.
+
+A violated invariant is counted, and raises in debug builds only: `python -O` counts it and goes on.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,22 @@
 
 
 class Tally:
-    """How often each thing happened since the start."""
+    """Counts events by name since the start of the process."""
 
     def __init__(self) -> None:
-        """Nothing has happened yet."""
+        """Start with all counters at zero."""
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str) -> None:
-        """It happened once more."""
+        """Increment the counter of that name."""
         self.counts[name] += 1
 
     def must(self, holds: bool, name: str) -> bool:
-        """Whether it holds. A broken one must not take all that is held down with it in service."""
+        """Count a violated invariant under `broken: NAME` and return whether it holds.
+
+        Raises AssertionError in debug builds. In service a violation must not end the process, which would
+        lose all batches in progress.
+        """
         if not holds:
             self.counts[f"broken: {name}"] += 1
             if __debug__:
--- a/thistlelever/state/__init__.py
+++ b/thistlelever/state/__init__.py
@@ -1,2 +1,4 @@
-"""What a front remembers of clients between their calls, and what that allows: tickets, prepared statements,
-sessions. No I/O and no clock: times are handed in. Nothing here grows past its bound."""
+"""State that a front keeps for clients between their calls: tickets, prepared statements and sessions.
+
+No I/O and no clock: callers pass the time in. All containers here are bounded in size.
+"""
--- a/thistlelever/state/prepared.py
+++ b/thistlelever/state/prepared.py
@@ -1,17 +1,20 @@
-"""Prepared statements: what clients have set down to run later, bounded in number and bytes."""
+"""Prepared statements of Flight SQL clients, bounded in number and in bytes."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# All statements and parameters together.
+# Statements and bound parameters of all clients together, in bytes.
 MOST_BYTES = 8_000_000
 
 
 @dataclass(slots=True)
 class Prepared:
-    """A statement, the rows last bound to it, and when it was last used."""
+    """A prepared statement with the parameter rows bound to it.
+
+    `used` is the time of its last use in seconds, `size` the bytes of statement and rows together.
+    """
 
     statement: bytes
     used: float
@@ -20,15 +23,19 @@
 
 
 class Shelf:
-    """Prepared statements by handle, the one longest unused first. At the bound that one goes if it has been
-    idle, else no more are taken: a client that prepares without end pushes out no busy one."""
+    """Prepared statements by handle, least recently used first.
+
+    A new statement replaces only those that have been idle for `idle` seconds. Where that leaves no room it
+    is rejected, so that a client that prepares without end can't evict statements in use.
+    """
 
     def __init__(self, most: int, idle: float, most_bytes: int = MOST_BYTES) -> None:
+        """Hold up to `most` statements and `most_bytes` bytes; `idle` in seconds."""
         self.most, self.idle, self.most_bytes, self.bytes = most, idle, most_bytes, 0
         self.held: OrderedDict[str, Prepared] = OrderedDict()
 
     def add(self, handle: str, statement: bytes, now: float) -> bool:
-        """Whether there was room."""
+        """Store a statement under a new handle; returns False where there is no room."""
         self.sweep(now)
         if len(self.held) >= self.most or self.bytes + len(statement) > self.most_bytes:
             return False
@@ -37,6 +44,7 @@
         return True
 
     def find(self, handle: str, now: float) -> Prepared | None:
+        """Return the statement under a handle and mark it as used now; None where there is none."""
         found = self.held.get(handle)
         if found:
             found.used = now
@@ -44,7 +52,10 @@
         return found
 
     def bind(self, handle: str, rows: list[tuple], size: int, now: float) -> bool:
-        """The rows take the place of those bound before; False where there is no room for them."""
+        """Replace the parameter rows of a statement by rows of `size` bytes.
+
+        Returns False where there is no such statement or no room for the rows.
+        """
         found = self.find(handle, now)
         if found is None or self.bytes - found.size + len(found.statement) + size > self.most_bytes:
             return False
@@ -53,11 +64,13 @@
         return True
 
     def drop(self, handle: str) -> bool:
+        """Remove a statement; returns whether there was one."""
         found = self.held.pop(handle, None)
         self.bytes -= found.size if found else 0
         return found is not None
 
     def sweep(self, now: float) -> None:
+        """Remove the statements that have been idle for `idle` seconds."""
         while self.held:
             handle, oldest = next(iter(self.held.items()))
             if now - oldest.used < self.idle:
--- a/thistlelever/state/sessions.py
+++ b/thistlelever/state/sessions.py
@@ -1,31 +1,35 @@
-"""Sessions: options that a client has set once for its later calls, bounded in number."""
+"""Flight SQL sessions: options that a client sets once for its later calls, bounded in number."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# What may be set, by the name that a batch's fields have on every door.
+# Options that may be set, by the names that the fields of a batch have in every protocol.
 OPTIONS = ("group", "tenant", "wait_ms", "cost_ms", "need_mb", "retry", "catalog", "schema")
 
 
 @dataclass(slots=True)
 class Session:
-    """One client's options; a value is a string, a number or a truth."""
+    """The options of one client by name; `used` is the time of the last call in seconds."""
 
     used: float
     options: dict[str, str | float | bool] = field(default_factory=dict)
 
 
 class Sessions:
-    """Sessions by id, the one longest unused first; the same rule at the bound as for prepared statements."""
+    """Sessions by id, least recently used first.
+
+    As with prepared statements, a new session replaces only those that have been idle for `idle` seconds.
+    """
 
     def __init__(self, most: int, idle: float) -> None:
+        """Hold up to `most` sessions; `idle` in seconds."""
         self.most, self.idle = most, idle
         self.held: OrderedDict[str, Session] = OrderedDict()
 
     def open(self, number: str, now: float) -> Session | None:
-        """A new session, or None where there is no room."""
+        """Create a session under a new id; returns None where there is no room."""
         while self.held and now - next(iter(self.held.values())).used >= self.idle:
             self.held.popitem(last=False)
         if len(self.held) >= self.most:
@@ -34,6 +38,7 @@
         return self.held[number]
 
     def find(self, number: str, now: float) -> Session | None:
+        """Return the session with that id and mark it as used now; None where it is missing or expired."""
         found = self.held.get(number)
         if found and now - found.used >= self.idle:
             del self.held[number]
@@ -44,11 +49,12 @@
         return found
 
     def close(self, number: str) -> bool:
+        """Remove a session; returns whether there was one."""
         return self.held.pop(number, None) is not None
 
 
 def fault(name: str, value) -> str | None:
-    """Why an option can't be set: "name" for an unknown one, "value" for what it can't be; else None."""
+    """Check an option: "name" if it is unknown, "value" if its value is invalid, None if it may be set."""
     if name not in OPTIONS:
         return "name"
     if name in ("wait_ms", "cost_ms", "need_mb"):
@@ -60,7 +66,7 @@
 
 
 def figure(word) -> float | None:
-    """A number that came as a word, as all do in headers."""
+    """Parse a number that came as a string, as all headers do; None for anything else."""
     try:
         return float(word) if type(word) is str and len(word) <= 32 else None
     except ValueError:
--- a/thistlelever/state/tickets.py
+++ b/thistlelever/state/tickets.py
@@ -1,7 +1,7 @@
-"""Tickets: which of them may still make a batch run.
+"""Flight tickets: which may still be redeemed to run a batch.
 
-A ticket holds all that its batch needs, so one that is never redeemed costs the front nothing. What is
-remembered is which have been used up, until they expire: no ticket makes a batch run twice.
+A ticket holds everything that its batch needs, so a ticket that is never redeemed costs the front nothing.
+Only used tickets are kept, until they expire, so that no ticket runs its batch twice.
 """
 
 from __future__ import annotations
@@ -12,8 +12,10 @@
 
 
 class Stamp(NamedTuple):
-    """What is known of a ticket from the ticket itself: who issued it, in which of its lives, until when it
-    may be redeemed."""
+    """The identity of a ticket, as read from the ticket itself.
+
+    `front` issued it in the process lifetime `life`; it may be redeemed until the time `expires` in seconds.
+    """
 
     front: str
     life: str
@@ -22,7 +24,7 @@
 
 
 class Verdict(Enum):
-    """What becomes of a ticket that is brought."""
+    """The result of redeeming or cancelling a ticket; the texts go to clients."""
 
     GOOD = "good"
     USED = "redeemed already"
@@ -34,31 +36,38 @@
 
 
 class Tickets:
-    """The used tickets of one front in one life. At most `most` are remembered: past that no further one is
-    redeemed until some expire, since one forgotten early could run twice."""
+    """The used tickets of one front in one process lifetime.
+
+    At most `most` are kept. When they are full, no ticket can be redeemed until one of them expires:
+    forgetting one earlier would allow it to run twice.
+    """
 
     def __init__(self, front: str, life: str, most: int) -> None:
+        """Accept the tickets that `front` issues in the process lifetime `life`."""
         self.front, self.life, self.most = front, life, most
         self.used: dict[str, Verdict] = {}
         self.by_expiry: list[tuple[float, str]] = []
 
     def redeem(self, stamp: Stamp, now: float) -> Verdict:
-        """Whether the ticket's batch may be taken now; if so, it is used up by that."""
+        """Use a ticket to run its batch: GOOD where the batch may run now."""
         verdict = self.standing(stamp, now)
         if verdict is Verdict.GOOD:
             verdict = self.remember(stamp, Verdict.USED, now) or Verdict.GOOD
         return verdict
 
     def call_off(self, stamp: Stamp, now: float) -> Verdict:
-        """Use up a ticket so that it never runs: GOOD where this has just happened."""
+        """Cancel a ticket so that it never runs: GOOD where this call has cancelled it."""
         verdict = self.standing(stamp, now)
         if verdict is Verdict.GOOD:
             verdict = self.remember(stamp, Verdict.CALLED_OFF, now) or Verdict.GOOD
         return verdict
 
     def standing(self, stamp: Stamp, now: float) -> Verdict:
-        """What would become of it. Whose it is comes first, as another front's memory is not ours; that it
-        was used comes before that it has expired, as it says more."""
+        """Return the ticket's state without using it.
+
+        The issuer is checked first, as this front does not know which tickets of others are used. Use is
+        checked before expiry, as it tells the client more.
+        """
         if stamp.front != self.front:
             return Verdict.FOREIGN
         if stamp.life != self.life:
@@ -68,6 +77,7 @@
         return Verdict.EXPIRED if now >= stamp.expires else Verdict.GOOD
 
     def remember(self, stamp: Stamp, how: Verdict, now: float) -> Verdict | None:
+        """Keep a ticket as used until it expires; returns FULL where there is no room, else None."""
         while self.by_expiry and self.by_expiry[0][0] <= now:
             del self.used[heappop(self.by_expiry)[1]]
         if len(self.used) >= self.most:
