--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: each fault is one line with the key's path; off, nothing of it is there."""
+"""The operator file: invalid keys are reported in one line; absent sections import nothing."""
 
 import asyncio
 import json
@@ -67,7 +67,7 @@
 
 
 def test_switched_off_nothing_of_it_is_imported():
-    # Risk: a library of an extra in a front without it takes more memory than the platform gives.
+    # A library of an extra that is loaded without need takes more memory than the platform gives a front.
     code = (
         "import sys, thistlelever.__main__, thistlelever.lifecycle.run, thistlelever.wirehost.host\n"
         "extra = ('grpc', 'pyarrow', 'google', 'msgspec', 'itsdangerous', 'thistlelever.flight', "
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("verb", ["check", "serve"])
 def test_membership_without_an_address_for_peers_is_named(tmp_path, verb):
-    # Risk: a section that the configuration can't carry ends the start with a trace instead of a line.
+    # A section that needs a missing key of the configuration must not end the start with a traceback.
     config, extra = tmp_path / "config.json", tmp_path / "operator.json"
     config.write_text(json.dumps(configuration()))
     extra.write_text('{"membership": {"tier": "x"}}')
@@ -107,7 +107,7 @@
 
 
 def test_a_living_front_is_asked_and_a_dead_one_said_to_be(tmp_path):
-    # The commands run in a thread of their own, as each has a loop; the front answers in this one's.
+    # Each command runs an event loop of its own, so in another thread; the front runs in this thread's loop.
     extra = tmp_path / "operator.json"
     extra.write_text(json.dumps({"budgets": {}, "admin": {"socket": str(tmp_path / "front.sock")}}))
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -1,4 +1,4 @@
-"""Configuration: each fault is one line that names the key by its path, before a port opens."""
+"""Configuration, log and metrics: an invalid key is reported in one line before a port opens."""
 
 import json
 import logging
@@ -94,7 +94,7 @@
 
 
 def test_a_new_engine_at_a_gone_ones_address_is_another():
-    # Risk: keyed by address, a fresh engine inherits the warmth and the drain of the one before it.
+    # A registry keyed by address would give a new engine the state (warm, draining) of the former one there.
     told = papers.read(configuration(ENTRY), {}).known
     roll = Roll()
     roll.replace(1, list(told), 0.0)
@@ -143,7 +143,7 @@
     log("nobody reads this")
 
 
-# Risk: what goes wrong thousands of times a second fills the memory that the log lies in.
+# Without a limit, an event that occurs thousands of times a second fills the memory that holds the log.
 def test_the_log_holds_so_many_lines_of_a_kind_in_a_minute_and_says_what_it_left_out(monkeypatch):
     sink, at = BytesIO(), 120.0
     monkeypatch.setattr("thistlelever.ground.log.clock.now", lambda: at)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What a front remembers of clients: no ticket runs twice, nothing grows past its bound."""
+"""State kept for clients: no ticket runs its batch twice, and no container exceeds its bounds."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class TicketsTwice(RuleBasedStateMachine):
-    """Tickets are issued, redeemed, called off and brought again, here and elsewhere, while time goes on."""
+    """Issues, redeems, cancels and presents tickets again while time passes, also those of other fronts."""
 
     def __init__(self):
         super().__init__()
@@ -34,7 +34,7 @@
         stamp = self.issued[place % len(self.issued)]
         verdict = self.tickets.redeem(stamp, self.now)
         if verdict is Verdict.GOOD:
-            # Risk: forgotten while it is still good, a ticket would run its batch again.
+            # A ticket that is forgotten before it expires would run its batch again.
             assert stamp.number not in self.ran and stamp.number not in self.called_off
             assert self.now < stamp.expires
             self.ran.append(stamp.number)
@@ -69,7 +69,7 @@
 
 
 class ShelfBounds(RuleBasedStateMachine):
-    """Clients prepare, bind, use and close, some never; the shelf's count of bytes is always true."""
+    """Clients prepare, bind, use and close statements, or never close them; the byte count stays exact."""
 
     def __init__(self):
         super().__init__()
@@ -80,7 +80,7 @@
         self.made += 1
         before = set(self.shelf.held)
         if not self.shelf.add(str(self.made), b"x" * size, self.now):
-            # Risk: a client that prepares without end pushes out those in use.
+            # A client that prepares without end must not evict statements in use.
             assert all(self.now - self.shelf.held[h].used < 10 for h in before if h in self.shelf.held)
 
     @rule(number=st.integers(1, 20), size=st.integers(0, 120))
@@ -130,7 +130,7 @@
     ),
 )
 def test_an_option_that_is_taken_has_its_form(name, value):
-    # Risk: what a session holds goes into every later batch of its client, and a fault there names no call.
+    # An invalid option would fail every later batch of the client, with an error that names no option call.
     for known in (name, "group", "wait_ms", "retry"):
         if fault(known, value) is None:
             assert known in ("group", "wait_ms", "retry") and value not in (None, "")
