--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -16,7 +16,7 @@
 from thistlelever.admission.decide import Front
 from thistlelever.ground import interface as it
 from thistlelever.ground.manifest import made
-from thistlelever.ground.papers import Conf, Node, pairs
+from thistlelever.ground.papers import ConfigNode, SettingsReader, pairs
 from thistlelever.standins.papers import SETTINGS
 
 EVENTS = (
@@ -47,7 +47,7 @@
     """Classes that differ in all that the decisions look at, and a bounded number of further attempts."""
     told = json.loads(json.dumps(SETTINGS))
     told["Balancers"] = 3
-    return made(Conf(pairs(Node(told, "settings"))))
+    return made(SettingsReader(pairs(ConfigNode(told, "settings"))))
 
 
 def plain(value):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -156,7 +156,7 @@
 def test_a_whole_list_and_a_change_are_each_taken_for_what_they_are(events, names):
     """A whole list where a change was due, the reverse, and each of them after the other."""
     told = [
-        papers.Node({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
+        papers.ConfigNode({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
         for whole, listed in events
     ]
     assert [e.engine.id.decode() for e in papers.listed(told, ("nord",), ("std",))] == names
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -39,7 +39,7 @@
 
 
 def test_a_section_whose_extra_is_missing(monkeypatch):
-    monkeypatch.setattr(operator, "installed", lambda module: module != "pyarrow")
+    monkeypatch.setattr(operator, "is_installed", lambda module: module != "pyarrow")
     with pytest.raises(Unreadable, match=r"flight: wants the extra 'flight' .*pyarrow"):
         operator.read(b'{"flight": {"listen": "127.0.0.1:1"}}')
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -12,7 +12,7 @@
 from thistlelever.__main__ import main
 from thistlelever.ground import interface as it
 from thistlelever.ground import papers
-from thistlelever.ground.log import MOST_A_MINUTE, Libraries, Log
+from thistlelever.ground.log import MAX_LINES_A_MINUTE, Libraries, Log
 from thistlelever.store.roll import Roll
 from thistlelever.ground.tally import Tally
 
@@ -148,10 +148,10 @@
     sink, at = BytesIO(), 120.0
     monkeypatch.setattr("thistlelever.ground.log.clock.now", lambda: at)
     log = Log("n0", sink)
-    for _ in range(MOST_A_MINUTE + 5):
+    for _ in range(MAX_LINES_A_MINUTE + 5):
         log("bad line")
     log("ready")
     at = 180.0
     log("bad line")
     lines = [json.loads(line) for line in sink.getvalue().splitlines()]
-    assert len(lines) == MOST_A_MINUTE + 2 and lines[-1]["left_out"] == 5
+    assert len(lines) == MAX_LINES_A_MINUTE + 2 and lines[-1]["left_out"] == 5
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -81,7 +81,7 @@
         before = set(self.shelf.held)
         if not self.shelf.add(str(self.made), b"x" * size, self.now):
             # A client that prepares without end must not evict statements in use.
-            assert all(self.now - self.shelf.held[h].used < 10 for h in before if h in self.shelf.held)
+            assert all(self.now - self.shelf.held[h].last_used < 10 for h in before if h in self.shelf.held)
 
     @rule(number=st.integers(1, 20), size=st.integers(0, 120))
     def bind(self, number, size):
--- a/thistlelever/ground/log.py
+++ b/thistlelever/ground/log.py
@@ -12,7 +12,7 @@
 from thistlelever.ground import clock
 
 # Lines of one event written in a minute. The next line of that event has the number that was left out.
-MOST_A_MINUTE = 30
+MAX_LINES_A_MINUTE = 30
 
 
 class Log:
@@ -25,22 +25,22 @@
         """Log under the front's name, to standard output unless a sink is given."""
         self.name, self.sink = name, sink or sys.stdout.buffer
         # By event: the minute, the lines written in it, and those left out since the last one written.
-        self.said: dict[str, tuple[int, int, int]] = {}
+        self.recent: dict[str, tuple[int, int, int]] = {}
 
-    def __call__(self, event: str, **facts) -> None:
+    def __call__(self, event: str, **fields) -> None:
         """Write one event with its fields, unless the event has reached its limit for this minute.
 
         A field that JSON has no type for is written as its `str`. Errors of the sink are ignored.
         """
         now = clock.now()
-        minute, lines, left_out = self.said.get(event, (0, 0, 0))
+        minute, lines, left_out = self.recent.get(event, (0, 0, 0))
         if minute != now // 60:
             minute, lines = now // 60, 0
-        if lines >= MOST_A_MINUTE:
-            self.said[event] = minute, lines, left_out + 1
+        if lines >= MAX_LINES_A_MINUTE:
+            self.recent[event] = minute, lines, left_out + 1
             return
-        self.said[event] = minute, lines + 1, 0
-        line = {"at": round(clock.wall(), 4), "front": self.name, "event": event, **facts}
+        self.recent[event] = minute, lines + 1, 0
+        line = {"at": round(clock.wall(), 4), "front": self.name, "event": event, **fields}
         if left_out:
             line["left_out"] = left_out
         # The front goes on serving when the reader of its log has gone.
--- a/thistlelever/ground/manifest.py
+++ b/thistlelever/ground/manifest.py
@@ -27,7 +27,7 @@
     """The configuration, a setting or the operator file can't be used; the text names the key at fault."""
 
 
-class Conf:
+class SettingsReader:
     """Typed access to settings, which are strings looked up by their dotted paths.
 
     All methods raise `Unreadable` where the setting is missing or invalid, unless they say otherwise.
@@ -37,7 +37,7 @@
         """Wrap the settings' values by path."""
         self.pairs = pairs
 
-    def word(self, path: str) -> str:
+    def text(self, path: str) -> str:
         """Return a setting as it is written."""
         if path not in self.pairs:
             raise Unreadable(f"setting {path} is missing")
@@ -45,16 +45,16 @@
 
     def number(self, path: str) -> float:
         """Return a finite number."""
-        word = self.word(path)
+        text = self.text(path)
         try:
-            value = float(word)
+            value = float(text)
         except ValueError:
             value = nan
         if not isfinite(value):
-            raise Unreadable(f"setting {path} is no number: {word}")
+            raise Unreadable(f"setting {path} is no number: {text}")
         return value
 
-    def whole(self, path: str) -> int:
+    def integer(self, path: str) -> int:
         """Return a number truncated to an integer."""
         return int(self.number(path))
 
@@ -62,135 +62,137 @@
         """Return a duration in seconds; the setting is in microseconds."""
         return self.number(path) / 1e6
 
-    def truth(self, path: str) -> bool:
+    def boolean(self, path: str) -> bool:
         """Return a boolean, written `true` or `false`."""
-        return self.among(path, {"true": True, "false": False})
+        return self.choice(path, {"true": True, "false": False})
 
-    def among(self, path: str, known: dict):
-        """Return the value that `known` has for the setting's word."""
-        word = self.word(path)
-        if word not in known:
-            raise Unreadable(f"setting {path} says {word}")
-        return known[word]
+    def choice(self, path: str, known: dict):
+        """Return the value that `known` has for the setting's text."""
+        text = self.text(path)
+        if text not in known:
+            raise Unreadable(f"setting {path} says {text}")
+        return known[text]
 
-    def words(self, path: str) -> list[str]:
+    def items(self, path: str) -> list[str]:
         """Return the non-empty items of a comma-separated list."""
-        return [word for word in self.word(path).split(",") if word]
+        return [item for item in self.text(path).split(",") if item]
 
-    def place(self, word: str, names: str, path: str) -> int:
-        """Return the index of `word`, a name or a decimal index, in the list that is the setting `names`.
+    def index(self, item: str, names: str, path: str) -> int:
+        """Return the index of `item`, a name or a decimal index, in the list that is the setting `names`.
 
-        `path` is the setting that has the word, for the error message.
+        `path` is the setting that has the item, for the error message.
         """
-        known = self.words(names)
-        if word in known:
-            return known.index(word)
-        if word.isdigit() and int(word) < len(known):
-            return int(word)
-        raise Unreadable(f"setting {path} says {word}, which is no place of {names}")
-
-    def places(self, path: str, names: str) -> frozenset[int] | None:
-        """Return the indexes of a list's items as `place` does; None where the setting is missing."""
+        known = self.items(names)
+        if item in known:
+            return known.index(item)
+        if item.isdigit() and int(item) < len(known):
+            return int(item)
+        raise Unreadable(f"setting {path} says {item}, which is no place of {names}")
+
+    def indexes(self, path: str, names: str) -> frozenset[int] | None:
+        """Return the indexes of a list's items as `index` does; None where the setting is missing."""
         if path not in self.pairs:
             return None
-        return frozenset(self.place(word, names, path) for word in self.words(path))
+        return frozenset(self.index(item, names, path) for item in self.items(path))
 
 
 def manifest(text: str) -> it.Manifest:
     """Parse settings from text, one `path=value` a line; raises `Unreadable`."""
-    return made(Conf(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
+    return made(SettingsReader(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
 
 
-def made(conf: Conf) -> it.Manifest:
+def made(reader: SettingsReader) -> it.Manifest:
     """Build the `Manifest` from settings; raises `Unreadable` for any that is missing or invalid."""
     try:
-        return read(conf)
+        return read(reader)
     except (ValueError, OverflowError) as why:
         raise Unreadable(f"settings: {why}") from None
 
 
-def read(conf: Conf) -> it.Manifest:
+def read(reader: SettingsReader) -> it.Manifest:
     """Build the `Manifest`; lists of numbers raise ValueError or OverflowError for a bad item."""
-    groups = range(conf.whole("Classes.count"))
-    widths = [int(float(w)) for w in conf.words("FamilyInfo.WidthByClass")]
-    holds = [w == "true" for w in conf.words("FamilyInfo.HoldsTables")]
-    yields = [w == "true" for w in conf.words("FamilyInfo.YieldsToLoads")]
+    groups = range(reader.integer("Classes.count"))
+    widths = [int(float(w)) for w in reader.items("FamilyInfo.WidthByClass")]
+    holds = [w == "true" for w in reader.items("FamilyInfo.HoldsTables")]
+    yields = [w == "true" for w in reader.items("FamilyInfo.YieldsToLoads")]
     for name, row in (("WidthByClass", widths), ("HoldsTables", holds), ("YieldsToLoads", yields)):
         if len(row) != len(groups):
             raise Unreadable(f"setting FamilyInfo.{name} has {len(row)} values for {len(groups)} classes")
-    rationed = "Invariants.LookBack" in conf.pairs
-    asked = conf.among("RegistryMode", {"pushed": False, "on_request": True})
-    parties = range(conf.whole("Parties.count")) if "Parties.count" in conf.pairs else range(0)
+    rationed = "Invariants.LookBack" in reader.pairs
+    asked = reader.choice("RegistryMode", {"pushed": False, "on_request": True})
+    parties = range(reader.integer("Parties.count")) if "Parties.count" in reader.pairs else range(0)
     return it.Manifest(
-        fronts=conf.whole("Balancers"),
-        zone=conf.place(conf.word("MyZone"), "FailureDomains", "MyZone"),
-        tariffs=tuple(tariff(conf, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
+        fronts=reader.integer("Balancers"),
+        zone=reader.index(reader.text("MyZone"), "FailureDomains", "MyZone"),
+        tariffs=tuple(tariff(reader, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
         consignors=tuple(
-            it.Consignor(conf.word(f"Parties.{p}.Name"), conf.number(f"Parties.{p}.QuotaPerS"))
+            it.Consignor(reader.text(f"Parties.{p}.Name"), reader.number(f"Parties.{p}.QuotaPerS"))
             for p in parties
         ),
-        over_share_worth=conf.number("OverShareWorth") if parties else 1.0,
-        kind_cores=tuple(int(float(w)) for w in conf.words("FamilyInfo.KindCores")),
-        kind_memory=tuple(float(w) for w in conf.words("FamilyInfo.MemoryByKindMb")),
-        most_grant=conf.number("FamilyInfo.GrantCap"),
-        grants=conf.truth("FamilyInfo.MemoryHeeded"),
-        priorities=conf.truth("FamilyInfo.RanksHeeded"),
-        shortage=conf.among("FamilyInfo.OutOfMemory", SHORTAGES),
-        note_every=conf.seconds("FamilyInfo.NotePeriod"),
-        tells_cost=conf.truth("FamilyInfo.SaysCost"),
-        reports=conf.among("Telemetry.How", REPORTS),
-        report_fields=tuple(conf.words("Telemetry.Fields")) if "Telemetry.Fields" in conf.pairs else (),
-        sized=conf.word("Weights") != "silent",
+        over_share_worth=reader.number("OverShareWorth") if parties else 1.0,
+        kind_cores=tuple(int(float(w)) for w in reader.items("FamilyInfo.KindCores")),
+        kind_memory=tuple(float(w) for w in reader.items("FamilyInfo.MemoryByKindMb")),
+        most_grant=reader.number("FamilyInfo.GrantCap"),
+        grants=reader.boolean("FamilyInfo.MemoryHeeded"),
+        priorities=reader.boolean("FamilyInfo.RanksHeeded"),
+        shortage=reader.choice("FamilyInfo.OutOfMemory", SHORTAGES),
+        note_every=reader.seconds("FamilyInfo.NotePeriod"),
+        tells_cost=reader.boolean("FamilyInfo.SaysCost"),
+        reports=reader.choice("Telemetry.How", REPORTS),
+        report_fields=tuple(reader.items("Telemetry.Fields")) if "Telemetry.Fields" in reader.pairs else (),
+        sized=reader.text("Weights") != "silent",
         asks_for_list=asked,
-        ask_within=conf.seconds("Invariants.MustAskIn") if asked else 0.0,
-        tick=conf.seconds("Tick"),
-        probes=conf.truth("Limits.Probes"),
-        probe_price=conf.number("Prices.Probe"),
-        cross_price=conf.number("Prices.CrossZone"),
-        cancel=conf.truth("Limits.Cancelling"),
-        copies=conf.truth("Limits.ParallelTries"),
-        names_return=conf.truth("Limits.RetryAfter"),
-        longest_return=conf.seconds("Limits.MaxRetryAfter"),
-        most_dispatches=conf.whole("Limits.MaxAttempts"),
-        connect_limit=conf.seconds("Limits.ConnectTimeout"),
-        drain_grace=conf.seconds("Invariants.DrainGrace"),
-        cold_share=conf.number("Invariants.ColdShare"),
-        warm_after=conf.seconds("Invariants.WarmAfter"),
-        fall_multiple=conf.number("Invariants.FallMultiple"),
-        fall_window=conf.seconds("Invariants.Fall"),
-        key_rest=conf.seconds("Invariants.KeyRest") if "Invariants.KeyRest" in conf.pairs else 0.0,
+        ask_within=reader.seconds("Invariants.MustAskIn") if asked else 0.0,
+        tick=reader.seconds("Tick"),
+        probes=reader.boolean("Limits.Probes"),
+        probe_price=reader.number("Prices.Probe"),
+        cross_price=reader.number("Prices.CrossZone"),
+        cancel=reader.boolean("Limits.Cancelling"),
+        copies=reader.boolean("Limits.ParallelTries"),
+        names_return=reader.boolean("Limits.RetryAfter"),
+        longest_return=reader.seconds("Limits.MaxRetryAfter"),
+        most_dispatches=reader.integer("Limits.MaxAttempts"),
+        connect_limit=reader.seconds("Limits.ConnectTimeout"),
+        drain_grace=reader.seconds("Invariants.DrainGrace"),
+        cold_share=reader.number("Invariants.ColdShare"),
+        warm_after=reader.seconds("Invariants.WarmAfter"),
+        fall_multiple=reader.number("Invariants.FallMultiple"),
+        fall_window=reader.seconds("Invariants.Fall"),
+        key_rest=reader.seconds("Invariants.KeyRest") if "Invariants.KeyRest" in reader.pairs else 0.0,
         allowance=it.Allowance(
-            conf.number("Invariants.ExtraFloor"),
-            conf.number("Invariants.ResendRatio"),
-            conf.seconds("Invariants.LookBack"),
+            reader.number("Invariants.ExtraFloor"),
+            reader.number("Invariants.ResendRatio"),
+            reader.seconds("Invariants.LookBack"),
         )
         if rationed
         else None,
     )
 
 
-def tariff(conf: Conf, at: str, width: int, holds: bool, yields: bool) -> it.Tariff:
+def tariff(reader: SettingsReader, at: str, width: int, holds: bool, yields: bool) -> it.Tariff:
     """Build the terms of the query class whose settings are at the path prefix `at`.
 
     `width`, `holds` and `yields` are its items of the `FamilyInfo` lists `WidthByClass`, `HoldsTables` and
     `YieldsToLoads`.
     """
-    repeat = conf.among(at + "Idempotency", REPEATS)
+    repeat = reader.choice(at + "Idempotency", REPEATS)
     referenced = repeat is it.Repeat.REFERENCED
     return it.Tariff(
-        name=conf.word(at + "Name"),
-        utility=conf.number(at + "Value"),
-        late_share=conf.number(at + "LateShare"),
-        goal=conf.seconds(at + "Slo"),
-        goal_stretch=conf.number(at + "AimStretch") if at + "AimStretch" in conf.pairs else 0.0,
-        time_limit=conf.seconds(at + "Deadline"),
+        name=reader.text(at + "Name"),
+        utility=reader.number(at + "Value"),
+        late_share=reader.number(at + "LateShare"),
+        goal=reader.seconds(at + "Slo"),
+        goal_stretch=reader.number(at + "AimStretch") if at + "AimStretch" in reader.pairs else 0.0,
+        time_limit=reader.seconds(at + "Deadline"),
         repeat=repeat,
-        scope=conf.among(at + "DedupScope", {s.value: s for s in it.Scope}) if referenced else it.Scope.ALL,
-        window=conf.seconds(at + "Window") if referenced else 0.0,
+        scope=reader.choice(at + "DedupScope", {s.value: s for s in it.Scope})
+        if referenced
+        else it.Scope.ALL,
+        window=reader.seconds(at + "Window") if referenced else 0.0,
         width=width,
         holds_tables=holds,
         yields_to_loads=yields,
-        in_order=conf.truth(at + "Sequential") if at + "Sequential" in conf.pairs else False,
-        zones=conf.places(at + "RunsIn", "FailureDomains"),
-        kinds=conf.places(at + "KindsOnly", "Kinds"),
+        in_order=reader.boolean(at + "Sequential") if at + "Sequential" in reader.pairs else False,
+        zones=reader.indexes(at + "RunsIn", "FailureDomains"),
+        kinds=reader.indexes(at + "KindsOnly", "Kinds"),
     )
--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -17,13 +17,13 @@
 from thistlelever.ground.manifest import Unreadable
 
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$", description="IPv4 address and port")]
-Word = Annotated[str, Meta(min_length=1, max_length=128)]
+Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Bytes = Annotated[int, Meta(ge=1_024, le=1_073_741_824)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 # The third-party modules that a section needs; the package's extra of the same name installs them.
-EXTRAS = {
+REQUIRED_MODULES = {
     "flight": ("grpc", "google.rpc", "pyarrow", "itsdangerous"),
     "takeover": ("xxhash",),
     "state": ("apsw",),
@@ -53,18 +53,18 @@
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
     """A table that the catalogue names to those who ask; it bounds nobody."""
 
-    schema: Word
-    name: Word
+    schema: Name
+    name: Name
 
 
 class Flight(Struct, frozen=True, forbid_unknown_fields=True):
     """Arrow Flight SQL: a door for clients where `listen` is given, and engines that speak it."""
 
     listen: Address | None = None
-    kinds: tuple[Word, ...] = ()
-    engines: tuple[Word, ...] = ()
-    group: Word | None = None
-    tenant: Word | None = None
+    kinds: tuple[Name, ...] = ()
+    engines: tuple[Name, ...] = ()
+    group: Name | None = None
+    tenant: Name | None = None
     wait_ms: Annotated[float, Meta(gt=0, le=1e9)] | None = None
     group_header: Annotated[str, Meta(pattern=r"^[a-z0-9_.-]{1,64}$")] = "x-group"
     tenant_header: Annotated[str, Meta(pattern=r"^[a-z0-9_.-]{1,64}$")] = "x-tenant"
@@ -77,7 +77,7 @@
     sessions: Count = 256
     idle_s: Seconds = 900.0
     descriptors: Count = 64
-    catalog: Word = "thistlelever"
+    catalog: Name = "thistlelever"
     tables: tuple[Table, ...] = ()
 
 
@@ -85,8 +85,8 @@
     """Of the threads that all engines carry for this front: what a node is sure of, and the most it may
     have, as shares; core-seconds that it may have at once after it was idle; its weight beside others."""
 
-    guarantee: Part = 0.0
-    ceiling: Part = 1.0
+    guarantee: Fraction = 0.0
+    ceiling: Fraction = 1.0
     burst: Annotated[float, Meta(ge=0, le=1e6)] = 0.0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
 
@@ -94,29 +94,29 @@
 class Team(Share, frozen=True, forbid_unknown_fields=True):
     """A team is named as customers are in the settings; its service groups may have shares of their own."""
 
-    groups: dict[Word, Share] = {}
+    groups: dict[Name, Share] = {}
 
 
 class Broker(Share, frozen=True, forbid_unknown_fields=True):
     """A broker with its teams."""
 
-    teams: dict[Word, Team] = {}
+    teams: dict[Name, Team] = {}
 
 
 class Budgets(Struct, frozen=True, forbid_unknown_fields=True):
     """Team budgets: what stands before the decisions. Teams that no broker names share `other`."""
 
-    brokers: dict[Word, Broker] = {}
+    brokers: dict[Name, Broker] = {}
     other: Share = Share()
     threads_a_core: Annotated[float, Meta(gt=0, le=64)] = 2.0
     depth: Annotated[float, Meta(ge=0.1, le=16)] = 1.0
-    waste: Part = 0.05
+    waste: Fraction = 0.05
 
 
 class Membership(Struct, frozen=True, forbid_unknown_fields=True):
     """Which fronts of the tier are alive, by datagrams to `peers` of the configuration."""
 
-    tier: Word
+    tier: Name
     period_s: Annotated[float, Meta(ge=0.02, le=10)] = 0.1
     suspect_s: Annotated[float, Meta(ge=0.05, le=60)] = 0.4
     knock_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0
@@ -132,7 +132,7 @@
     keep_s: Annotated[float, Meta(ge=0.5, le=600)] = 5.0
     most_kept: Count = 20_000
     most_taken: Count = 256
-    demand: tuple[Word, ...] | None = None
+    demand: tuple[Name, ...] | None = None
 
 
 class State(Struct, frozen=True, forbid_unknown_fields=True):
@@ -199,8 +199,8 @@
         raise Unreadable(f"operator file: {fault(why)}") from None
     except msgspec.DecodeError as why:
         raise Unreadable(f"operator file: no JSON: {why}") from None
-    for section, modules in EXTRAS.items():
-        missing = [name for name in modules if getattr(operator, section) and not installed(name)]
+    for section, modules in REQUIRED_MODULES.items():
+        missing = [name for name in modules if getattr(operator, section) and not is_installed(name)]
         if missing:
             raise Unreadable(
                 f"operator file: {section}: wants the extra {section!r} (pip install "
@@ -220,7 +220,7 @@
     return f"{key}: {what}"
 
 
-def installed(module: str) -> bool:
+def is_installed(module: str) -> bool:
     """Whether a module can be found; it is not imported, but its parent packages are."""
     try:
         return find_spec(module) is not None
--- a/thistlelever/ground/papers.py
+++ b/thistlelever/ground/papers.py
@@ -10,7 +10,7 @@
 
 from thistlelever.ground import interface as it
 from thistlelever.ground import manifest
-from thistlelever.ground.manifest import Conf, Unreadable
+from thistlelever.ground.manifest import SettingsReader, Unreadable
 
 Address = tuple[str, int]
 # Defaults of the section `limits`: file descriptors, memory in MB and CPU cores of the front. They bound its
@@ -59,7 +59,7 @@
     manifest: it.Manifest
 
 
-class Node:
+class ConfigNode:
     """A JSON value of the configuration with its path, which error messages name.
 
     All methods raise `Unreadable` where the value is not of the form they return.
@@ -69,66 +69,66 @@
         """Wrap a decoded value; the root has the empty path."""
         self.value, self.path = value, path
 
-    def bad(self, wanted: str) -> Unreadable:
+    def expected(self, wanted: str) -> Unreadable:
         """Return the error that says what was expected at this path."""
         return Unreadable(f"{self.path or 'the configuration'}: {wanted} expected")
 
-    def at(self, key: str) -> Node:
+    def require(self, key: str) -> ConfigNode:
         """Return the value of a required key of an object."""
         path = f"{self.path}.{key}" if self.path else key
         if type(self.value) is not dict:
-            raise self.bad("an object")
+            raise self.expected("an object")
         if key not in self.value:
             raise Unreadable(f"{path}: missing")
-        return Node(self.value[key], path)
+        return ConfigNode(self.value[key], path)
 
-    def get(self, key: str) -> Node | None:
+    def get(self, key: str) -> ConfigNode | None:
         """Return the value of an optional key of an object, or None."""
         if type(self.value) is dict and key not in self.value:
             return None
-        return self.at(key)
+        return self.require(key)
 
-    def items(self) -> list[Node]:
+    def items(self) -> list[ConfigNode]:
         """Return the items of a list."""
         if type(self.value) is not list:
-            raise self.bad("a list")
-        return [Node(value, f"{self.path}[{n}]") for n, value in enumerate(self.value)]
+            raise self.expected("a list")
+        return [ConfigNode(value, f"{self.path}[{n}]") for n, value in enumerate(self.value)]
 
     def string(self) -> str:
         """Return a non-empty string."""
         if type(self.value) is not str or not self.value:
-            raise self.bad("a string")
+            raise self.expected("a string")
         return self.value
 
     def number(self, least: float = 0.0) -> float:
         """Return a number of at least `least`."""
         if type(self.value) not in (int, float) or self.value < least:
-            raise self.bad(f"a number from {least:g} up")
+            raise self.expected(f"a number from {least:g} up")
         return float(self.value)
 
-    def whole(self, least: int = 0) -> int:
+    def integer(self, least: int = 0) -> int:
         """Return an integer of at least `least`."""
         if type(self.value) is not int or self.value < least:
-            raise self.bad(f"a whole number from {least} up")
+            raise self.expected(f"a whole number from {least} up")
         return self.value
 
-    def truth(self) -> bool:
+    def boolean(self) -> bool:
         """Return a boolean."""
         if type(self.value) is not bool:
-            raise self.bad("true or false")
+            raise self.expected("true or false")
         return self.value
 
-    def among(self, known: Mapping):
+    def choice(self, known: Mapping):
         """Return the value that `known` has for this string."""
         if type(self.value) is not str or self.value not in known:
-            raise self.bad(f"one of {', '.join(known)}")
+            raise self.expected(f"one of {', '.join(known)}")
         return known[self.value]
 
     def address(self) -> Address:
         """Return host and port of a string `HOST:PORT`."""
         host, _, port = self.string().rpartition(":")
         if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-            raise self.bad("HOST:PORT")
+            raise self.expected("HOST:PORT")
         return host, int(port)
 
 
@@ -152,42 +152,42 @@
 
     `name` and `listen` may be absent if the environment has BALANCER_NAME and BALANCER_LISTEN.
     """
-    root = Node(value)
-    name = root.get("name") or Node(environ.get("BALANCER_NAME"), "name")
-    listen = root.get("listen") or Node(environ.get("BALANCER_LISTEN"), "listen")
-    seed = root.at("seed")
+    root = ConfigNode(value)
+    name = root.get("name") or ConfigNode(environ.get("BALANCER_NAME"), "name")
+    listen = root.get("listen") or ConfigNode(environ.get("BALANCER_LISTEN"), "listen")
+    seed = root.require("seed")
     try:
         chance = int(seed.string(), 16)
     except ValueError:
-        raise seed.bad("hex digits") from None
-    limits = root.get("limits") or Node({}, "limits")
+        raise seed.expected("hex digits") from None
+    limits = root.get("limits") or ConfigNode({}, "limits")
     sockets, memory, cores = limits.get("sockets"), limits.get("memory_mb"), limits.get("cores")
-    conf = Conf(pairs(root.at("settings")))
-    zones, kinds = tuple(conf.words("FailureDomains")), tuple(conf.words("Kinds"))
-    known = root.at("known")
+    reader = SettingsReader(pairs(root.require("settings")))
+    zones, kinds = tuple(reader.items("FailureDomains")), tuple(reader.items("Kinds"))
+    known = root.require("known")
     peer, peers = root.get("peer_listen"), root.get("peers")
     return Papers(
         name=name.string(),
         listen=listen.address(),
         seed=chance,
-        sockets=sockets.whole(64) if sockets else DEFAULT_SOCKETS,
+        sockets=sockets.integer(64) if sockets else DEFAULT_SOCKETS,
         memory_mb=memory.number(1.0) if memory else DEFAULT_MEMORY_MB,
         cores=cores.number() if cores else DEFAULT_CORES,
         peer_listen=peer.address() if peer else None,
         peers=tuple(node.address() for node in peers.items()) if peers else (),
-        rank=conf.whole("Rank") if "Rank" in conf.pairs else -1,
-        directory=root.at("dns").address(),
-        serial=known.at("pos").whole(),
-        known=tuple(listed(known.at("entries").items(), zones, kinds)),
+        rank=reader.integer("Rank") if "Rank" in reader.pairs else -1,
+        directory=root.require("dns").address(),
+        serial=known.require("pos").integer(),
+        known=tuple(listed(known.require("entries").items(), zones, kinds)),
         zones=zones,
         kinds=kinds,
-        idle=conf.seconds("Limits.Keepalive"),
-        answer_slack=conf.seconds("Invariants.AnswerSlack"),
-        manifest=manifest.made(conf),
+        idle=reader.seconds("Limits.Keepalive"),
+        answer_slack=reader.seconds("Invariants.AnswerSlack"),
+        manifest=manifest.made(reader),
     )
 
 
-def listed(events: list[Node], zones: tuple[str, ...], kinds: tuple[str, ...]) -> list[Entry]:
+def listed(events: list[ConfigNode], zones: tuple[str, ...], kinds: tuple[str, ...]) -> list[Entry]:
     """Return the list of engines after a sequence of registry events.
 
     An event with `reset` starts a new list; any other adds, changes or removes the engines that it names.
@@ -196,31 +196,31 @@
     entries: dict[str, Entry] = {}
     places = {zone: z for z, zone in enumerate(zones)}, {kind: k for k, kind in enumerate(kinds)}
     for event in events:
-        hosts = event.at("hosts")
+        hosts = event.require("hosts")
         reset = hosts.get("reset")
-        if reset and reset.truth():
+        if reset and reset.boolean():
             entries.clear()
-        for instance in hosts.at("instances").items():
-            name = instance.at("instanceId").string()
-            standing = instance.at("lifecycle").among(STANDINGS)
+        for instance in hosts.require("instances").items():
+            name = instance.require("instanceId").string()
+            standing = instance.require("lifecycle").choice(STANDINGS)
             if standing is it.Standing.GONE:
                 entries.pop(name, None)
                 continue
             cell, weight, started = (instance.get(key) for key in ("cell", "weight", "startedAtMs"))
             engine = it.Engine(
                 name.encode(),
-                instance.at("zone").among(places[0]),
-                cell.whole() if cell else 0,
-                instance.at("machineType").among(places[1]),
+                instance.require("zone").choice(places[0]),
+                cell.integer() if cell else 0,
+                instance.require("machineType").choice(places[1]),
                 standing,
                 started.number() / 1e3 if started else 0.0,
                 weight.number() if weight else 1.0,
             )
-            entries[name] = Entry(engine, instance.at("hostPort").address())
+            entries[name] = Entry(engine, instance.require("hostPort").address())
     return list(entries.values())
 
 
-def pairs(settings: Node) -> dict[str, str]:
+def pairs(settings: ConfigNode) -> dict[str, str]:
     """Flatten nested settings into strings by dotted path, the form in which `ground/manifest.py` reads them.
 
     A list of objects is written with indexes in the path and its length as `PATH.count`; other lists are
@@ -248,6 +248,6 @@
             found[path] = word(value)
 
     if type(settings.value) is not dict:
-        raise settings.bad("an object")
+        raise settings.expected("an object")
     walk("", settings.value)
     return found
--- a/thistlelever/ground/submission.py
+++ b/thistlelever/ground/submission.py
@@ -41,36 +41,36 @@
     `wait` and `cost` come in milliseconds, `need_mb` in MB; `id` has 16 hex digits, `once` has 32. Raises
     `Unfit` for a field that is missing or malformed.
     """
-    given = Fields(fields)
-    txn = given.string("id")
-    if not digits(txn, 16):
+    reader = FieldReader(fields)
+    txn = reader.string("id")
+    if not is_hex(txn, 16):
         raise Unfit("id", "16 hex digits expected")
-    wait = given.figure("wait")
+    wait = reader.number("wait")
     if wait is None or wait <= 0:
         raise Unfit("wait", "milliseconds above 0 expected")
-    reference = given.string("once", "")
-    if reference and not digits(reference, 32):
+    reference = reader.string("once", "")
+    if reference and not is_hex(reference, 32):
         # The value is copied into a request header unescaped.
         raise Unfit("once", "32 hex digits expected")
-    work = given.figure("cost")
+    work = reader.number("cost")
     return Submission(
         txn,
         wait / 1e3,
-        given.string("tenant", ""),
+        reader.string("tenant", ""),
         fields.get("retry") not in (None, 0, "0", "", False),
         reference,
         work / 1e3 if work else None,
-        given.figure("need_mb") or 0.0,
+        reader.number("need_mb") or 0.0,
         statement,
     )
 
 
-def digits(word: str, count: int) -> bool:
+def is_hex(word: str, count: int) -> bool:
     """Whether the word consists of exactly `count` lower-case hex digits."""
     return len(word) == count and all(c in "0123456789abcdef" for c in word)
 
 
-class Fields:
+class FieldReader:
     """Access to a submission's fields by name, with a check of their types."""
 
     def __init__(self, fields: Mapping) -> None:
@@ -84,7 +84,7 @@
             raise Unfit(name, "a string expected")
         return value
 
-    def figure(self, name: str) -> float | None:
+    def number(self, name: str) -> float | None:
         """Return a number from 0 to below 1e12, or None if it is missing; raises `Unfit` for others."""
         value = self.fields.get(name)
         if value is None:
--- a/thistlelever/state/prepared.py
+++ b/thistlelever/state/prepared.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 
 # Statements and bound parameters of all clients together, in bytes.
-MOST_BYTES = 8_000_000
+MAX_BYTES = 8_000_000
 
 
 @dataclass(slots=True)
 class Prepared:
     """A prepared statement with the parameter rows bound to it.
 
-    `used` is the time of its last use in seconds, `size` the bytes of statement and rows together.
+    `last_used` is the time of its last use in seconds, `size` the bytes of statement and rows together.
     """
 
     statement: bytes
-    used: float
+    last_used: float
     rows: list[tuple] = field(default_factory=list)
     size: int = 0
 
@@ -29,15 +29,15 @@
     is rejected, so that a client that prepares without end can't evict statements in use.
     """
 
-    def __init__(self, most: int, idle: float, most_bytes: int = MOST_BYTES) -> None:
-        """Hold up to `most` statements and `most_bytes` bytes; `idle` in seconds."""
-        self.most, self.idle, self.most_bytes, self.bytes = most, idle, most_bytes, 0
+    def __init__(self, max_count: int, idle: float, max_bytes: int = MAX_BYTES) -> None:
+        """Hold up to `max_count` statements and `max_bytes` bytes; `idle` in seconds."""
+        self.max_count, self.idle, self.max_bytes, self.bytes = max_count, idle, max_bytes, 0
         self.held: OrderedDict[str, Prepared] = OrderedDict()
 
     def add(self, handle: str, statement: bytes, now: float) -> bool:
         """Store a statement under a new handle; returns False where there is no room."""
         self.sweep(now)
-        if len(self.held) >= self.most or self.bytes + len(statement) > self.most_bytes:
+        if len(self.held) >= self.max_count or self.bytes + len(statement) > self.max_bytes:
             return False
         self.held[handle] = Prepared(statement, now, size=len(statement))
         self.bytes += len(statement)
@@ -47,7 +47,7 @@
         """Return the statement under a handle and mark it as used now; None where there is none."""
         found = self.held.get(handle)
         if found:
-            found.used = now
+            found.last_used = now
             self.held.move_to_end(handle)
         return found
 
@@ -57,7 +57,7 @@
         Returns False where there is no such statement or no room for the rows.
         """
         found = self.find(handle, now)
-        if found is None or self.bytes - found.size + len(found.statement) + size > self.most_bytes:
+        if found is None or self.bytes - found.size + len(found.statement) + size > self.max_bytes:
             return False
         self.bytes += len(found.statement) + size - found.size
         found.rows, found.size = rows, len(found.statement) + size
@@ -73,6 +73,6 @@
         """Remove the statements that have been idle for `idle` seconds."""
         while self.held:
             handle, oldest = next(iter(self.held.items()))
-            if now - oldest.used < self.idle:
+            if now - oldest.last_used < self.idle:
                 return
             self.drop(handle)
--- a/thistlelever/state/sessions.py
+++ b/thistlelever/state/sessions.py
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True)
 class Session:
-    """The options of one client by name; `used` is the time of the last call in seconds."""
+    """The options of one client by name; `last_used` is the time of the last call in seconds."""
 
-    used: float
+    last_used: float
     options: dict[str, str | float | bool] = field(default_factory=dict)
 
 
@@ -23,34 +23,34 @@
     As with prepared statements, a new session replaces only those that have been idle for `idle` seconds.
     """
 
-    def __init__(self, most: int, idle: float) -> None:
-        """Hold up to `most` sessions; `idle` in seconds."""
-        self.most, self.idle = most, idle
+    def __init__(self, max_count: int, idle: float) -> None:
+        """Hold up to `max_count` sessions; `idle` in seconds."""
+        self.max_count, self.idle = max_count, idle
         self.held: OrderedDict[str, Session] = OrderedDict()
 
-    def open(self, number: str, now: float) -> Session | None:
+    def open(self, session_id: str, now: float) -> Session | None:
         """Create a session under a new id; returns None where there is no room."""
-        while self.held and now - next(iter(self.held.values())).used >= self.idle:
+        while self.held and now - next(iter(self.held.values())).last_used >= self.idle:
             self.held.popitem(last=False)
-        if len(self.held) >= self.most:
+        if len(self.held) >= self.max_count:
             return None
-        self.held[number] = Session(now)
-        return self.held[number]
+        self.held[session_id] = Session(now)
+        return self.held[session_id]
 
-    def find(self, number: str, now: float) -> Session | None:
+    def find(self, session_id: str, now: float) -> Session | None:
         """Return the session with that id and mark it as used now; None where it is missing or expired."""
-        found = self.held.get(number)
-        if found and now - found.used >= self.idle:
-            del self.held[number]
+        found = self.held.get(session_id)
+        if found and now - found.last_used >= self.idle:
+            del self.held[session_id]
             return None
         if found:
-            found.used = now
-            self.held.move_to_end(number)
+            found.last_used = now
+            self.held.move_to_end(session_id)
         return found
 
-    def close(self, number: str) -> bool:
+    def close(self, session_id: str) -> bool:
         """Remove a session; returns whether there was one."""
-        return self.held.pop(number, None) is not None
+        return self.held.pop(session_id, None) is not None
 
 
 def fault(name: str, value) -> str | None:
--- a/thistlelever/state/tickets.py
+++ b/thistlelever/state/tickets.py
@@ -38,13 +38,13 @@
 class Tickets:
     """The used tickets of one front in one process lifetime.
 
-    At most `most` are kept. When they are full, no ticket can be redeemed until one of them expires:
-    forgetting one earlier would allow it to run twice.
+    At most `max_count` are kept. When they are full, no ticket can be redeemed until one of them
+    expires: forgetting one earlier would allow it to run twice.
     """
 
-    def __init__(self, front: str, life: str, most: int) -> None:
+    def __init__(self, front: str, life: str, max_count: int) -> None:
         """Accept the tickets that `front` issues in the process lifetime `life`."""
-        self.front, self.life, self.most = front, life, most
+        self.front, self.life, self.max_count = front, life, max_count
         self.used: dict[str, Verdict] = {}
         self.by_expiry: list[tuple[float, str]] = []
 
@@ -52,14 +52,14 @@
         """Use a ticket to run its batch: GOOD where the batch may run now."""
         verdict = self.standing(stamp, now)
         if verdict is Verdict.GOOD:
-            verdict = self.remember(stamp, Verdict.USED, now) or Verdict.GOOD
+            verdict = self.mark_used(stamp, Verdict.USED, now) or Verdict.GOOD
         return verdict
 
     def call_off(self, stamp: Stamp, now: float) -> Verdict:
         """Cancel a ticket so that it never runs: GOOD where this call has cancelled it."""
         verdict = self.standing(stamp, now)
         if verdict is Verdict.GOOD:
-            verdict = self.remember(stamp, Verdict.CALLED_OFF, now) or Verdict.GOOD
+            verdict = self.mark_used(stamp, Verdict.CALLED_OFF, now) or Verdict.GOOD
         return verdict
 
     def standing(self, stamp: Stamp, now: float) -> Verdict:
@@ -76,12 +76,12 @@
             return self.used[stamp.number]
         return Verdict.EXPIRED if now >= stamp.expires else Verdict.GOOD
 
-    def remember(self, stamp: Stamp, how: Verdict, now: float) -> Verdict | None:
+    def mark_used(self, stamp: Stamp, verdict: Verdict, now: float) -> Verdict | None:
         """Keep a ticket as used until it expires; returns FULL where there is no room, else None."""
         while self.by_expiry and self.by_expiry[0][0] <= now:
             del self.used[heappop(self.by_expiry)[1]]
-        if len(self.used) >= self.most:
+        if len(self.used) >= self.max_count:
             return Verdict.FULL
-        self.used[stamp.number] = how
+        self.used[stamp.number] = verdict
         heappush(self.by_expiry, (stamp.expires, stamp.number))
         return None
