--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -151,13 +151,13 @@
     return process_time() - begun
 
 
-def engine_records(count: int, version: int) -> it.ListTold:
+def engine_records(count: int, version: int) -> it.EngineListReceived:
     zones = len(ZONES)
     engines = tuple(
-        it.Engine(b"engine-%05d" % place, place % zones, 2, 0, it.Standing.READY, 0.0, 4.0)
+        it.Engine(b"engine-%05d" % place, place % zones, 2, 0, it.EngineState.READY, 0.0, 4.0)
         for place in range(count)
     )
-    return it.ListTold(it.ListKind.WHOLE, version, engines)
+    return it.EngineListReceived(it.ListKind.WHOLE, version, engines)
 
 
 class AnswerTimer:
@@ -176,7 +176,7 @@
     def log(self, event: str, **facts: object) -> None:
         pass
 
-    def tell(self, event: it.ListTold) -> None:
+    def tell(self, event: it.EngineListReceived) -> None:
         self.now += 1.0
         self.front.handle(self.now, [event])
 
--- a/rigs/flight_sabotage.py
+++ b/rigs/flight_sabotage.py
@@ -10,16 +10,20 @@
 def resend():
     """What may have run is told as never run."""
 
-    async def fate(self, why, entry, batch, sent):
-        return it.Fate.UNSENT
+    async def outcome(self, why, entry, batch, sent):
+        return it.DispatchOutcome.UNSENT
 
-    FlightEngines.fate = fate
-    HttpEngines.fate = lambda self, reply, sent: it.Fate.RETURNED if reply.status == 200 else it.Fate.UNSENT
+    FlightEngines.outcome = outcome
+    HttpEngines.outcome = (
+        lambda self, reply, sent: it.DispatchOutcome.RETURNED
+        if reply.status == 200
+        else it.DispatchOutcome.UNSENT
+    )
 
 
 def short():
     """A result that broke off ends well."""
-    Flow.end = lambda self, fate, end=Flow.end: end(self, it.Fate.RETURNED)
+    Flow.end = lambda self, outcome, end=Flow.end: end(self, it.DispatchOutcome.RETURNED)
 
 
 def twice():
--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -31,7 +31,7 @@
 MOST_CHANGE, MOST_TURN = 1.0, 20.0
 
 
-def manifest() -> it.Manifest:
+def manifest() -> it.Settings:
     zones = [f"zone-{zone}" for zone in range(ZONES)]
     told = papers.read(configuration(settings=SETTINGS | {"FailureDomains": zones}), {}).manifest
     return told._replace(fronts=FRONTS)
@@ -45,13 +45,13 @@
 
 
 def entry(record: EngineRecord) -> it.Engine:
-    standing = it.Standing.DRAINING if record.draining else it.Standing.READY
+    state = it.EngineState.DRAINING if record.draining else it.EngineState.READY
     zone = int(record.zone.removeprefix("zone-"))
-    return it.Engine(record.id.encode(), zone, record.cell, 0, standing, record.started, record.weight)
+    return it.Engine(record.id.encode(), zone, record.cell, 0, state, record.started, record.weight)
 
 
-def query(number: int) -> it.BatchTaken:
-    return it.BatchTaken(number, 0, 0, 0, 10.0, 0.1, 10.0, float(number), False)
+def query(number: int) -> it.BatchReceived:
+    return it.BatchReceived(number, 0, 0, 0, 10.0, 0.1, 10.0, float(number), False)
 
 
 class Trial:
@@ -68,11 +68,11 @@
 
     def tell_list(self, version: int, kind: it.ListKind = it.ListKind.WHOLE) -> float:
         engines = self.engines[:1] if kind is it.ListKind.CHANGES else self.engines
-        return self.tell(it.ListTold(kind, version, tuple(engines), self.fronts))
+        return self.tell(it.EngineListReceived(kind, version, tuple(engines), self.fronts))
 
     def drain_first(self, drains: bool) -> None:
-        standing = it.Standing.DRAINING if drains else it.Standing.READY
-        self.engines[0] = self.engines[0]._replace(standing=standing)
+        state = it.EngineState.DRAINING if drains else it.EngineState.READY
+        self.engines[0] = self.engines[0]._replace(state=state)
 
     def play(self) -> dict[str, float]:
         """All the turns of one trial."""
@@ -90,7 +90,7 @@
 def memory_of(engines: list[it.Engine], fronts: int) -> float:
     """Megabytes that a told list takes in the decisions, without the list itself."""
     trial = Trial(engines, fronts)
-    told = it.ListTold(it.ListKind.WHOLE, 1, tuple(engines), fronts)
+    told = it.EngineListReceived(it.ListKind.WHOLE, 1, tuple(engines), fronts)
     tracemalloc.start()
     trial.front.handle(1.0, [told])
     memory = tracemalloc.get_traced_memory()[0]
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -53,7 +53,7 @@
 
 def fate():
     """What another front has begun is begun anew where its client comes back."""
-    Wards.adopts = lambda self, batch, value, tariff: True
+    Wards.adopts = lambda self, batch, value, query_class: True
 
 
 GUARDS = {"health": health, "detour": detour, "incarnation": incarnation}
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -43,6 +43,8 @@
         listing = dns.listing(answer, 1, NAME)
         listed = [inquiry.entry(found) for found in listing.engines]
         parts.roll.replace(serial, listed, float(serial))
-        parts.desk.front.handle(float(serial), [it.ListTold(it.ListKind.WHOLE, serial, parts.roll.told())])
+        parts.desk.front.handle(
+            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.roll.told())]
+        )
         spent.append(perf_counter() - began)
     return min(spent[1:])
--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -20,14 +20,14 @@
 from thistlelever.standins.papers import SETTINGS
 
 EVENTS = (
-    it.BatchTaken,
+    it.BatchReceived,
     it.DispatchEnded,
     it.ProgressNote,
     it.ClientLeft,
-    it.ListTold,
+    it.EngineListReceived,
     it.TimerDue,
     it.ProbeEnded,
-    it.FrontsCounted,
+    it.FrontCountChanged,
 )
 ACTIONS = (
     it.Dispatch,
@@ -86,15 +86,17 @@
             draw = self.chance()
             if draw < 0.05:
                 continue
-            standing = it.Standing.DRAINING if draw < 0.12 else it.Standing.READY
+            state = it.EngineState.DRAINING if draw < 0.12 else it.EngineState.READY
             started = self.now - 2.0 if draw > 0.93 else 0.0
-            found.append(it.Engine(b"engine-%d" % place, place % 2, place % 3, 0, standing, started, 4.0))
-        return it.ListTold(it.ListKind.WHOLE, self.serial, tuple(found))
+            found.append(it.Engine(b"engine-%d" % place, place % 2, place % 3, 0, state, started, 4.0))
+        return it.EngineListReceived(it.ListKind.WHOLE, self.serial, tuple(found))
 
     def taken(self):
         self.number += 1
         group, work = int(self.chance() * 3), 0.05 + self.chance()
-        told = it.BatchTaken(self.number, group, 0, 0, 4.0, work, 8.0, float(int(self.chance() * 5)), False)
+        told = it.BatchReceived(
+            self.number, group, 0, 0, 4.0, work, 8.0, float(int(self.chance() * 5)), False
+        )
         if self.chance() < 0.03:
             self.later(self.chance(), it.ClientLeft(self.number))
         return told
@@ -107,25 +109,29 @@
         if type(action) is it.Dispatch:
             self.attempt(action)
         elif type(action) is it.Probe:
-            self.later(0.02, it.ProbeEnded(action.engine, it.Fate.RETURNED, 0.02, (2.0, self.chance())))
+            self.later(
+                0.02, it.ProbeEnded(action.engine, it.DispatchOutcome.RETURNED, 0.02, (2.0, self.chance()))
+            )
         elif type(action) is it.Timer:
             self.later(action.delay, it.TimerDue(action.token))
 
     def attempt(self, action):
         number = next(n for n, sent in self.front.open[action.batch].out.items() if sent.at == self.now)
-        fates = (it.Fate.RETURNED,) * 12 + (
-            it.Fate.FULL,
-            it.Fate.RESET,
-            it.Fate.UNREACHABLE,
-            it.Fate.ERRORED,
-            it.Fate.TIMED_OUT,
+        outcomes = (it.DispatchOutcome.RETURNED,) * 12 + (
+            it.DispatchOutcome.FULL,
+            it.DispatchOutcome.RESET,
+            it.DispatchOutcome.UNREACHABLE,
+            it.DispatchOutcome.ERRORED,
+            it.DispatchOutcome.TIMED_OUT,
         )
-        fate, took = fates[int(self.chance() * len(fates))], 0.02 + 0.4 * self.chance()
+        outcome, took = outcomes[int(self.chance() * len(outcomes))], 0.02 + 0.4 * self.chance()
         report = (float(int(8 * self.chance())), 1.2 * self.chance())
-        complete = fate is it.Fate.RETURNED
-        end = it.DispatchEnded(action.batch, number, action.engine, fate, took, complete, 0.3, 9.0, report)
+        complete = outcome is it.DispatchOutcome.RETURNED
+        end = it.DispatchEnded(action.batch, number, action.engine, outcome, took, complete, 0.3, 9.0, report)
         if self.chance() < 0.1:
-            note = it.ProgressNote(action.batch, number, action.engine, it.Tidings.PROGRESS, self.chance())
+            note = it.ProgressNote(
+                action.batch, number, action.engine, it.ProgressKind.PROGRESS, self.chance()
+            )
             self.later(took / 2, note)
         self.later(took, end)
 
@@ -146,7 +152,7 @@
             self.serial += 1
             events.append(self.engines())
         if place % 700 == 600:
-            events.append(it.FrontsCounted(2 + place % 3))
+            events.append(it.FrontCountChanged(2 + place % 3))
         if self.chance() < 0.8:
             events.append(self.taken())
         actions = self.front.handle(self.now, events)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,19 +21,24 @@
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import Link, Links, Refused, Unreached
 
-REFERENCED = GROUP._replace(repeat=it.Repeat.REFERENCED, window=1.5, time_limit=30.0, goal=20.0)
+REFERENCED = GROUP._replace(repeat=it.Idempotency.DEDUPLICATED, window=1.5, time_limit=30.0, goal=20.0)
 
 
 def dispatches(group, allowance=None):
     """The first dispatch of a batch at 10 s, and the one that follows after a reset 0.5 s later."""
     front = Front(MANIFEST._replace(tariffs=(group,), allowance=allowance), 7)
-    engines = tuple(it.Engine(name, 0, 0, 0, it.Standing.READY, 0.0, 1.0) for name in (b"a", b"b"))
+    engines = tuple(it.Engine(name, 0, 0, 0, it.EngineState.READY, 0.0, 1.0) for name in (b"a", b"b"))
     found = front.handle(
         10.0,
-        [it.ListTold(it.ListKind.CACHED, 1, engines), it.BatchTaken(1, 0, 0, 0, 30.0, 0.1, 0.0, 1.0, False)],
+        [
+            it.EngineListReceived(it.ListKind.CACHED, 1, engines),
+            it.BatchReceived(1, 0, 0, 0, 30.0, 0.1, 0.0, 1.0, False),
+        ],
     )
     first = next(a for a in found if type(a) is it.Dispatch)
-    found = front.handle(10.5, [it.DispatchEnded(1, 0, first.engine, it.Fate.RESET, 0.5, False, 0, 0, ())])
+    found = front.handle(
+        10.5, [it.DispatchEnded(1, 0, first.engine, it.DispatchOutcome.RESET, 0.5, False, 0, 0, ())]
+    )
     return first, next((a for a in found if type(a) is it.Dispatch), None)
 
 
@@ -47,7 +52,7 @@
 
 
 def test_where_further_dispatches_are_rationed_none_is_sent_again_uncounted():
-    first, _ = dispatches(GROUP, it.Allowance(1.0, 0.1, 10.0))
+    first, _ = dispatches(GROUP, it.RetryBudget(1.0, 0.1, 10.0))
     assert first.begin_by == 10.0 + MANIFEST.connect_limit
 
 
@@ -55,38 +60,41 @@
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
     # Risk: the engine runs on, and the next dispatch is a second copy (`Front.patience`).
     front = Front(MANIFEST._replace(tariffs=(GROUP,), cancel=cancel), 7)
-    engines = (it.Engine(b"a", 0, 0, 0, it.Standing.READY, 0.0, 1.0),)
+    engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
         10.0,
-        [it.ListTold(it.ListKind.CACHED, 1, engines), it.BatchTaken(1, 0, 0, 0, 5.0, 0.1, 0.0, 1.0, False)],
+        [
+            it.EngineListReceived(it.ListKind.CACHED, 1, engines),
+            it.BatchReceived(1, 0, 0, 0, 5.0, 0.1, 0.0, 1.0, False),
+        ],
     )
     assert (next(a for a in found if type(a) is it.Dispatch).time_out > 0) is cut
 
 
-def down_after(*fates):
+def down_after(*outcomes):
     """Whether an engine counts as one that was down after these ends, one after the other."""
     front = Front(MANIFEST._replace(tariffs=(GROUP,), most_dispatches=99), 7)
-    engines = (it.Engine(b"a", 0, 0, 0, it.Standing.READY, 0.0, 1.0),)
-    front.handle(10.0, [it.ListTold(it.ListKind.CACHED, 1, engines)])
-    for fate in fates:
-        front.fared(0, fate)
+    engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
+    front.handle(10.0, [it.EngineListReceived(it.ListKind.CACHED, 1, engines)])
+    for outcome in outcomes:
+        front.fared(0, outcome)
     return front.down[0]
 
 
 def test_one_connection_that_comes_up_late_is_no_engine_that_was_down():
     # Risk: on a day on which a third of all connections come up late every engine counts as cold, and the
     # fleet carries a third of its work (`Front.fared`).
-    assert not down_after(it.Fate.LATE)
-    assert not down_after(*[it.Fate.LATE, it.Fate.RETURNED] * 9)
+    assert not down_after(it.DispatchOutcome.LATE)
+    assert not down_after(*[it.DispatchOutcome.LATE, it.DispatchOutcome.RETURNED] * 9)
 
 
 def test_an_engine_that_none_reaches_for_as_long_as_a_doubt_grows_was_down():
-    assert down_after(*[it.Fate.LATE] * 5)
-    assert down_after(it.Fate.UNREACHABLE)
+    assert down_after(*[it.DispatchOutcome.LATE] * 5)
+    assert down_after(it.DispatchOutcome.UNREACHABLE)
 
 
 def test_a_connection_that_does_not_come_up_is_told_apart_from_one_refused():
-    async def fate(why):
+    async def outcome(why):
         async def take(entry, urgent, patient=False, unused=False):
             raise why
 
@@ -95,15 +103,15 @@
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         with pytest.raises(Ended) as ended:
             await engines.converse(batch, "entry", End(0, b"a"), Sending(0), 0.0)
-        assert (await engines.probe("entry"))[0] is ended.value.fate
-        return ended.value.fate
+        assert (await engines.probe("entry"))[0] is ended.value.outcome
+        return ended.value.outcome
 
-    assert asyncio.run(fate(Unreached())) is it.Fate.LATE
-    assert asyncio.run(fate(Refused())) is it.Fate.UNREACHABLE
+    assert asyncio.run(outcome(Unreached())) is it.DispatchOutcome.LATE
+    assert asyncio.run(outcome(Refused())) is it.DispatchOutcome.UNREACHABLE
 
 
-@pytest.mark.parametrize("fate", (it.Fate.RESET, it.Fate.TIMED_OUT))
-def test_where_nothing_can_be_called_off_no_end_is_told_before_the_engine_has_surely_ended(fate):
+@pytest.mark.parametrize("outcome", (it.DispatchOutcome.RESET, it.DispatchOutcome.TIMED_OUT))
+def test_where_nothing_can_be_called_off_no_end_is_told_before_the_engine_has_surely_ended(outcome):
     # Risk: told at once, it lets the next dispatch go beside one that runs on (`Dispatcher.dispatch`).
     async def run():
         ended, asked = asyncio.Event(), asyncio.Event()
@@ -111,7 +119,7 @@
         class Speech:
             async def converse(self, batch, entry, end, sent, till):
                 sent.begun = True
-                raise Ended(fate)
+                raise Ended(outcome)
 
             async def run_out(self, sent):
                 asked.set()
@@ -128,7 +136,7 @@
             await asked.wait()
             assert batch.inbox.empty()
             ended.set()
-            assert (await batch.inbox.get()).fate is fate
+            assert (await batch.inbox.get()).outcome is outcome
 
     asyncio.run(run())
 
@@ -162,7 +170,7 @@
         async with asyncio.timeout(8):
             end = await batch.inbox.get()
         assert batch.inbox.empty() and not out[b"a"]
-        return end.fate
+        return end.outcome
 
     return asyncio.run(run())
 
@@ -170,11 +178,11 @@
 def test_a_dispatch_called_off_before_its_first_step_has_an_end():
     # Risk: a loop that is held up orders a dispatch and calls it off in one turn; its task never runs, and
     # the batch stays open for good (`Dispatcher.finished`).
-    assert called_off_before_its_first_step(asyncio.Task.cancel) is it.Fate.UNSENT
+    assert called_off_before_its_first_step(asyncio.Task.cancel) is it.DispatchOutcome.UNSENT
 
 
 def test_a_dispatch_to_an_engine_that_nobody_knows_has_one_end():
-    assert called_off_before_its_first_step(lambda task: None) is it.Fate.UNSENT
+    assert called_off_before_its_first_step(lambda task: None) is it.DispatchOutcome.UNSENT
 
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -84,7 +84,7 @@
 
         async def ends(batch):
             await asyncio.sleep(0)
-            batch.inbox.put_nowait(End(0, b"a", it.Fate.RETURNED))
+            batch.inbox.put_nowait(End(0, b"a", it.DispatchOutcome.RETURNED))
 
         dispatcher = SimpleNamespace(
             start=lambda batch, number, order: asyncio.get_running_loop().create_task(ends(batch))
@@ -138,7 +138,7 @@
         batch.backstop.cancel()
 
     asyncio.run(run())
-    assert [type(event) for event in told] == [it.FrontStops]
+    assert [type(event) for event in told] == [it.FrontStopping]
 
 
 def test_a_cancel_whose_connection_comes_up_late_is_not_taken_for_given():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -397,21 +397,35 @@
 # Marks.
 
 
-def tariff(scope=it.Scope.ALL):
-    return it.Tariff(
-        "load", 1.0, 0.0, 1.0, 0.0, 4.0, it.Repeat.REFERENCED, scope, 5.0, 1, False, False, False, None, None
+def query_class(scope=it.DeduplicationScope.ALL):
+    return it.QueryClass(
+        "load",
+        1.0,
+        0.0,
+        1.0,
+        0.0,
+        4.0,
+        it.Idempotency.DEDUPLICATED,
+        scope,
+        5.0,
+        1,
+        False,
+        False,
+        False,
+        None,
+        None,
     )
 
 
 @pytest.mark.parametrize(
     "scope, listed, ran, out, answer",
     [
-        (it.Scope.ALL, True, 1.0, b"e-1", None),
-        (it.Scope.ALL, False, 1.0, b"", None),
-        (it.Scope.CELL, False, 1.0, b"", it.Error),
-        (it.Scope.ALL, True, 5.0, b"", it.Error),
-        (it.Scope.CELL, True, 1.0, b"e-1", None),
-        (it.Scope.ALL, True, float("inf"), b"", it.Error),
+        (it.DeduplicationScope.ALL, True, 1.0, b"e-1", None),
+        (it.DeduplicationScope.ALL, False, 1.0, b"", None),
+        (it.DeduplicationScope.CELL, False, 1.0, b"", it.Error),
+        (it.DeduplicationScope.ALL, True, 5.0, b"", it.Error),
+        (it.DeduplicationScope.CELL, True, 1.0, b"e-1", None),
+        (it.DeduplicationScope.ALL, True, float("inf"), b"", it.Error),
     ],
 )
 def test_what_may_have_run_before_a_restart_goes_only_where_its_repeat_is_dropped(
@@ -420,9 +434,11 @@
     roll = SimpleNamespace(listed=lambda engine: listed)
     tally = SimpleNamespace(add=lambda name: None)
     found = b"e-1", Name("a" * 16, 2), ran
-    memory = Recollection(SimpleNamespace(tariffs=(tariff(scope),)), roll, tally, None, lambda mark: found)
+    memory = Recollection(
+        SimpleNamespace(tariffs=(query_class(scope),)), roll, tally, None, lambda mark: found
+    )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, repeat=True)
-    batch = Batch(1, asked, it.BatchTaken(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
+    batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
     told = memory.enter(batch)
     assert (told and type(told)) == answer and batch.taken.out_at == out
     if out:
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -15,8 +15,8 @@
     entries = {}
     for name in names:
         engine = name.strip("-").encode()
-        standing = it.Standing.DRAINING if name.endswith("-") else it.Standing.READY
-        entries[engine] = Entry(it.Engine(engine, 0, 0, 0, standing, 0.0, 1.0), ("127.0.0.1", 1))
+        state = it.EngineState.DRAINING if name.endswith("-") else it.EngineState.READY
+        entries[engine] = Entry(it.Engine(engine, 0, 0, 0, state, 0.0, 1.0), ("127.0.0.1", 1))
     return Answer(serial, entries)
 
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -87,9 +87,9 @@
     read = papers.read(told, {"BALANCER_NAME": "n9"})
     assert read.manifest.tariffs[1].zones == {0, 1} and read.manifest.tariffs[0].zones is None
     assert (read.name, read.sockets) == ("n9", papers.DEFAULT_SOCKETS)
-    assert [(e.engine.id, e.engine.standing) for e in read.known] == [
-        (b"s-1", it.Standing.DRAINING),
-        (b"s-3", it.Standing.READY),
+    assert [(e.engine.id, e.engine.state) for e in read.known] == [
+        (b"s-1", it.EngineState.DRAINING),
+        (b"s-3", it.EngineState.READY),
     ]
 
 
--- a/tests/test_recorded_stream.py
+++ b/tests/test_recorded_stream.py
@@ -21,7 +21,7 @@
 
 def engine(fields):
     known = it.Engine(*fields)
-    return known._replace(standing=it.Standing(known.standing))
+    return known._replace(state=it.EngineState(known.state))
 
 
 def event(place, *fields):
@@ -29,10 +29,10 @@
     kind = EVENTS[place]
     told = kind(*map(value, fields))
     if kind in (it.DispatchEnded, it.ProbeEnded):
-        return told._replace(fate=it.Fate(told.fate))
+        return told._replace(outcome=it.DispatchOutcome(told.outcome))
     if kind is it.ProgressNote:
-        return told._replace(tidings=it.Tidings(told.tidings))
-    if kind is it.ListTold:
+        return told._replace(kind=it.ProgressKind(told.kind))
+    if kind is it.EngineListReceived:
         return told._replace(kind=it.ListKind(told.kind), engines=tuple(map(engine, told.engines)))
     return told
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -17,8 +17,8 @@
 ADDRESS = ("127.0.0.1", 9)
 
 
-def entry(name, address=ADDRESS, standing=it.Standing.READY):
-    return Entry(it.Engine(name, 0, 0, 0, standing, 0.0, 1.0), address)
+def entry(name, address=ADDRESS, state=it.EngineState.READY):
+    return Entry(it.Engine(name, 0, 0, 0, state, 0.0, 1.0), address)
 
 
 def test_a_gone_engine_is_not_reached_at_an_address_that_is_another_engines():
@@ -27,7 +27,7 @@
     roll.begin(b"old")
     assert roll.reachable(old)
     assert roll.replace(2, [new], 1.0) == [b"old"]
-    assert roll.entries[b"old"].engine.standing is it.Standing.GONE
+    assert roll.entries[b"old"].engine.state is it.EngineState.GONE
     assert not roll.reachable(old) and roll.reachable(new)
 
 
@@ -80,5 +80,5 @@
     roll.update(2, [entry(b"a"), entry(b"b")], 0.0)
     gate = Gate(manifest, plan, Terms(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
     assert gate.threads() == 64.0
-    roll.update(2, [entry(b"a"), entry(b"b", standing=it.Standing.DRAINING)], 1.0)
+    roll.update(2, [entry(b"a"), entry(b"b", state=it.EngineState.DRAINING)], 1.0)
     assert gate.threads() == 32.0
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -12,15 +12,15 @@
 
 FILES = sorted(Path(__file__).with_name("scenarios").glob("*.txt"))
 SOCKETS = sorted(Path(__file__).with_name("scenarios").glob("*/*.txt"))
-GROUP = it.Tariff(
+GROUP = it.QueryClass(
     "g",
     1.0,
     0.0,
     1.0,
     2.0,
     5.0,
-    it.Repeat.REPEATABLE,
-    it.Scope.ALL,
+    it.Idempotency.IDEMPOTENT,
+    it.DeduplicationScope.ALL,
     0.0,
     1,
     False,
@@ -29,7 +29,7 @@
     None,
     None,
 )
-MANIFEST = it.Manifest(
+MANIFEST = it.Settings(
     2,
     0,
     (),
@@ -40,10 +40,10 @@
     0.5,
     False,
     False,
-    it.Shortage.LINE,
+    it.MemoryShortage.QUEUE,
     0.0,
     False,
-    it.Reports.WITH_ANSWERS,
+    it.ReportDelivery.WITH_ANSWERS,
     ("util",),
     False,
     False,
@@ -66,7 +66,12 @@
     0.3,
     None,
 )
-ENUMS = {"repeat": it.Repeat, "scope": it.Scope, "shortage": it.Shortage, "reports": it.Reports}
+ENUMS = {
+    "repeat": it.Idempotency,
+    "scope": it.DeduplicationScope,
+    "shortage": it.MemoryShortage,
+    "reports": it.ReportDelivery,
+}
 TALLY = {
     it.Dispatch: "dispatch",
     it.PushBack: "pushback",
@@ -91,7 +96,7 @@
     if name == "report_fields":
         return tuple(word.split("+")) if word != "none" else ()
     if name == "allowance":
-        return it.Allowance(*map(float, word.split("+")))
+        return it.RetryBudget(*map(float, word.split("+")))
     if word in ("yes", "no"):
         return word == "yes"
     return float(word) if "." in word else int(word)
@@ -110,7 +115,7 @@
         if self.front is None:
             manifest = self.manifest._replace(tariffs=tuple(self.groups.values()))
             self.front = Front(manifest, 7)
-            whole = it.ListTold(it.ListKind.CACHED, 1, tuple(self.entries.values()))
+            whole = it.EngineListReceived(it.ListKind.CACHED, 1, tuple(self.entries.values()))
             events = (whole, *events)
         for action in self.front.handle(self.now, list(events)):
             rest = [x.decode() if isinstance(x, bytes) else str(x) for x in action]
@@ -126,17 +131,17 @@
         self.groups[name] = GROUP._replace(name=name, **pairs(words))
 
     def do_engine(self, name, *words):
-        old = self.entries.get(name, it.Engine(name.encode(), 0, 0, 0, it.Standing.READY, 0.0, 1.0))
+        old = self.entries.get(name, it.Engine(name.encode(), 0, 0, 0, it.EngineState.READY, 0.0, 1.0))
         known = pairs(w for w in words if "standing" not in w)
         for word in words:
             if word.startswith("standing="):
-                known["standing"] = it.Standing[word[9:].upper()]
+                known["state"] = it.EngineState[word[9:].upper()]
         self.entries[name] = old._replace(**known)
         if self.front:
-            self.tell(it.ListTold(it.ListKind.CHANGES, 2, (self.entries[name],)))
+            self.tell(it.EngineListReceived(it.ListKind.CHANGES, 2, (self.entries[name],)))
 
     def do_list(self, kind, *names):
-        self.tell(it.ListTold(it.ListKind[kind.upper()], 3, tuple(self.entries[n] for n in names)))
+        self.tell(it.EngineListReceived(it.ListKind[kind.upper()], 3, tuple(self.entries[n] for n in names)))
 
     def do_at(self, when):
         self.now, self.seen = float(when), []
@@ -151,7 +156,7 @@
         limit = p.get("limit", self.groups[group].time_limit)
         for number in batch.split("-")[:1] if "-" not in batch else range(*map(int, batch.split("-"))):
             self.tell(
-                it.BatchTaken(
+                it.BatchReceived(
                     int(number),
                     place,
                     p.get("owner", 0),
@@ -164,36 +169,42 @@
                 )
             )
 
-    def do_end(self, dispatch, engine, fate, *words):
+    def do_end(self, dispatch, engine, outcome, *words):
         p, (batch, number) = pairs(w for w in words if "report" not in w), map(int, dispatch.split("/"))
         report = tuple(float(x) for w in words if w.startswith("report=") for x in w[7:].split("+"))
-        fate = it.Fate[fate.upper()]
+        outcome = it.DispatchOutcome[outcome.upper()]
         self.tell(
             it.DispatchEnded(
                 batch,
                 number,
                 engine.encode(),
-                fate,
+                outcome,
                 p.get("took", 0.1),
-                p.get("complete", fate is it.Fate.RETURNED),
+                p.get("complete", outcome is it.DispatchOutcome.RETURNED),
                 p.get("work", 0.0),
                 p.get("memory", 0.0),
                 report,
             )
         )
 
-    def do_note(self, dispatch, engine, tidings, amount):
+    def do_note(self, dispatch, engine, kind, amount):
         batch, number = map(int, dispatch.split("/"))
-        self.tell(it.ProgressNote(batch, number, engine.encode(), it.Tidings[tidings.upper()], float(amount)))
+        self.tell(
+            it.ProgressNote(batch, number, engine.encode(), it.ProgressKind[kind.upper()], float(amount))
+        )
 
-    def do_probed(self, engine, fate, *report):
-        self.tell(it.ProbeEnded(engine.encode(), it.Fate[fate.upper()], 0.001, tuple(map(float, report))))
+    def do_probed(self, engine, outcome, *report):
+        self.tell(
+            it.ProbeEnded(
+                engine.encode(), it.DispatchOutcome[outcome.upper()], 0.001, tuple(map(float, report))
+            )
+        )
 
     def do_left(self, batch):
         self.tell(it.ClientLeft(int(batch)))
 
     def do_stops(self, at):
-        self.tell(it.FrontStops(float(at)))
+        self.tell(it.FrontStopping(float(at)))
 
     def do_sees(self, *words):
         assert any(s.startswith(" ".join(words)) for s in self.seen), (words, self.seen)
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -52,18 +52,18 @@
         assert self.replica.receive(delta) is Outcome.APPLIED
         self.list.changed(Listing(tuple(gone), self.fronts))
 
-    def standings(self):
+    def states(self):
         """What the decisions were told last."""
-        return {engine.id.decode(): engine.standing for engine in self.told[-1].engines}
+        return {engine.id.decode(): engine.state for engine in self.told[-1].engines}
 
 
-READY, DRAINING = it.Standing.READY, it.Standing.DRAINING
+READY, DRAINING = it.EngineState.READY, it.EngineState.DRAINING
 
 
 def test_the_decisions_are_told_the_subset_with_how_many_fronts_share_it():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, draining=True))
-    assert front.standings() == {"a": READY, "b": DRAINING}
+    assert front.states() == {"a": READY, "b": DRAINING}
     assert front.told[-1].fronts == 4 and front.roll.sharing == 4
     assert front.told[-1].kind is it.ListKind.WHOLE
 
@@ -73,16 +73,16 @@
     front.holds(record("a", 1), record("b", 2))
     front.roll.begin(b"a")
     front.holds(record("b", 2))
-    assert front.standings() == {"a": DRAINING, "b": READY}
+    assert front.states() == {"a": DRAINING, "b": READY}
     assert front.list.retained() == ("a",) and not front.roll.open_to(b"a")
     assert front.roll.reachable(front.roll.entries[b"a"]) and not front.forgotten
     # The distributor goes on telling of it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
-    assert front.standings() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
+    assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
     front.roll.end(b"a")
     assert front.list.retained() == ()
     front.holds(record("b", 2))
-    assert front.standings() == {"b": READY} and front.forgotten == [b"a"]
+    assert front.states() == {"b": READY} and front.forgotten == [b"a"]
 
 
 def test_a_retained_engine_that_is_gone_is_not_reached_any_more():
@@ -92,7 +92,7 @@
     front.holds(record("b", 2))
     entry = front.roll.entries[b"a"]
     front.holds(record("b", 2), gone=("a",))
-    assert front.standings() == {"b": READY} and not front.roll.reachable(entry)
+    assert front.states() == {"b": READY} and not front.roll.reachable(entry)
 
 
 def test_an_address_that_another_engine_has_now_is_not_the_former_ones():
@@ -107,7 +107,7 @@
 def test_an_engine_of_an_unknown_zone_is_left_out_and_counted():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, zone="elsewhere"), record("c", 3, kind="huge"))
-    assert front.standings() == {"a": READY}
+    assert front.states() == {"a": READY}
     assert front.list.desk.tally.counts["engines of the list that can't be used"] == 2
 
 
--- a/tests/test_subset_decisions.py
+++ b/tests/test_subset_decisions.py
@@ -14,7 +14,7 @@
 COLD, WARM = b"cold", tuple(b"warm-%d" % number for number in range(4))
 
 
-def manifest() -> it.Manifest:
+def manifest() -> it.Settings:
     return MANIFEST._replace(
         fronts=FRONTS,
         tariffs=(GROUP._replace(goal=5.0, time_limit=10.0),),
@@ -28,22 +28,24 @@
 
 
 def engine(name: bytes, started: float) -> it.Engine:
-    return it.Engine(name, 0, 0, 0, it.Standing.READY, started, 1.0)
+    return it.Engine(name, 0, 0, 0, it.EngineState.READY, started, 1.0)
 
 
-def listing(fronts: int, kind: it.ListKind = it.ListKind.WHOLE, cold_since: float = 1000.0) -> it.ListTold:
+def listing(
+    fronts: int, kind: it.ListKind = it.ListKind.WHOLE, cold_since: float = 1000.0
+) -> it.EngineListReceived:
     engines = (engine(COLD, cold_since), *(engine(name, 0.0) for name in WARM))
-    return it.ListTold(kind, 1, engines if kind is not it.ListKind.FAILED else (), fronts)
+    return it.EngineListReceived(kind, 1, engines if kind is not it.ListKind.FAILED else (), fronts)
 
 
-def taken(number: int) -> it.BatchTaken:
-    return it.BatchTaken(number, 0, 0, 0, 10.0, WORK, 0.0, float(number % 500), False)
+def taken(number: int) -> it.BatchReceived:
+    return it.BatchReceived(number, 0, 0, 0, 10.0, WORK, 0.0, float(number % 500), False)
 
 
 class Tier:
     """Fronts that all send to the same engines, each without a word to the others."""
 
-    def __init__(self, fronts: int, told: it.ListTold) -> None:
+    def __init__(self, fronts: int, told: it.EngineListReceived) -> None:
         self.now = 1000.0
         self.fronts = [Front(manifest(), seed) for seed in range(fronts)]
         self.out: list[dict[tuple[int, int], tuple[bytes, float]]] = [{} for _ in self.fronts]
@@ -73,9 +75,9 @@
                 for (batch, number), (name, at) in list(out.items()):
                     if self.now - at >= WORK:
                         del out[batch, number]
-                        fate, report = it.Fate.RETURNED, (0.1,)
+                        outcome, report = it.DispatchOutcome.RETURNED, (0.1,)
                         events.append(
-                            it.DispatchEnded(batch, number, name, fate, WORK, True, WORK, 0.0, report)
+                            it.DispatchEnded(batch, number, name, outcome, WORK, True, WORK, 0.0, report)
                         )
                 events += [taken(self.numbers + number) for number in range(1, batches + 1)]
                 self.numbers += batches
@@ -129,14 +131,14 @@
 def test_living_fronts_never_raise_the_count_nor_loosen_the_cold_budget(living):
     alone = figures(told(listing(SHARING)))
     assert alone[0] == SHARING
-    assert figures(told(listing(SHARING), it.FrontsCounted(living))) == alone
-    assert figures(told(it.FrontsCounted(living), listing(SHARING))) == alone
+    assert figures(told(listing(SHARING), it.FrontCountChanged(living))) == alone
+    assert figures(told(it.FrontCountChanged(living), listing(SHARING))) == alone
 
 
 def test_fewer_living_fronts_share_what_is_left_but_not_the_cold_budget():
-    few, alone = told(listing(SHARING), it.FrontsCounted(10)), told(listing(SHARING))
+    few, alone = told(listing(SHARING), it.FrontCountChanged(10)), told(listing(SHARING))
     assert few.fronts == 10
-    assert few.fall_room == alone.fall_room == told(listing(SHARING), it.FrontsCounted(1)).fall_room
+    assert few.fall_room == alone.fall_room == told(listing(SHARING), it.FrontCountChanged(1)).fall_room
 
 
 def test_a_list_without_a_count_means_all_fronts_again_and_a_failed_one_says_nothing():
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -30,7 +30,7 @@
 
 
 def engine(started, name=b"a"):
-    return it.Engine(name, 0, 1, 0, it.Standing.READY, started, 1.0)
+    return it.Engine(name, 0, 1, 0, it.EngineState.READY, started, 1.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -23,7 +23,7 @@
     events = codec.Reader().frame(2, bytes.fromhex(SUBMIT + returned))
     taken, ended = (event for _, event in events)
     assert (taken.time_limit, taken.work, taken.memory, taken.tables) == (0.24, 0.012, 384.0, 11.0)
-    assert (ended.fate, ended.complete, ended.true_memory) == (it.Fate.RETURNED, True, 384.0)
+    assert (ended.outcome, ended.complete, ended.true_memory) == (it.DispatchOutcome.RETURNED, True, 384.0)
     assert ended.report[0] == 7.0 and len(ended.report) == 3
 
 
--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -61,8 +61,15 @@
     "doubt": 0.0,
     "width": 0,
 }
-NEVER_RAN = frozenset((it.Fate.FULL, it.Fate.UNREACHABLE, it.Fate.LATE, it.Fate.UNSENT))
-MAY_RUN_ON = frozenset((it.Fate.TIMED_OUT, it.Fate.RESET, it.Fate.CANCELLED))
+NEVER_RAN = frozenset(
+    (
+        it.DispatchOutcome.FULL,
+        it.DispatchOutcome.UNREACHABLE,
+        it.DispatchOutcome.LATE,
+        it.DispatchOutcome.UNSENT,
+    )
+)
+MAY_RUN_ON = frozenset((it.DispatchOutcome.TIMED_OUT, it.DispatchOutcome.RESET, it.DispatchOutcome.CANCELLED))
 
 
 class Sent:
@@ -76,7 +83,7 @@
 class Batch:
     """One batch that this front holds or has out."""
 
-    def __init__(self, told: it.BatchTaken, width: int, now: float) -> None:
+    def __init__(self, told: it.BatchReceived, width: int, now: float) -> None:
         self.id, self.group, self.key, self.tables = told.batch, told.group, told.key, told.tables
         self.width, self.taken, self.new_till, self.limit_at = width, now, now, now + told.time_limit
         self.dispatches, self.out = 0, {}
@@ -90,7 +97,7 @@
 class Front:
     """The decisions of one front. It knows its own events and nothing else."""
 
-    def __init__(self, manifest: it.Manifest, seed: int) -> None:
+    def __init__(self, manifest: it.Settings, seed: int) -> None:
         m, groups = manifest, manifest.tariffs
         self.seed, self.draws, self.now, self.groups = seed, 0, 0.0, groups
         self.tick, self.home, self.crossing = m.tick, m.zone, 10 * m.cross_price
@@ -119,13 +126,13 @@
         self.meant = [work / t.width for work, t in zip(self.usual, groups, strict=True)]
         self.kind_cores, self.kind_memory, self.most_grant = m.kind_cores, m.kind_memory, m.most_grant
         self.grants, self.priorities, self.tells_cost = m.grants, m.priorities, m.tells_cost
-        self.pages, self.cancel, self.copies = m.shortage is it.Shortage.PAGE, m.cancel, m.copies
+        self.pages, self.cancel, self.copies = m.shortage is it.MemoryShortage.PAGE, m.cancel, m.copies
         self.longest_return = m.longest_return if m.names_return else 0.0
         self.connect_limit, self.key_rest, self.allowance = m.connect_limit, m.key_rest, m.allowance
         self.cold_share, self.warm_after, self.fall_window = m.cold_share, m.warm_after, m.fall_window
         told = m.report_fields
         self.fields = [told.index(f) if f in told else -1 for f in ("util", "queue", "inflight", "x1", "x0")]
-        self.probing = m.probes and m.reports is it.Reports.WHEN_PROBED
+        self.probing = m.probes and m.reports is it.ReportDelivery.WHEN_PROBED
         self.open, self.sent = {}, {}
         self.keys, self.key_free = {}, {}
         self.took, self.extra, self.alarm = deque(), deque(), float("inf")
@@ -135,15 +142,15 @@
         vars(self).update({row: [] for row in (*LISTED, *FIRST)})
         self.ranks: dict[float, list[tuple[int, int]]] = {}
         self.handlers = {
-            it.BatchTaken: self.taken,
+            it.BatchReceived: self.taken,
             it.DispatchEnded: self.ended,
             it.ProgressNote: self.noted,
             it.ClientLeft: self.left,
             it.ProbeEnded: self.probed,
-            it.ListTold: self.listed_anew,
-            it.FrontStops: self.stops,
-            it.FrontsCounted: self.counted,
-            it.Recalled: self.recalled,
+            it.EngineListReceived: self.listed_anew,
+            it.FrontStopping: self.stops,
+            it.FrontCountChanged: self.counted,
+            it.LearnedState: self.recalled,
         }
 
     def handle(self, now: float, events: list[it.Event]) -> list[it.Action]:
@@ -176,7 +183,7 @@
             wish = b.course.send(told)
         except StopIteration:
             # Risk: a result that broke while it went on to its client counts as an answer in time.
-            self.close(b, told.fate is it.Fate.RETURNED and self.now <= b.goal_at)
+            self.close(b, told.outcome is it.DispatchOutcome.RETURNED and self.now <= b.goal_at)
             return
         if wish is HOLD:
             b.held = True
@@ -197,14 +204,14 @@
 
     def farewell(self, b: Batch) -> it.Action:
         t = self.groups[b.group]
-        drops = t.repeat is it.Repeat.REFERENCED and t.scope is it.Scope.ALL
-        harmless = not b.may_have_run or t.repeat is it.Repeat.REPEATABLE or drops
+        drops = t.repeat is it.Idempotency.DEDUPLICATED and t.scope is it.DeduplicationScope.ALL
+        harmless = not b.may_have_run or t.repeat is it.Idempotency.IDEMPOTENT or drops
         return it.PushBack(b.id, min(self.longest_return, b.run)) if harmless else it.Error(b.id)
 
     def may_go_again(self, b: Batch) -> bool:
         if b.dispatches >= self.most[b.group] or self.now + b.run >= b.limit_at or not self.affords(b):
             return False
-        return not b.may_have_run or self.groups[b.group].repeat is not it.Repeat.ONCE_ONLY
+        return not b.may_have_run or self.groups[b.group].repeat is not it.Idempotency.NON_IDEMPOTENT
 
     def affords(self, b: Batch) -> bool:
         if not self.allowance:
@@ -218,8 +225,8 @@
 
     def behind(self, b: Batch, note: it.ProgressNote) -> bool:
         """A bad plan: the rest of this dispatch would outlast a fresh one of a batch that may run again."""
-        again = self.cancel and self.groups[b.group].repeat is it.Repeat.REPEATABLE
-        if not again or note.tidings is not it.Tidings.PROGRESS:
+        again = self.cancel and self.groups[b.group].repeat is it.Idempotency.IDEMPOTENT
+        if not again or note.kind is not it.ProgressKind.PROGRESS:
             return False
         s = self.sent[b.id, note.number]
         rest = (self.now - s.at) * (1 - note.value) / max(note.value, 1e-3)
@@ -227,7 +234,7 @@
         usual = b.run * max(self.slow[s.engine], 1.0)
         return rest > 2 * usual and self.may_go_again(b)
 
-    def taken(self, told: it.BatchTaken) -> None:
+    def taken(self, told: it.BatchReceived) -> None:
         g, t = told.group, self.groups[told.group]
         b = Batch(told, t.width, self.now)
         b.work = told.work * self.cost_bias[g] if told.work else self.usual[g]
@@ -257,14 +264,14 @@
         self.own[i].pop((told.batch, told.number), None)
         self.width[i] -= s.width
         self.report(i, told.report, s.width)
-        if told.fate in NEVER_RAN:
+        if told.outcome in NEVER_RAN:
             b.may_have_run = [r for r in b.may_have_run if r[0] != s.number]
-        if told.fate is it.Fate.FULL:
+        if told.outcome is it.DispatchOutcome.FULL:
             self.halve(i)
             self.busy[i] = max(self.busy[i], 1.0)
-        elif told.fate is not it.Fate.TIMED_OUT:
-            self.fared(i, told.fate)
-        if told.fate is it.Fate.RETURNED or told.fate is it.Fate.TIMED_OUT:
+        elif told.outcome is not it.DispatchOutcome.TIMED_OUT:
+            self.fared(i, told.outcome)
+        if told.outcome is it.DispatchOutcome.RETURNED or told.outcome is it.DispatchOutcome.TIMED_OUT:
             # Of sums, as a mean of ratios is ruled by the batches whose cost was put too low. Time-outs
             # count, or a day on which all are slow would cut off just the dispatches that show it.
             spent = self.meant[g] * self.pace_now(g)
@@ -274,13 +281,13 @@
             # Risk: an engine that swallows some of what it gets, or errs in no time, looks well by its
             # answers alone. A time-out counts for the time it took, an error for the goal that it cost.
             self.paced(i, told.took * s.width / (told.true_work or s.work))
-        elif told.fate is it.Fate.ERRORED:
+        elif told.outcome is it.DispatchOutcome.ERRORED:
             self.paced(i, (b.goal_at - b.taken) / b.run)
-        if told.fate is it.Fate.RETURNED and self.tells_cost and told.true_work:
+        if told.outcome is it.DispatchOutcome.RETURNED and self.tells_cost and told.true_work:
             self.cost_bias[g] *= 1 + PACE / 4 * (min(max(told.true_work / s.work, 0.25), 4.0) - 1)
             much = told.true_memory * 1.15 / max(s.memory, 1.0)
             self.memory_bias[g] *= 1 + PACE / 4 * (min(much, 2.0) - 1)
-        if b.line and told.fate in MAY_RUN_ON:
+        if b.line and told.outcome in MAY_RUN_ON:
             self.key_free[b.key] = self.now + self.key_rest
         if not b.answered:
             self.advance(b, told)
@@ -289,9 +296,9 @@
 
     def noted(self, told: it.ProgressNote) -> None:
         s = self.sent.get((told.batch, told.number))
-        if s and told.tidings is it.Tidings.PROGRESS:
+        if s and told.kind is it.ProgressKind.PROGRESS:
             s.share = told.value
-        elif s and told.tidings is it.Tidings.SPILL and s.memory:
+        elif s and told.kind is it.ProgressKind.SPILL and s.memory:
             self.memory_bias[s.batch.group] *= min(1 + PACE * told.value / s.memory, 1.1)
         if s and not s.batch.answered:
             self.advance(s.batch, told)
@@ -304,14 +311,14 @@
             # A client that leaves writes nothing: a zero would let its group crowd out those that wait.
             self.close(b, None)
 
-    def stops(self, told: it.FrontStops) -> None:
+    def stops(self, told: it.FrontStopping) -> None:
         """Risk: what outlasts the front is lost; held back now, its client can still go elsewhere in time."""
         for b in self.open.values():
             b.limit_at = min(b.limit_at, told.at)
             b.goal_at = min(b.goal_at, told.at)
         self.queues = [sorted(queue) for queue in self.queues]
 
-    def counted(self, told: it.FrontsCounted) -> None:
+    def counted(self, told: it.FrontCountChanged) -> None:
         """How many fronts live. A cold engine's room stays as it is: who is taken for dead may only be cut
         off from here, and send as before."""
         self.living = max(told.fronts, 1)
@@ -326,7 +333,7 @@
         self.step = min(self.threads / self.narrow / self.fronts, 1.0)
         self.fall_room = self.cold_budget / (self.sharing or self.settled) / 2
 
-    def recall(self, now: float) -> it.Recalled:
+    def recall(self, now: float) -> it.LearnedState:
         """What another life is to know; `recalled` puts it back."""
         engines = [
             (
@@ -339,13 +346,13 @@
             if self.listed[i]
         ]
         keys = [(key, at - now) for key, at in self.key_free.items() if at > now]
-        return it.Recalled(
+        return it.LearnedState(
             tuple(engines),
             tuple(keys),
             *(tuple(now - at for at in times) for times in (self.took, self.extra)),
         )
 
-    def recalled(self, told: it.Recalled) -> None:
+    def recalled(self, told: it.LearnedState) -> None:
         for e, bound, pace, started in told.engines:
             if (i := self.index.get(e)) is not None:
                 self.bound[i] = min(bound, self.cores[i] * THREADS_A_CORE)
@@ -360,10 +367,10 @@
     def probed(self, told: it.ProbeEnded) -> None:
         if (i := self.index.get(told.engine)) is not None:
             self.probe_at[i] = -1e9
-            self.fared(i, told.fate)
+            self.fared(i, told.outcome)
             self.report(i, told.report, 1)
 
-    def listed_anew(self, told: it.ListTold) -> None:
+    def listed_anew(self, told: it.EngineListReceived) -> None:
         if told.kind not in (it.ListKind.FAILED, it.ListKind.CHANGES):
             self.listed = [False] * len(self.listed)
         if told.kind is not it.ListKind.FAILED and told.fronts != self.sharing:
@@ -392,7 +399,7 @@
                     vars(self)[row][i : i + 1] = [first]
             elif e.started > max(self.started[i], 0.0):
                 self.restarted(i, e.started)
-            self.listed[i] = e.standing is it.Standing.READY
+            self.listed[i] = e.state is it.EngineState.READY
         # An engine that has left is forgotten once nothing remembers it, and its place is another's.
         known = {i for b in self.open.values() for i in b.tried} | {self.index[e.id] for e in told.engines}
         for e in [e for e, i in self.index.items() if not (self.listed[i] or self.own[i] or i in known)]:
@@ -441,15 +448,24 @@
         its pace hears nothing of it any more, and goes on turning it away when engines are long free."""
         return self.pace[g] ** exp((self.paced_at[g] - self.now) / self.forget)
 
-    def fared(self, i: int, fate: it.Fate) -> None:
-        if fate is it.Fate.RETURNED:
+    def fared(self, i: int, outcome: it.DispatchOutcome) -> None:
+        if outcome is it.DispatchOutcome.RETURNED:
             self.lives(i)
-        elif fate in (it.Fate.UNREACHABLE, it.Fate.LATE, it.Fate.RESET, it.Fate.TIMED_OUT):
+        elif outcome in (
+            it.DispatchOutcome.UNREACHABLE,
+            it.DispatchOutcome.LATE,
+            it.DispatchOutcome.RESET,
+            it.DispatchOutcome.TIMED_OUT,
+        ):
             # Risk: an engine whose answers go missing resets too, and one connection of many comes up late;
             # taken for down each time, it would count as cold without end. Only a connection refused shows
             # that nothing runs there, or that none comes up for as long as a doubt grows.
             most = 8 * self.connect_limit
-            self.down[i] |= fate is it.Fate.UNREACHABLE or fate is it.Fate.LATE and self.doubt[i] >= most
+            self.down[i] |= (
+                outcome is it.DispatchOutcome.UNREACHABLE
+                or outcome is it.DispatchOutcome.LATE
+                and self.doubt[i] >= most
+            )
             self.doubt[i] = min(max(self.doubt[i] * 2, self.connect_limit), most)
             self.shun[i] = self.now + self.doubt[i]
 
@@ -500,7 +516,7 @@
         if b.may_have_run:
             _, first, at = b.may_have_run[0]
             forgotten = self.now - at >= t.window
-            if t.repeat is it.Repeat.REFERENCED and (forgotten or not self.same(t.scope, first, i)):
+            if t.repeat is it.Idempotency.DEDUPLICATED and (forgotten or not self.same(t.scope, first, i)):
                 return False
         if self.now - self.started[i] < self.warm_after and not self.cold_room(b, i):
             return False
@@ -530,9 +546,9 @@
     def placed(self, t, i: int) -> bool:
         return (t.zones is None or self.zone[i] in t.zones) and (t.kinds is None or self.kind[i] in t.kinds)
 
-    def same(self, scope: it.Scope, i: int, j: int) -> bool:
-        row = self.zone if scope is it.Scope.ZONE else self.cell
-        return scope is it.Scope.ALL or row[i] == row[j]
+    def same(self, scope: it.DeduplicationScope, i: int, j: int) -> bool:
+        row = self.zone if scope is it.DeduplicationScope.ZONE else self.cell
+        return scope is it.DeduplicationScope.ALL or row[i] == row[j]
 
     def cold_room(self, b: Batch, i: int) -> bool:
         """A fresh engine gets a thin slice of the keys, and never more than this front's share. Risk: with
@@ -730,7 +746,7 @@
         What goes again later than it takes to connect may have come whole the first time: where further
         dispatches are rationed, it would be one that nobody counts."""
         t, first = self.groups[b.group], b.may_have_run[0][2] if b.may_have_run else self.now
-        by = first + t.window if t.repeat is it.Repeat.REFERENCED else inf
+        by = first + t.window if t.repeat is it.Idempotency.DEDUPLICATED else inf
         return min(by, self.now + self.connect_limit) if self.allowance else by
 
     def patience(self, b: Batch) -> float:
@@ -742,7 +758,7 @@
         # Where a share is less than a batch, what is cut off at its goal is done twice over the whole fleet,
         # to earn what the late answer would have earned.
         runs_on, late_earns = self.copies or not self.cancel, self.step < 1.0 and t.late_share
-        if runs_on or late_earns or t.repeat is it.Repeat.ONCE_ONLY:
+        if runs_on or late_earns or t.repeat is it.Idempotency.NON_IDEMPOTENT:
             return 0.0
         if b.dispatches + 1 >= self.most[b.group]:
             return 0.0
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -64,7 +64,7 @@
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
             for number, task in batch.out.items():
                 task.cancel()
-                end = End(number, batch.engines[number], it.Fate.RESET)
+                end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
                 self.desk.tell(end.event(batch.number, complete=True))
             if not batch.answered:
                 self.final(batch, answer, it.Error(batch.number))
@@ -93,7 +93,7 @@
                 # Risk: one that has struck can't be moved, and its refusal would end the stop halfway.
                 for limit in (limit for limit in batch.limits.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
-        self.desk.tell(it.FrontStops(at))
+        self.desk.tell(it.FrontStopping(at))
         if self.gate:
             self.gate.stop(at)
 
@@ -140,7 +140,7 @@
                         batch.ward.came_back(told)
                     if self.memory:
                         self.memory.came_back(batch, told)
-                    if told.fate is it.Fate.RETURNED and not batch.answered:
+                    if told.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
                         await self.settle(batch, answer, told)
                     self.desk.tell(told.event(batch.number, batch.answered))
                 # Risk: orders cross a client that has left, or the backstop; neither owes another answer.
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -158,7 +158,7 @@
             self.renewal = loop.create_task(self.renew())
         self.missed()
         if by_order:
-            self.desk.tell(it.ListTold(it.ListKind.FAILED, 0, ()))
+            self.desk.tell(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
 
     def answered(self, data: bytes) -> None:
         """Take what an answer tells, also a late one."""
@@ -218,8 +218,8 @@
 
     def report_contrary(self, answer: Answer) -> None:
         """Count and log an answer older than the list held, or one that differs from it under its serial."""
-        listed = {engine: entry.engine.standing for engine, entry in answer.entries.items()}
-        differing = transitions(self.roll.standings(), listed)
+        listed = {engine: entry.engine.state for engine, entry in answer.entries.items()}
+        differing = transitions(self.roll.states(), listed)
         serial, held = answer.serial, self.roll.serial
         what = "older than the list" if serial < held else "that differ under one serial"
         self.tally.add(f"directory answers {what}")
@@ -234,7 +234,7 @@
 
     def adopt(self, serial: int, entries: list[Entry]) -> None:
         """The list is in force from now on."""
-        before, held = self.roll.standings(), self.roll.serial
+        before, held = self.roll.states(), self.roll.serial
         last_heard = self.heard_at or None
         for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
@@ -242,7 +242,7 @@
             "list",
             serial=serial,
             engines=len(entries),
-            changed=transitions(before, self.roll.standings()),
+            changed=transitions(before, self.roll.states()),
             after_serial=held,
             asked=self.asked,
             unheard_s=round(clock.now() - self.heard_at, 3) if self.heard_at else None,
@@ -251,7 +251,7 @@
 
     def tell(self) -> None:
         """Tell the decisions the list as it is held now."""
-        self.desk.tell(it.ListTold(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
+        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
 
     def entry(self, found: dns.Found) -> Entry:
         facts = found.facts
@@ -260,7 +260,7 @@
             self.zones[found.zone],
             int(facts["cell"]),
             self.kinds[facts["kind"]],
-            it.Standing.DRAINING if found.draining else it.Standing.READY,
+            it.EngineState.DRAINING if found.draining else it.EngineState.READY,
             float(facts["started"]) / 1e3,
             found.weight,
         )
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -1,4 +1,4 @@
-"""One dispatch, whatever its engine speaks: its time limit, its fate, and how it is given up."""
+"""One dispatch, whatever its engine speaks: its time limit, its outcome, and how it is given up."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 class Ended(Exception):
     """The dispatch is over without an answer."""
 
-    def __init__(self, fate: it.Fate) -> None:
-        super().__init__(fate.name)
-        self.fate = fate
+    def __init__(self, outcome: it.DispatchOutcome) -> None:
+        super().__init__(outcome.name)
+        self.outcome = outcome
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
     number: int
     engine: it.EngineId
-    fate: it.Fate = it.Fate.ERRORED
+    outcome: it.DispatchOutcome = it.DispatchOutcome.ERRORED
     took: float = 0.0
     true_work: float = 0.0
     true_memory: float = 0.0
@@ -53,7 +53,7 @@
             batch,
             self.number,
             self.engine,
-            self.fate,
+            self.outcome,
             self.took,
             complete,
             self.true_work,
@@ -87,8 +87,9 @@
     """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `give_up`."""
 
     async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """The whole dispatch: sets `end.fate` and the result, or raises `Ended`. `sent.begun` holds from the
-        first byte that may make the engine run it. Risk: a fate told as never run of what may have run."""
+        """The whole dispatch: sets `end.outcome` and the result, or raises `Ended`. `sent.begun` holds from
+        the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
+        run."""
 
     async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `converse`, and
@@ -111,7 +112,7 @@
         """The batch's new priority, for that dispatch. A call whose loss costs little: it is made once, and
         a failure is counted."""
 
-    async def probe(self, entry: Entry) -> tuple[it.Fate, tuple[float, ...]]:
+    async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         """How a question for the engine's load ended, and the report."""
 
 
@@ -120,7 +121,7 @@
 
     def __init__(
         self,
-        manifest: it.Manifest,
+        manifest: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
         desk: Desk,
@@ -137,7 +138,7 @@
         batch.engines[number] = order.engine
         self.roll.begin(order.engine)
         # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
-        end = End(number, order.engine, it.Fate.UNSENT)
+        end = End(number, order.engine, it.DispatchOutcome.UNSENT)
         task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
         task.add_done_callback(lambda task: self.finished(batch, end))
         return task
@@ -145,7 +146,7 @@
     def finished(self, batch: Batch, end: End) -> None:
         """The one place where a dispatch's end is told, however its task ended."""
         self.roll.end(end.engine)
-        self.tally.add(f"dispatches {end.fate.name.lower()}")
+        self.tally.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
     def may_begin(self, batch: Batch, order: it.Dispatch) -> bool:
@@ -179,28 +180,28 @@
         try:
             entry = self.roll.entries.get(order.engine)
             if batch.answered or till <= begun or entry is None:
-                end.fate = self.unsent(batch, number)
+                end.outcome = self.unsent(batch, number)
             else:
                 async with asyncio.timeout_at(clock.on_loop(till)) as batch.limits[number]:
                     await self.sending(batch, entry, end, sent, till)
         except TimeoutError:
             # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
-            end.fate = it.Fate.TIMED_OUT if sent.begun else it.Fate.UNSENT
+            end.outcome = it.DispatchOutcome.TIMED_OUT if sent.begun else it.DispatchOutcome.UNSENT
         except (asyncio.CancelledError, ReaderLeft):
-            end.fate = it.Fate.CANCELLED
+            end.outcome = it.DispatchOutcome.CANCELLED
         except Ended as why:
-            end.fate = why.fate
+            end.outcome = why.outcome
         except Exception as why:
             self.tally.add("dispatch failed")
             self.log("dispatch failed", why=repr(why), trace=traceback.format_exc())
-            end.fate = it.Fate.ERRORED
+            end.outcome = it.DispatchOutcome.ERRORED
         end.took = clock.now() - begun
         self.report(batch, end, sent)
         if end.flow:
-            end.flow.end(end.fate)
+            end.flow.end(end.outcome)
         batch.limits.pop(number, None)
-        if sent.begun and end.fate in MAY_RUN_ON:
-            another = end.fate is not it.Fate.TIMED_OUT or till < batch.limit_at
+        if sent.begun and end.outcome in MAY_RUN_ON:
+            another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
             left = max(batch.limit_at - clock.now(), 0.0)
             # Risk: an end that a second order to give up swallows leaves the batch open for good.
             with suppress(asyncio.CancelledError, TimeoutError):
@@ -216,14 +217,14 @@
 
     def report(self, batch: Batch, end: End, sent: Sending) -> None:
         """Log a dispatch that ended without a result, unless its client has left."""
-        if end.fate in (it.Fate.RETURNED, it.Fate.CANCELLED):
+        if end.outcome in (it.DispatchOutcome.RETURNED, it.DispatchOutcome.CANCELLED):
             return
         self.log(
             "dispatch ended",
             id=batch.asked.txn,
             number=end.number,
             engine=end.engine.decode("latin-1"),
-            fate=end.fate.name.lower(),
+            fate=end.outcome.name.lower(),
             took=round(end.took, 4),
             sent=sent.posts,
         )
@@ -236,9 +237,9 @@
         else:
             await self.speech(entry).converse(batch, entry, end, sent, till)
 
-    def unsent(self, batch: Batch, number: int) -> it.Fate:
+    def unsent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Risk: what another front has begun, told as never sent, is taken for what never ran."""
-        return it.Fate.ASTRAY if number in batch.under else it.Fate.UNSENT
+        return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
@@ -256,10 +257,15 @@
         self.aside(self.probing(action.engine))
 
     async def probing(self, engine: it.EngineId) -> None:
-        begun, fate, report, entry = clock.now(), it.Fate.UNREACHABLE, (), self.roll.entries.get(engine)
+        begun, outcome, report, entry = (
+            clock.now(),
+            it.DispatchOutcome.UNREACHABLE,
+            (),
+            self.roll.entries.get(engine),
+        )
         if entry:
-            fate, report = await self.speech(entry).probe(entry)
-        self.desk.tell(it.ProbeEnded(engine, fate, clock.now() - begun, report))
+            outcome, report = await self.speech(entry).probe(entry)
+        self.desk.tell(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
 
     def aside(self, work: Coroutine) -> asyncio.Task:
         task = asyncio.get_running_loop().create_task(work)
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -55,7 +55,11 @@
 MOST_FOR_ROWS = 4 * columns.LONGEST_TEXT
 # What our own protocol calls its actions on engines.
 PRIORITY, STATS, CANCEL = "thistlelever.priority", "thistlelever.stats", "CancelFlightInfo"
-TIDINGS = {"advance": it.Tidings.PROGRESS, "disk": it.Tidings.SPILL, "stall": it.Tidings.WAITING}
+PROGRESS_KINDS = {
+    "advance": it.ProgressKind.PROGRESS,
+    "disk": it.ProgressKind.SPILL,
+    "stall": it.ProgressKind.WAITING,
+}
 # The call broke, or was said to have; whether the batch ran is unknown, and it may run on.
 BROKEN = frozenset((StatusCode.UNAVAILABLE, StatusCode.CANCELLED, StatusCode.UNKNOWN, StatusCode.INTERNAL))
 Connectivity = grpc.ChannelConnectivity
@@ -95,7 +99,7 @@
 
     def __init__(
         self,
-        manifest: it.Manifest,
+        manifest: it.Settings,
         roll: Roll,
         desk: Desk,
         tally: Tally,
@@ -117,20 +121,20 @@
             order = command(batch)
         except UnicodeDecodeError:
             # A statement that this protocol can't carry; no engine that speaks it will do better.
-            raise Ended(it.Fate.ERRORED) from None
+            raise Ended(it.DispatchOutcome.ERRORED) from None
         channel = await self.channel(entry)
         if not sent.may_begin():
-            raise Ended(it.Fate.UNSENT)
+            raise Ended(it.DispatchOutcome.UNSENT)
         await self.fetch(channel, order, batch, entry, end, sent, till)
 
     async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         if batch.update:
             # Its count is in the one answer to its call, which went to another front.
-            raise Ended(it.Fate.ASTRAY)
+            raise Ended(it.DispatchOutcome.ASTRAY)
         try:
             channel = await self.channel(entry)
         except Ended:
-            raise Ended(it.Fate.RESET) from None
+            raise Ended(it.DispatchOutcome.RESET) from None
         await self.fetch(channel, command(batch), batch, entry, end, sent, till, RESUMED)
 
     async def fetch(
@@ -167,17 +171,17 @@
         except aio.AioRpcError as why:
             self.figures(why.trailing_metadata(), end)
             if further and why.code() is StatusCode.NOT_FOUND:
-                raise Ended(it.Fate.ASTRAY) from None
-            raise Ended(await self.fate(why, entry, batch, sent)) from None
+                raise Ended(it.DispatchOutcome.ASTRAY) from None
+            raise Ended(await self.outcome(why, entry, batch, sent)) from None
         except aio.UsageError:
             # Its channel was let go between two calls, as its engine is gone or its connection was lost.
-            raise Ended(it.Fate.RESET) from None
+            raise Ended(it.DispatchOutcome.RESET) from None
         except Unreadable as why:
             self.tally.add("flight results without use")
             self.desk.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
             # What we stop reading its engine may run on.
             await self.give_up(batch, entry, sent)
-            end.fate = it.Fate.ERRORED
+            end.outcome = it.DispatchOutcome.ERRORED
         finally:
             hold.release()
 
@@ -221,7 +225,7 @@
             end.parcels = list(hold.messages)
         elif not batch.columns:
             end.pages = [columns.to_rows(hold.messages)]
-        end.fate = it.Fate.RETURNED
+        end.outcome = it.DispatchOutcome.RETURNED
 
     async def update(
         self, channel: aio.Channel, order: bytes, batch: Batch, end: End, sent: Sending, till: float
@@ -236,7 +240,7 @@
                 if said.app_metadata:
                     end.changed = read(sql.DoPutUpdateResult, said.app_metadata).record_count
             self.figures(await call.trailing_metadata(), end)
-            end.fate = it.Fate.RETURNED
+            end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
             # The call was over before all of it was written; its status says why.
             raise aio.AioRpcError(
@@ -245,24 +249,26 @@
         finally:
             call.cancel()
 
-    async def fate(self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: Sending) -> it.Fate:
+    async def outcome(
+        self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: Sending
+    ) -> it.DispatchOutcome:
         """What a broken call means. Risk: UNAVAILABLE read as 'not sent' runs a batch twice: gRPC says it of
         a connection that broke with the batch at work, too."""
         said = dict(why.trailing_metadata() or ())
         if said.get("x-unrun") == "1":
-            return it.Fate.FULL if why.code() in REFUSED else it.Fate.UNSENT
+            return it.DispatchOutcome.FULL if why.code() in REFUSED else it.DispatchOutcome.UNSENT
         if why.code() is StatusCode.DEADLINE_EXCEEDED:
-            return it.Fate.TIMED_OUT
+            return it.DispatchOutcome.TIMED_OUT
         if why.code() not in BROKEN:
             # Risk: a status that this side made (a message too large) leaves the engine at work.
             await self.give_up(batch, entry, sent)
-            return it.Fate.ERRORED
+            return it.DispatchOutcome.ERRORED
         # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
         # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
         name = batch.name(sent.number)
         if not sent.heard and await self.cancel(entry, name, command(batch)) is StatusCode.NOT_FOUND:
-            return it.Fate.ASTRAY
-        return it.Fate.RESET
+            return it.DispatchOutcome.ASTRAY
+        return it.DispatchOutcome.RESET
 
     def terms(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
         """A call's time limit and headers. The call may last as long as the client waits, as a result that
@@ -288,10 +294,10 @@
         """A message of metadata alone is a note: `advance=0.4`. Of a result that has begun to go on none is
         told: it can't be called off for a better one any more."""
         name, _, word = metadata[:64].decode("latin-1").partition("=")
-        tidings, value = TIDINGS.get(name), counted(word)
-        if tidings and value is not None and not end.flow:
-            value = min(value, 1.0) if tidings is it.Tidings.PROGRESS else value
-            self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, tidings, value))
+        kind, value = PROGRESS_KINDS.get(name), counted(word)
+        if kind and value is not None and not end.flow:
+            value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
+            self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
     async def ask_on(self, entry: Entry, name: Name) -> str:
         try:
@@ -365,18 +371,18 @@
             call.cancel()
         return found
 
-    async def probe(self, entry: Entry) -> tuple[it.Fate, tuple[float, ...]]:
+    async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
             answer = await self.act(entry, STATS, b"")
         except Ended:
-            return it.Fate.UNREACHABLE, ()
+            return it.DispatchOutcome.UNREACHABLE, ()
         except Unreadable:
-            return it.Fate.ERRORED, ()
+            return it.DispatchOutcome.ERRORED, ()
         except aio.AioRpcError as why:
             if why.code() is StatusCode.DEADLINE_EXCEEDED:
-                return it.Fate.TIMED_OUT, ()
-            return it.Fate.ASTRAY if why.code() in BROKEN else it.Fate.ERRORED, ()
-        return it.Fate.RETURNED, gauges(answer.decode("latin-1"), self.fields)
+                return it.DispatchOutcome.TIMED_OUT, ()
+            return it.DispatchOutcome.ASTRAY if why.code() in BROKEN else it.DispatchOutcome.ERRORED, ()
+        return it.DispatchOutcome.RETURNED, gauges(answer.decode("latin-1"), self.fields)
 
     async def channel(self, entry: Entry) -> aio.Channel:
         """A channel that is up, or `Ended` as unreachable: nothing was sent then. What a kept channel says
@@ -393,11 +399,11 @@
                     if await self.comes_up(channel):
                         return channel
             except TimeoutError:
-                raise Ended(it.Fate.UNREACHABLE) from None
+                raise Ended(it.DispatchOutcome.UNREACHABLE) from None
             if self.channels.get(engine) is channel:
                 self.forget(engine)
             if fresh:
-                raise Ended(it.Fate.UNREACHABLE)
+                raise Ended(it.DispatchOutcome.UNREACHABLE)
 
     async def comes_up(self, channel: aio.Channel) -> bool:
         state = channel.get_state(try_to_connect=True)
--- a/thistlelever/carrier/flow.py
+++ b/thistlelever/carrier/flow.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from thistlelever.ground.interface import Fate
+from thistlelever.ground.interface import DispatchOutcome
 
 
 class ReaderLeft(Exception):
@@ -21,7 +21,7 @@
         self.number, self.most = number, most
         self.waiting, self.size = deque(held), sum(map(len, held))
         # How the dispatch ended; None while it goes on. Whatever is not `RETURNED` is no whole result.
-        self.fate: Fate | None = None
+        self.outcome: DispatchOutcome | None = None
         self.left = False
         self.stir = asyncio.Event()
 
@@ -37,8 +37,8 @@
         self.stir.set()
 
     async def take(self) -> bytes | None:
-        """The next message; None at the end, and then `fate` says whether it is the whole."""
-        while not self.waiting and self.fate is None:
+        """The next message; None at the end, and then `outcome` says whether it is the whole."""
+        while not self.waiting and self.outcome is None:
             self.stir.clear()
             await self.stir.wait()
         if not self.waiting:
@@ -48,17 +48,17 @@
         self.stir.set()
         return message
 
-    def end(self, fate: Fate) -> None:
+    def end(self, outcome: DispatchOutcome) -> None:
         """Risk: what was handed on before a break, taken on to its end, could pass for more than it is: at a
         break the client hears of it at once."""
-        self.fate = fate
-        if fate is not Fate.RETURNED:
+        self.outcome = outcome
+        if outcome is not DispatchOutcome.RETURNED:
             self.drop()
         self.stir.set()
 
     def sound(self) -> bool:
         """Whether the dispatch goes on or has brought the whole."""
-        return self.fate in (None, Fate.RETURNED)
+        return self.outcome in (None, DispatchOutcome.RETURNED)
 
     def leave(self) -> None:
         """The client takes no more."""
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/gate.py
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        manifest: it.Manifest,
+        manifest: it.Settings,
         plan: Plan,
         terms: Terms,
         threads_a_core: float,
@@ -36,7 +36,7 @@
         tally: Tally,
         log: Log,
     ) -> None:
-        self.tariffs = {t.name: t for t in manifest.tariffs}
+        self.query_classes = {t.name: t for t in manifest.tariffs}
         self.fronts, self.kind_cores = max(manifest.fronts, 1), manifest.kind_cores
         self.threads_a_core = threads_a_core
         # The revision of the engine list that `found` was worked out from.
@@ -49,18 +49,18 @@
 
     def enter(self, batch: Batch) -> None:
         """The batch's task waits for its release from now on."""
-        tariff, taken, now = self.tariffs[batch.lane], batch.taken, clock.now()
+        query_class, taken, now = self.query_classes[batch.lane], batch.taken, clock.now()
         if taken.work:
             self.usual[batch.lane] += USUAL_PACE * (taken.work - self.usual[batch.lane])
         entry = Entry(
             batch.number,
             batch.asked.consignor,
             batch.lane,
-            tariff.utility,
+            query_class.utility,
             taken.work or self.usual[batch.lane],
-            float(tariff.width),
+            float(query_class.width),
             batch.limit_at,
-            min(now + tariff.goal, batch.limit_at),
+            min(now + query_class.goal, batch.limit_at),
             taken.key,
             batch.asked.repeat,
         )
@@ -118,7 +118,7 @@
             cores = sum(
                 self.kind_cores[entry.engine.kind]
                 for entry in self.roll.entries.values()
-                if entry.engine.standing is it.Standing.READY
+                if entry.engine.state is it.EngineState.READY
             )
             sharing = min(self.fronts, self.roll.sharing or self.fronts)
             self.found = cores * self.threads_a_core / sharing
@@ -136,8 +136,11 @@
     def preempted(self, batch: Batch, told: Preempt) -> it.PushBack | it.Error:
         """What the client of a batch that is given up hears. Risk: one that has had its single allowed
         attempt is told that trying again is harmless."""
-        tariff = self.tariffs[batch.lane]
-        drops = tariff.repeat is it.Repeat.REFERENCED and tariff.scope is it.Scope.ALL
-        if not batch.dispatches or tariff.repeat is it.Repeat.REPEATABLE or drops:
+        query_class = self.query_classes[batch.lane]
+        drops = (
+            query_class.repeat is it.Idempotency.DEDUPLICATED
+            and query_class.scope is it.DeduplicationScope.ALL
+        )
+        if not batch.dispatches or query_class.repeat is it.Idempotency.IDEMPOTENT or drops:
             return it.PushBack(batch.number, told.after)
         return it.Error(batch.number)
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -31,10 +31,14 @@
 # An answer with more behind it may be cut by a wrong length: so often it is asked for once more.
 DOUBTED = 2
 # Answers that prove, with the field that says so, that the batch never ran.
-UNRUN = {503: it.Fate.FULL, 504: it.Fate.UNSENT}
+UNRUN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
 # What is known of an engine that no connection came up to; any other want of one says nothing of it.
-UNCONNECTED = {Refused: it.Fate.UNREACHABLE, Unreached: it.Fate.LATE}
-TIDINGS = {"advance": it.Tidings.PROGRESS, "disk": it.Tidings.SPILL, "stall": it.Tidings.WAITING}
+UNCONNECTED = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
+PROGRESS_KINDS = {
+    "advance": it.ProgressKind.PROGRESS,
+    "disk": it.ProgressKind.SPILL,
+    "stall": it.ProgressKind.WAITING,
+}
 # A result holds 48,000 bytes in pages of 6,000; a count far past that is no count.
 MOST_PAGES = 64
 
@@ -46,25 +50,27 @@
 class HttpEngines:
     """The platform's own way to its engines; see `Speech` in `dispatch.py`."""
 
-    def __init__(self, manifest: it.Manifest, roll: Roll, links: Links, desk: Desk, tally: Tally) -> None:
+    def __init__(self, manifest: it.Settings, roll: Roll, links: Links, desk: Desk, tally: Tally) -> None:
         self.fields, self.probe_limit = manifest.report_fields, manifest.connect_limit
-        self.once_only = frozenset(t.name for t in manifest.tariffs if t.repeat is it.Repeat.ONCE_ONLY)
+        self.once_only = frozenset(
+            t.name for t in manifest.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
+        )
         # Groups that a wrong word of 'never ran' does harm to: they may not go just anywhere after it.
         self.wary = self.once_only | {
             t.name
             for t in manifest.tariffs
-            if t.repeat is it.Repeat.REFERENCED and t.scope is not it.Scope.ALL
+            if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
         self.roll, self.links, self.desk, self.tally = roll, links, desk, tally
 
     async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         path = way(batch, end.number)
-        end.fate = it.Fate.ASTRAY
-        while end.fate is it.Fate.ASTRAY:
+        end.outcome = it.DispatchOutcome.ASTRAY
+        while end.outcome is it.DispatchOutcome.ASTRAY:
             reply = await self.post(batch, entry, end, sent, till)
             while reply is None or reply.status == 202:
                 reply = await self.ask(path, 0, entry, end, sent, batch)
-            end.fate = self.fate(reply, sent)
+            end.outcome = self.outcome(reply, sent)
             # What its engine never got was no dispatch so far, and goes there again. Of a once-only batch
             # that the engine does not know of it is not proof enough. Risk: the engine had it, and has
             # dropped it by now: sent again when its repeats are no longer dropped, it runs twice.
@@ -77,15 +83,15 @@
         reply = await self.ask(path, 0, entry, end, sent, batch)
         while reply.status == 202:
             reply = await self.ask(path, 0, entry, end, sent, batch)
-        end.fate = self.fate(reply, sent)
+        end.outcome = self.outcome(reply, sent)
         await self.further(path, batch, entry, end, sent)
 
     async def further(self, path: str, batch: Batch, entry: Entry, end: End, sent: Sending) -> None:
         """The pages behind the first."""
-        for page in range(1, sent.pages if end.fate is it.Fate.RETURNED else 0):
+        for page in range(1, sent.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
             reply = await self.ask(path, page, entry, end, sent, batch)
-            end.fate = self.fate(reply, sent)
-            if end.fate is not it.Fate.RETURNED:
+            end.outcome = self.outcome(reply, sent)
+            if end.outcome is not it.DispatchOutcome.RETURNED:
                 return
 
     async def post(
@@ -100,10 +106,10 @@
         try:
             link = await self.link(entry, batch.lane in self.wary)
         except (Refused, Unreached, Broken, Short) as why:
-            raise Ended(proven(UNCONNECTED.get(type(why), it.Fate.UNSENT), sent.posts)) from None
+            raise Ended(proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)) from None
         if not sent.may_begin():
             self.links.give_back(link)
-            raise Ended(proven(it.Fate.UNSENT, sent.posts))
+            raise Ended(proven(it.DispatchOutcome.UNSENT, sent.posts))
         sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
         self.count_call("POST", entry)
         waited = sent.asked - sent.ordered
@@ -142,18 +148,18 @@
             fields["Pool-Rank"] = str(batch.priority)
         return http.call("POST", "/fetch", address, fields, asked.statement)
 
-    def fate(self, reply: http.Reply, sent: Sending) -> it.Fate:
+    def outcome(self, reply: http.Reply, sent: Sending) -> it.DispatchOutcome:
         if reply.status == 200:
-            return it.Fate.RETURNED
+            return it.DispatchOutcome.RETURNED
         unrun = reply.text(b"x-unrun") == "1"
         if unrun and reply.status in UNRUN:
-            fate = proven(UNRUN[reply.status], sent.posts - 1)
-            if fate is it.Fate.ASTRAY:
-                raise Ended(fate)
-            return fate
+            outcome = proven(UNRUN[reply.status], sent.posts - 1)
+            if outcome is it.DispatchOutcome.ASTRAY:
+                raise Ended(outcome)
+            return outcome
         # Risk: an engine that never got the batch, told as one that errs, is taken for ill; so are all on a
         # day when connections break.
-        return it.Fate.ERRORED if sent.heard else it.Fate.ASTRAY
+        return it.DispatchOutcome.ERRORED if sent.heard else it.DispatchOutcome.ASTRAY
 
     async def ask(
         self,
@@ -202,7 +208,7 @@
             finally:
                 self.links.give_back(link)
             await asyncio.sleep(RETRY_PACE * (spoilt - 1))
-        raise Ended(it.Fate.RESET)
+        raise Ended(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
@@ -226,10 +232,10 @@
         end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
             sent.heard = True
-            tidings, value = TIDINGS.get(reply.text(b"x-how")), reply.number(b"reading")
-            if tidings and value is not None:
-                value = min(value, 1.0) if tidings is it.Tidings.PROGRESS else value
-                self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, tidings, value))
+            kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
+            if kind and value is not None:
+                value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
+                self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
         elif reply.status == 200:
             sent.heard = True
             end.true_work = (reply.number(b"elapsed-work") or 0.0) / 1e3 or end.true_work
@@ -313,27 +319,30 @@
                 await asyncio.sleep(RETRY_PACE)
         self.tally.add("DELETE failed")
 
-    async def probe(self, entry: Entry) -> tuple[it.Fate, tuple[float, ...]]:
+    async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
             link = await self.link(entry)
             try:
                 reply = await link.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
                 report = http.gauges(reply.text(b"x-gauges"), self.fields)
-                return it.Fate.RETURNED if reply.status == 200 else it.Fate.ERRORED, report
+                return (
+                    it.DispatchOutcome.RETURNED if reply.status == 200 else it.DispatchOutcome.ERRORED,
+                    report,
+                )
             finally:
                 self.links.give_back(link)
         except (Refused, Unreached) as why:
             return UNCONNECTED[type(why)], ()
         except Silent:
-            return it.Fate.TIMED_OUT, ()
+            return it.DispatchOutcome.TIMED_OUT, ()
         except (Broken, Short):
-            return it.Fate.ASTRAY, ()
+            return it.DispatchOutcome.ASTRAY, ()
 
 
-def proven(fate: it.Fate, earlier: int) -> it.Fate:
-    """A fate that says that the dispatch never ran, if nothing of it went out before. Risk: a first call
+def proven(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
+    """An outcome that says that the dispatch never ran, if nothing of it went out before. Risk: a first call
     whose answer was lost may have run; that a second one did not is no proof of it."""
-    return it.Fate.ASTRAY if earlier > 0 else fate
+    return it.DispatchOutcome.ASTRAY if earlier > 0 else outcome
 
 
 def way(batch: Batch, number: int) -> str:
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/intake.py
@@ -18,7 +18,7 @@
 class Intake:
     """Makes batches of what clients submit. It takes none: a batch is taken once its course has begun."""
 
-    def __init__(self, manifest: it.Manifest, pulse: Pulse, batches: Batches) -> None:
+    def __init__(self, manifest: it.Settings, pulse: Pulse, batches: Batches) -> None:
         self.groups = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
         self.consignors = {c.name: p for p, c in enumerate(manifest.consignors)}
         self.most_memory = max(manifest.kind_memory, default=float("inf")) * MOST_MEMORIES
@@ -26,20 +26,20 @@
 
     def batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
         """The batch of that service group (a known one); `Unfit` where it can't be one."""
-        group, tariff = self.groups[name]
+        group, query_class = self.groups[name]
         asked = submission(fields, statement)
         if asked.txn in self.batches.by_txn:
             raise Unfit("id", "still open", still_open=True)
         # Risk: a figure without measure stays in averages and timers for as long as the front lives.
-        if asked.wait > 2 * tariff.time_limit:
+        if asked.wait > 2 * query_class.time_limit:
             raise Unfit("wait", "past the service group's time limit")
-        if (asked.work or 0.0) > MOST_LIMITS * tariff.time_limit * tariff.width:
+        if (asked.work or 0.0) > MOST_LIMITS * query_class.time_limit * query_class.width:
             raise Unfit("cost", "out of all range")
         if asked.memory > self.most_memory:
             raise Unfit("need_mb", "out of all range")
         if self.consignors and asked.consignor not in self.consignors:
             raise Unfit("tenant", "none of the settings'")
-        if tariff.repeat is it.Repeat.REFERENCED and not asked.reference:
+        if query_class.repeat is it.Idempotency.DEDUPLICATED and not asked.reference:
             raise Unfit("once", "missing, and wanted for this service group")
         table = sql.table(asked.statement)
         if table is None:
@@ -47,18 +47,18 @@
         number, now = self.batches.number(), clock.now()
         # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
         left = min(asked.wait - 2 * self.pulse.behind(), self.stop_at - now)
-        taken = it.BatchTaken(
+        taken = it.BatchReceived(
             number,
             group,
             self.consignors.get(asked.consignor, 0),
-            key(table[1]) if tariff.in_order else 0,
+            key(table[1]) if query_class.in_order else 0,
             left,
             asked.work,
             asked.memory,
             float(table[0]),
             asked.repeat,
         )
-        return Batch(number, asked, taken, tariff.name, now + left)
+        return Batch(number, asked, taken, query_class.name, now + left)
 
 
 def key(table: bytes) -> int:
--- a/thistlelever/carrier/recollection.py
+++ b/thistlelever/carrier/recollection.py
@@ -13,7 +13,7 @@
 
 
 def goes_on_from(
-    batch: Batch, tariff: it.Tariff, roll: Roll, name: Name, engine: it.EngineId, ran_for: float
+    batch: Batch, query_class: it.QueryClass, roll: Roll, name: Name, engine: it.EngineId, ran_for: float
 ) -> bool:
     """What was begun there becomes the batch's first dispatch: whether it can go on from it. Where its
     engine is out of sight only what may run again, or whose repeats all engines drop still, is begun
@@ -22,8 +22,10 @@
         batch.under[0] = name
         batch.taken = batch.taken._replace(out_at=engine, out_for=ran_for)
         return True
-    dropped = tariff.repeat is it.Repeat.REFERENCED and tariff.scope is it.Scope.ALL
-    return tariff.repeat is it.Repeat.REPEATABLE or dropped and ran_for < tariff.window
+    dropped = (
+        query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.ALL
+    )
+    return query_class.repeat is it.Idempotency.IDEMPOTENT or dropped and ran_for < query_class.window
 
 
 class Recollection:
@@ -33,18 +35,18 @@
 
     def __init__(
         self,
-        manifest: it.Manifest,
+        manifest: it.Settings,
         roll: Roll,
         tally: Tally,
         remember: Callable[[bytes, tuple[it.EngineId, Name, float] | None], None],
         find: Callable[[bytes], tuple[it.EngineId, Name, float] | None],
     ) -> None:
-        self.tariffs = {t.name: t for t in manifest.tariffs}
+        self.query_classes = {t.name: t for t in manifest.tariffs}
         self.roll, self.tally, self.remember, self.find = roll, tally, remember, find
 
     def referenced(self, batch: Batch) -> bool:
-        repeat = self.tariffs[batch.lane].repeat
-        return bool(batch.asked.reference) and repeat is it.Repeat.REFERENCED
+        repeat = self.query_classes[batch.lane].repeat
+        return bool(batch.asked.reference) and repeat is it.Idempotency.DEDUPLICATED
 
     def enter(self, batch: Batch) -> it.Error | None:
         """What a former life knows of the batch; an answer where it can't be gone on with."""
@@ -54,12 +56,12 @@
         if found is None:
             return None
         engine, name, ran_for = found
-        tariff = self.tariffs[batch.lane]
-        if ran_for >= tariff.window:
+        query_class = self.query_classes[batch.lane]
+        if ran_for >= query_class.window:
             # No engine drops its repeats any more: it may have run, and must not again.
             good = False
         else:
-            good = goes_on_from(batch, tariff, self.roll, name, engine, ran_for)
+            good = goes_on_from(batch, query_class, self.roll, name, engine, ran_for)
         self.tally.add("state: gone on with" if good else "state: told that it is not known")
         return None if good else it.Error(batch.number)
 
@@ -67,10 +69,10 @@
         """A dispatch is about to go out; nobody waits for the disk."""
         if not number and 0 not in batch.under and self.referenced(batch):
             mark = bytes.fromhex(batch.asked.reference)
-            tariff = self.tariffs[batch.lane]
-            self.remember(mark, (engine, batch.name(0), tariff.window))
+            query_class = self.query_classes[batch.lane]
+            self.remember(mark, (engine, batch.name(0), query_class.window))
 
     def came_back(self, batch: Batch, end: End) -> None:
         """The first dispatch surely never ran: its repeats are nobody's to drop."""
-        if end.fate in NEVER_RAN and not end.number and 0 not in batch.under and self.referenced(batch):
+        if end.outcome in NEVER_RAN and not end.number and 0 not in batch.under and self.referenced(batch):
             self.remember(bytes.fromhex(batch.asked.reference), None)
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -98,7 +98,7 @@
         }
         serial = self.subscription.replica.version.packed()
         entries = [entry for _, entry in self.entries.values()]
-        before = self.roll.standings()
+        before = self.roll.states()
         last_heard = self.heard_at if isfinite(self.heard_at) else None
         for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
@@ -106,9 +106,9 @@
             "list",
             version=str(self.subscription.replica.version),
             engines=len(entries),
-            changed=transitions(before, self.roll.standings()),
+            changed=transitions(before, self.roll.states()),
         )
-        self.desk.tell(it.ListTold(it.ListKind.WHOLE, serial, self.roll.told(), self.roll.sharing))
+        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, serial, self.roll.told(), self.roll.sharing))
 
     def still_leaving(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Of the engines that have left, those that queries are out at and whose address is still theirs."""
@@ -142,7 +142,7 @@
             self.zones[record.zone],
             record.cell,
             self.kinds[record.kind],
-            it.Standing.DRAINING if drains else it.Standing.READY,
+            it.EngineState.DRAINING if drains else it.EngineState.READY,
             record.started,
             record.weight,
         )
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -95,8 +95,8 @@
         """That dispatch has ended."""
         run = (
             Run.NEVER_RAN
-            if end.fate in NEVER_RAN
-            else (Run.RETURNED if end.fate is it.Fate.RETURNED else Run.UNKNOWN)
+            if end.outcome in NEVER_RAN
+            else (Run.RETURNED if end.outcome is it.DispatchOutcome.RETURNED else Run.UNKNOWN)
         )
         self.wards.judge.came_back(clock.now(), self.ward, run)
 
@@ -116,7 +116,7 @@
         self,
         judge: Judge,
         peers: Peers,
-        manifest: it.Manifest,
+        manifest: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
         tally: Tally,
@@ -124,7 +124,7 @@
     ) -> None:
         self.judge, self.peers, self.roll, self.speech = judge, peers, roll, speech
         self.tally, self.log = tally, log
-        self.tariffs = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
+        self.query_classes = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
         self.guards: dict[bytes, Guard] = {}
         self.asking: dict[bytes, asyncio.Task] = {}
@@ -145,7 +145,7 @@
 
     def enter_lazy(self, batch: Batch) -> None:
         """One that no client can come back for; nothing is waited for."""
-        group, _ = self.tariffs[batch.lane]
+        group, _ = self.query_classes[batch.lane]
         ward = self.judge.enter_lazy(clock.now(), bytes.fromhex(batch.asked.txn), group, batch.limit_at)
         batch.ward = Guard(self, batch, ward)
 
@@ -153,7 +153,7 @@
         """Find out whose a batch is that its client can come back for: the answer where it is not this
         front's to go on with, None where it is. It waits for another's run for as long as its client
         waits."""
-        group, tariff = self.tariffs[batch.lane]
+        group, query_class = self.query_classes[batch.lane]
         mark, txn = bytes.fromhex(batch.asked.reference), bytes.fromhex(batch.asked.txn)
         heard = None
         while True:
@@ -166,7 +166,7 @@
                 self.soon()
                 raise
             if told.say is not Say.TAKEN:
-                answer = self.goes_on(batch, ward, told, tariff)
+                answer = self.goes_on(batch, ward, told, query_class)
                 if answer:
                     self.judge.close(clock.now(), ward)
                 return answer
@@ -179,10 +179,10 @@
             await asyncio.sleep(LOOK_AGAIN * (1 + self.judge.chance() / 2))
 
     def goes_on(
-        self, batch: Batch, ward: Ward, told: Told, tariff: it.Tariff
+        self, batch: Batch, ward: Ward, told: Told, query_class: it.QueryClass
     ) -> it.PushBack | it.Error | None:
         """What a claim's answer means for the batch, where no other front has it."""
-        once_only = tariff.repeat is it.Repeat.ONCE_ONLY
+        once_only = query_class.repeat is it.Idempotency.NON_IDEMPOTENT
         demands = self.judge.groups[ward.group].demands
         # Where what can't be protected goes out all the same, that nothing is known says nothing.
         unknown = told.say in (Say.UNSURE, Say.ALONE) or (
@@ -191,7 +191,7 @@
         self.tally.add(f"takeover: {told.say.value}")
         if may_have_run(told.value):
             # Without a majority too: what is known to have begun is not begun anew.
-            if not self.adopts(batch, told.value, tariff):
+            if not self.adopts(batch, told.value, query_class):
                 return self.not_known(batch, told, "its engine is gone")
         elif unknown and once_only and batch.asked.repeat:
             # It may have run at a front that nobody can be asked about.
@@ -213,12 +213,12 @@
         )
         return it.Error(batch.number)
 
-    def adopts(self, batch: Batch, value: Value, tariff: it.Tariff) -> bool:
+    def adopts(self, batch: Batch, value: Value, query_class: it.QueryClass) -> bool:
         """Another front's run becomes this one's first dispatch: whether the batch can go on from there."""
-        if value.state is State.RETURNED and tariff.repeat is it.Repeat.REPEATABLE:
+        if value.state is State.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
-        good = goes_on_from(batch, tariff, self.roll, *begun)
+        good = goes_on_from(batch, query_class, self.roll, *begun)
         if 0 in batch.under:
             self.tally.add("takeover: adopted")
             self.log(
@@ -245,7 +245,7 @@
             return None
         finally:
             self.roll.end(end.engine)
-        if end.fate is not it.Fate.RETURNED:
+        if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
         self.tally.add("takeover: read another front's run")
         return end
@@ -380,19 +380,19 @@
             await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
 
 
-def groups(manifest: it.Manifest, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
+def groups(manifest: it.Settings, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
     """The service groups as the judgement knows them; where nothing is said once-only ones demand
     protection."""
 
-    def one(t: it.Tariff) -> Group:
-        demands = t.repeat is it.Repeat.ONCE_ONLY if demand is None else t.name in demand
+    def one(t: it.QueryClass) -> Group:
+        demands = t.repeat is it.Idempotency.NON_IDEMPOTENT if demand is None else t.name in demand
         return Group(
             t.name,
             t.utility,
-            t.repeat is it.Repeat.REPEATABLE,
-            t.repeat is it.Repeat.REFERENCED,
+            t.repeat is it.Idempotency.IDEMPOTENT,
+            t.repeat is it.Idempotency.DEDUPLICATED,
             t.time_limit,
             demands,
         )
 
-    return tuple(one(tariff) for tariff in manifest.tariffs)
+    return tuple(one(query_class) for query_class in manifest.tariffs)
--- a/thistlelever/flight/answers.py
+++ b/thistlelever/flight/answers.py
@@ -8,7 +8,7 @@
 from google.rpc.status_pb2 import Status
 from grpc import StatusCode
 
-from thistlelever.ground.interface import Fate
+from thistlelever.ground.interface import DispatchOutcome
 from thistlelever.state.tickets import Verdict
 
 Metadata = tuple[tuple[str, str | bytes], ...]
@@ -23,8 +23,8 @@
 }
 # What a client hears of a result that broke off on its way.
 BROKEN_OFF = {
-    Fate.TIMED_OUT: (StatusCode.DEADLINE_EXCEEDED, "time limit: the result is not whole"),
-    Fate.CANCELLED: (StatusCode.CANCELLED, "cancelled: the result is not whole"),
+    DispatchOutcome.TIMED_OUT: (StatusCode.DEADLINE_EXCEEDED, "time limit: the result is not whole"),
+    DispatchOutcome.CANCELLED: (StatusCode.CANCELLED, "cancelled: the result is not whole"),
 }
 
 
@@ -70,6 +70,6 @@
     return Refusal(StatusCode.INTERNAL, "errored")
 
 
-def broken_off(fate: Fate) -> Refusal:
-    code, why = BROKEN_OFF.get(fate, (StatusCode.DATA_LOSS, "the result broke off and is not whole"))
+def broken_off(outcome: DispatchOutcome) -> Refusal:
+    code, why = BROKEN_OFF.get(outcome, (StatusCode.DATA_LOSS, "the result broke off and is not whole"))
     return Refusal(code, why)
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -291,7 +291,7 @@
         except TimeoutError:
             # Its reader is slow: what it has is not the whole, and its status says so.
             self.tally.add("flight readers too slow")
-            raise answers.broken_off(it.Fate.TIMED_OUT) from None
+            raise answers.broken_off(it.DispatchOutcome.TIMED_OUT) from None
 
     def ticket_refused(self, verdict: Verdict) -> Refusal:
         code = answers.TICKETS[verdict]
@@ -309,8 +309,8 @@
                 case Begun():
                     while (raw := await told.flow.take()) is not None:
                         await context.write(raw)
-                    if told.flow.fate is not it.Fate.RETURNED:
-                        raise answers.broken_off(told.flow.fate)
+                    if told.flow.outcome is not it.DispatchOutcome.RETURNED:
+                        raise answers.broken_off(told.flow.outcome)
 
     def meaning(self, told, batch: Batch) -> Refusal:
         """Why there is no result."""
--- a/thistlelever/ground/interface.py
+++ b/thistlelever/ground/interface.py
@@ -1,6 +1,6 @@
 """What passes between a front's decisions and whatever carries them: types only.
 
-A carrier reads a `Manifest` when a front starts, hands `Front` the events of one moment, and
+A carrier reads a `Settings` when a front starts, hands `Front` the events of one moment, and
 carries out the actions it gets back in their order. Times are seconds, memory is megabytes,
 ids are whatever the carrier uses and come back unchanged.
 """
@@ -14,15 +14,15 @@
 EngineId = bytes
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a service group says of running a batch again."""
 
-    REPEATABLE = "repeatable"
-    REFERENCED = "referenced"
-    ONCE_ONLY = "once-only"
+    IDEMPOTENT = "repeatable"
+    DEDUPLICATED = "referenced"
+    NON_IDEMPOTENT = "once-only"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which engines drop the repeats of a referenced batch."""
 
     ALL = "all"
@@ -30,7 +30,7 @@
     CELL = "cell"
 
 
-class Reports(Enum):
+class ReportDelivery(Enum):
     """How load reports reach a front."""
 
     WITH_ANSWERS = "with answers"
@@ -38,15 +38,15 @@
     NEVER = "never"
 
 
-class Shortage(Enum):
+class MemoryShortage(Enum):
     """What an engine does once the memory granted passes what it has."""
 
-    LINE = "line"
+    QUEUE = "line"
     SHRINK = "shrink"
     PAGE = "page"
 
 
-class Fate(IntEnum):
+class DispatchOutcome(IntEnum):
     """How a dispatch ended."""
 
     ERRORED = 0
@@ -63,7 +63,7 @@
     LATE = 9
 
 
-class Tidings(IntEnum):
+class ProgressKind(IntEnum):
     """What a progress note tells."""
 
     PROGRESS = 1
@@ -71,7 +71,7 @@
     WAITING = 3
 
 
-class Standing(IntEnum):
+class EngineState(IntEnum):
     """What the list says of an engine."""
 
     GONE = 0
@@ -88,7 +88,7 @@
     CACHED = 3
 
 
-class Tariff(NamedTuple):
+class QueryClass(NamedTuple):
     """The terms of one service group."""
 
     name: str
@@ -97,8 +97,8 @@
     goal: float
     goal_stretch: float
     time_limit: float
-    repeat: Repeat
-    scope: Scope
+    repeat: Idempotency
+    scope: DeduplicationScope
     window: float
     width: int
     holds_tables: bool
@@ -108,14 +108,14 @@
     kinds: frozenset[int] | None
 
 
-class Consignor(NamedTuple):
+class Tenant(NamedTuple):
     """A customer and its share."""
 
     name: str
     per_second: float
 
 
-class Allowance(NamedTuple):
+class RetryBudget(NamedTuple):
     """The budget of further dispatches: `floor` plus `share` of what was taken in `window`."""
 
     floor: float
@@ -123,23 +123,23 @@
     window: float
 
 
-class Manifest(NamedTuple):
+class Settings(NamedTuple):
     """All that a front is told when it starts."""
 
     fronts: int
     zone: int
-    tariffs: tuple[Tariff, ...]
-    consignors: tuple[Consignor, ...]
+    tariffs: tuple[QueryClass, ...]
+    consignors: tuple[Tenant, ...]
     over_share_worth: float
     kind_cores: tuple[int, ...]
     kind_memory: tuple[float, ...]
     most_grant: float
     grants: bool
     priorities: bool
-    shortage: Shortage
+    shortage: MemoryShortage
     note_every: float
     tells_cost: bool
-    reports: Reports
+    reports: ReportDelivery
     report_fields: tuple[str, ...]
     sized: bool
     asks_for_list: bool
@@ -160,13 +160,13 @@
     fall_multiple: float
     fall_window: float
     key_rest: float
-    allowance: Allowance | None
+    allowance: RetryBudget | None
 
 
 # What a front is told.
 
 
-class BatchTaken(NamedTuple):
+class BatchReceived(NamedTuple):
     batch: int
     group: int
     consignor: int
@@ -186,7 +186,7 @@
     batch: int
     number: int
     engine: EngineId
-    fate: Fate
+    outcome: DispatchOutcome
     took: float
     complete: bool
     true_work: float
@@ -204,7 +204,7 @@
     batch: int
     number: int
     engine: EngineId
-    tidings: Tidings
+    kind: ProgressKind
     value: float
 
 
@@ -212,19 +212,19 @@
     batch: int
 
 
-class FrontStops(NamedTuple):
+class FrontStopping(NamedTuple):
     """The front ends for good: what is open must be over by then."""
 
     at: float
 
 
-class FrontsCounted(NamedTuple):
+class FrontCountChanged(NamedTuple):
     """How many fronts share the engines, where that is known better than from the settings."""
 
     fronts: int
 
 
-class Recalled(NamedTuple):
+class LearnedState(NamedTuple):
     """What the decisions of a former life, or of another process, had learnt: of engines their bound, pace
     and since when they are cold (0: not); keys that rest, with how long; batches taken and further
     dispatches, by how long ago each was."""
@@ -241,7 +241,7 @@
 
 class ProbeEnded(NamedTuple):
     engine: EngineId
-    fate: Fate
+    outcome: DispatchOutcome
     took: float
     report: tuple[float, ...]
 
@@ -253,12 +253,12 @@
     zone: int
     cell: int
     kind: int
-    standing: Standing
+    state: EngineState
     started: float
     size: float
 
 
-class ListTold(NamedTuple):
+class EngineListReceived(NamedTuple):
     """`fronts`: how many fronts may send to any one of these engines, where that is fewer than all; 0: all
     that the settings name."""
 
@@ -274,17 +274,17 @@
 
 
 Event = (
-    BatchTaken
+    BatchReceived
     | DispatchEnded
     | ResponseStarted
     | ProgressNote
     | ClientLeft
-    | FrontStops
-    | FrontsCounted
-    | Recalled
+    | FrontStopping
+    | FrontCountChanged
+    | LearnedState
     | TimerDue
     | ProbeEnded
-    | ListTold
+    | EngineListReceived
     | PeerNote
 )
 
--- a/thistlelever/ground/manifest.py
+++ b/thistlelever/ground/manifest.py
@@ -1,4 +1,4 @@
-"""Reads settings into a Manifest, for the bench's wire and the real front alike: their names end here."""
+"""Reads settings into Settings, for the bench's wire and the real front alike: their names end here."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 from thistlelever.ground import interface as it
 
 REPEATS = {
-    "repeatable": it.Repeat.REPEATABLE,
-    "by_key": it.Repeat.REFERENCED,
-    "once": it.Repeat.ONCE_ONLY,
+    "repeatable": it.Idempotency.IDEMPOTENT,
+    "by_key": it.Idempotency.DEDUPLICATED,
+    "once": it.Idempotency.NON_IDEMPOTENT,
+}
+SHORTAGES = {
+    "queue": it.MemoryShortage.QUEUE,
+    "trim": it.MemoryShortage.SHRINK,
+    "swap": it.MemoryShortage.PAGE,
 }
-SHORTAGES = {"queue": it.Shortage.LINE, "trim": it.Shortage.SHRINK, "swap": it.Shortage.PAGE}
 REPORTS = {
-    "piggyback": it.Reports.WITH_ANSWERS,
-    "pull": it.Reports.WHEN_PROBED,
-    "silent": it.Reports.NEVER,
+    "piggyback": it.ReportDelivery.WITH_ANSWERS,
+    "pull": it.ReportDelivery.WHEN_PROBED,
+    "silent": it.ReportDelivery.NEVER,
 }
 
 
@@ -77,19 +81,19 @@
         return frozenset(self.place(word, names, path) for word in self.words(path))
 
 
-def manifest(text: str) -> it.Manifest:
-    """The Manifest that the settings' text describes, one `path=value` a line."""
+def manifest(text: str) -> it.Settings:
+    """The Settings that the settings' text describes, one `path=value` a line."""
     return made(Conf(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
 
 
-def made(conf: Conf) -> it.Manifest:
+def made(conf: Conf) -> it.Settings:
     try:
         return read(conf)
     except (ValueError, OverflowError) as why:
         raise Unreadable(f"settings: {why}") from None
 
 
-def read(conf: Conf) -> it.Manifest:
+def read(conf: Conf) -> it.Settings:
     groups = range(conf.whole("Classes.count"))
     widths = [int(float(w)) for w in conf.words("FamilyInfo.WidthByClass")]
     holds = [w == "true" for w in conf.words("FamilyInfo.HoldsTables")]
@@ -100,13 +104,12 @@
     rationed = "Invariants.LookBack" in conf.pairs
     asked = conf.among("RegistryMode", {"pushed": False, "on_request": True})
     parties = range(conf.whole("Parties.count")) if "Parties.count" in conf.pairs else range(0)
-    return it.Manifest(
+    return it.Settings(
         fronts=conf.whole("Balancers"),
         zone=conf.place(conf.word("MyZone"), "FailureDomains", "MyZone"),
         tariffs=tuple(tariff(conf, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
         consignors=tuple(
-            it.Consignor(conf.word(f"Parties.{p}.Name"), conf.number(f"Parties.{p}.QuotaPerS"))
-            for p in parties
+            it.Tenant(conf.word(f"Parties.{p}.Name"), conf.number(f"Parties.{p}.QuotaPerS")) for p in parties
         ),
         over_share_worth=conf.number("OverShareWorth") if parties else 1.0,
         kind_cores=tuple(int(float(w)) for w in conf.words("FamilyInfo.KindCores")),
@@ -138,7 +141,7 @@
         fall_multiple=conf.number("Invariants.FallMultiple"),
         fall_window=conf.seconds("Invariants.Fall"),
         key_rest=conf.seconds("Invariants.KeyRest") if "Invariants.KeyRest" in conf.pairs else 0.0,
-        allowance=it.Allowance(
+        allowance=it.RetryBudget(
             conf.number("Invariants.ExtraFloor"),
             conf.number("Invariants.ResendRatio"),
             conf.seconds("Invariants.LookBack"),
@@ -148,10 +151,10 @@
     )
 
 
-def tariff(conf: Conf, at: str, width: int, holds: bool, yields: bool) -> it.Tariff:
+def tariff(conf: Conf, at: str, width: int, holds: bool, yields: bool) -> it.QueryClass:
     repeat = conf.among(at + "Idempotency", REPEATS)
-    referenced = repeat is it.Repeat.REFERENCED
-    return it.Tariff(
+    referenced = repeat is it.Idempotency.DEDUPLICATED
+    return it.QueryClass(
         name=conf.word(at + "Name"),
         utility=conf.number(at + "Value"),
         late_share=conf.number(at + "LateShare"),
@@ -159,7 +162,9 @@
         goal_stretch=conf.number(at + "AimStretch") if at + "AimStretch" in conf.pairs else 0.0,
         time_limit=conf.seconds(at + "Deadline"),
         repeat=repeat,
-        scope=conf.among(at + "DedupScope", {s.value: s for s in it.Scope}) if referenced else it.Scope.ALL,
+        scope=conf.among(at + "DedupScope", {s.value: s for s in it.DeduplicationScope})
+        if referenced
+        else it.DeduplicationScope.ALL,
         window=conf.seconds(at + "Window") if referenced else 0.0,
         width=width,
         holds_tables=holds,
--- a/thistlelever/ground/papers.py
+++ b/thistlelever/ground/papers.py
@@ -15,10 +15,10 @@
 Address = tuple[str, int]
 # What applies where the configuration is silent; all of it is about sockets, none about decisions.
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, DEFAULT_CORES = 1024, 192.0, 1.0
-STANDINGS = {
-    "Ready": it.Standing.READY,
-    "Terminating": it.Standing.DRAINING,
-    "Gone": it.Standing.GONE,
+ENGINE_STATES = {
+    "Ready": it.EngineState.READY,
+    "Terminating": it.EngineState.DRAINING,
+    "Gone": it.EngineState.GONE,
 }
 
 
@@ -49,7 +49,7 @@
     kinds: tuple[str, ...]
     idle: float
     answer_slack: float
-    manifest: it.Manifest
+    manifest: it.Settings
 
 
 class Node:
@@ -174,8 +174,8 @@
             entries.clear()
         for instance in hosts.at("instances").items():
             name = instance.at("instanceId").string()
-            standing = instance.at("lifecycle").among(STANDINGS)
-            if standing is it.Standing.GONE:
+            state = instance.at("lifecycle").among(ENGINE_STATES)
+            if state is it.EngineState.GONE:
                 entries.pop(name, None)
                 continue
             cell, weight, started = (instance.get(key) for key in ("cell", "weight", "startedAtMs"))
@@ -184,7 +184,7 @@
                 instance.at("zone").among(places[0]),
                 cell.whole() if cell else 0,
                 instance.at("machineType").among(places[1]),
-                standing,
+                state,
                 started.number() / 1e3 if started else 0.0,
                 weight.number() if weight else 1.0,
             )
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -159,6 +159,6 @@
 def drops_repeats_by_cell(papers: Papers) -> bool:
     """Whether some class may be retried in the cell of its first attempt alone."""
     return any(
-        query_class.repeat is it.Repeat.REFERENCED and query_class.scope is it.Scope.CELL
+        query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.CELL
         for query_class in papers.manifest.tariffs
     )
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -74,7 +74,7 @@
         if view.fronts != self.fronts:
             self.fronts = view.fronts
             self.parts.log("fronts counted", fronts=view.fronts, alone=view.alone)
-            self.parts.desk.tell(it.FrontsCounted(view.fronts))
+            self.parts.desk.tell(it.FrontCountChanged(view.fronts))
             if self.parts.courses.gate:
                 self.parts.courses.gate.counted(view.fronts)
 
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -195,7 +195,7 @@
             await patiently(
                 lambda: loop.create_datagram_endpoint(lambda: Deaf(self.tally), local_addr=address)
             )
-        self.desk.tell(it.ListTold(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
+        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
         raw = await patiently(lambda: listener(self.papers.listen))
         self.reception.listen(raw)
         start_times.reached("listening")
@@ -236,7 +236,7 @@
 
     async def close(self) -> None:
         """Take what still comes, answer all that was taken, and be gone before the kill."""
-        longest = max(tariff.time_limit for tariff in self.papers.manifest.tariffs)
+        longest = max(query_class.time_limit for query_class in self.papers.manifest.tariffs)
         stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -116,7 +116,7 @@
         for engine in sorted(entries, key=lambda e: (found[e].most, e)):
             if place.setdefault(entries[engine].address, engine) != engine:
                 del found[engine]
-        ready = {e: entries[e] for e in found if entries[e].engine.standing is it.Standing.READY}
+        ready = {e: entries[e] for e in found if entries[e].engine.state is it.EngineState.READY}
         return ready, {e: found[e] for e in ready}
 
     def use(self) -> None:
@@ -139,7 +139,7 @@
             passed = since(window.at).least
             took, extra = (tuple(ago + passed for ago in times) for times in (window.took, window.extra))
         fresh = [one for one in kept["learnt"].values() if since(one.at).most <= self.section.old_s]
-        told = it.Recalled(
+        told = it.LearnedState(
             tuple((one.id, one.bound, one.pace, start_since(one)) for one in fresh),
             tuple((key, left) for key, left in rests if left > 0),
             took,
@@ -179,8 +179,8 @@
         """One round: all that are to be asked, side by side."""
 
         async def one(engine: bytes) -> None:
-            fate, _ = await self.parts.dispatcher.speech(self.entries[engine]).probe(self.entries[engine])
-            self.judge.heard(engine, fate is it.Fate.RETURNED)
+            outcome, _ = await self.parts.dispatcher.speech(self.entries[engine]).probe(self.entries[engine])
+            self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
 
         asked = [asyncio.ensure_future(one(e)) for e in sorted(self.judge.ask - self.judge.answered.keys())]
         if asked:
@@ -193,7 +193,7 @@
         if self.judge.stage is not Stage.LISTED and not self.parts.roll.serial:
             self.use()
             roll = self.parts.roll
-            self.parts.desk.tell(it.ListTold(it.ListKind.CACHED, roll.serial, roll.told()))
+            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
             self.parts.log("started by what was remembered", **self.judge.show())
 
     async def finding(self) -> None:
@@ -224,7 +224,7 @@
                 keeper.drop("listed", engine)
                 keeper.drop("learnt", engine)
             for engine, entry in roll.entries.items():
-                if entry.engine.standing is not it.Standing.GONE:
+                if entry.engine.state is not it.EngineState.GONE:
                     keeper.put("listed", engine, record(entry, roll.serial, at))
         learnt, at = self.parts.desk.front.recall(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
@@ -301,13 +301,11 @@
 
 def record(entry: Entry, serial: int, at: Moment) -> Listed:
     e = entry.engine
-    return Listed(
-        e.id, *entry.address, e.zone, e.cell, e.kind, int(e.standing), e.started, e.size, serial, at
-    )
+    return Listed(e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at)
 
 
 def listed(kept: records.Listed) -> Entry:
     engine = it.Engine(
-        kept.id, kept.zone, kept.cell, kept.kind, it.Standing(kept.standing), kept.started, kept.size
+        kept.id, kept.zone, kept.cell, kept.kind, it.EngineState(kept.standing), kept.started, kept.size
     )
     return Entry(engine, (kept.address, kept.port))
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -24,7 +24,7 @@
 
 def sound(section: Takeover, papers: Papers) -> None:
     """`Unreadable` with the key where the section can't be kept."""
-    known = {tariff.name for tariff in papers.manifest.tariffs}
+    known = {query_class.name for query_class in papers.manifest.tariffs}
     if unknown := sorted(set(section.demand or ()) - known):
         raise Unreadable(
             f"operator file: takeover.demand: service groups of the settings expected; found {unknown[0]!r}"
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -24,7 +24,7 @@
 
     number: int
     asked: Submission
-    taken: it.BatchTaken
+    taken: it.BatchReceived
     lane: str
     limit_at: float
     inbox: asyncio.Queue = field(default_factory=asyncio.Queue)
--- a/thistlelever/store/list_agreement.py
+++ b/thistlelever/store/list_agreement.py
@@ -36,7 +36,7 @@
 
     def ready(self, engine: it.EngineId) -> bool:
         """Whether the list names the engine as ready."""
-        return engine in self.entries and self.entries[engine].engine.standing is it.Standing.READY
+        return engine in self.entries and self.entries[engine].engine.state is it.EngineState.READY
 
     def ready_as(self, entry: Entry) -> bool:
         """Whether the list names that engine as ready, at its address and since its start. One that was
--- a/thistlelever/store/roll.py
+++ b/thistlelever/store/roll.py
@@ -51,13 +51,13 @@
         self.owners = {entry.address: entry.engine.id for entry in entries}
         listed = {entry.engine.id: entry for entry in entries}
         for known, entry in self.entries.items():
-            if known not in listed and (self.out[known] or entry.engine.standing is not it.Standing.GONE):
-                gone = entry.engine._replace(standing=it.Standing.GONE)
+            if known not in listed and (self.out[known] or entry.engine.state is not it.EngineState.GONE):
+                gone = entry.engine._replace(state=it.EngineState.GONE)
                 listed[known] = entry._replace(engine=gone)
         # Risk: a list that only grows, walked whole at each change, on a day that replaces all engines.
         self.left = {engine: at for engine, at in self.left.items() if engine in listed}
         for engine, entry in listed.items():
-            if entry.engine.standing is it.Standing.READY:
+            if entry.engine.state is it.EngineState.READY:
                 self.left.pop(engine, None)
             else:
                 self.left.setdefault(engine, now)
@@ -76,9 +76,9 @@
         self.serial, self.revision = 0, self.revision + 1
         self.entries = {entry.engine.id: entry for entry in entries}
 
-    def standings(self) -> dict[it.EngineId, it.Standing]:
+    def states(self) -> dict[it.EngineId, it.EngineState]:
         """What each engine that is known is held to be."""
-        return {engine: entry.engine.standing for engine, entry in self.entries.items()}
+        return {engine: entry.engine.state for engine, entry in self.entries.items()}
 
     def begin(self, engine: it.EngineId) -> None:
         self.out[engine] += 1
@@ -89,7 +89,7 @@
             del self.out[engine]
 
     def listed(self, engine: it.EngineId) -> bool:
-        return engine in self.entries and self.entries[engine].engine.standing is not it.Standing.GONE
+        return engine in self.entries and self.entries[engine].engine.state is not it.EngineState.GONE
 
     def reachable(self, entry: Entry) -> bool:
         """Whether the address of the entry still is its engine's, as far as is known."""
@@ -105,18 +105,18 @@
 
     def told_as(self, engine: it.Engine) -> it.Engine:
         """The engine as the decisions are told it."""
-        standing = it.Standing.DRAINING if engine.id in self.closed else engine.standing
+        state = it.EngineState.DRAINING if engine.id in self.closed else engine.state
         started = self.starts.of(engine)
-        if (standing, started) == (engine.standing, engine.started):
+        if (state, started) == (engine.state, engine.started):
             return engine
-        return engine._replace(standing=standing, started=started)
+        return engine._replace(state=state, started=started)
 
     def listing(self) -> dict[it.EngineId, Entry]:
         """The list in force as it was told, without those that have left it."""
         return {
             engine: entry
             for engine, entry in self.entries.items()
-            if entry.engine.standing is not it.Standing.GONE
+            if entry.engine.state is not it.EngineState.GONE
         }
 
     def open_to(self, engine: it.EngineId) -> bool:
@@ -125,18 +125,18 @@
 
 
 def transitions(
-    before: dict[it.EngineId, it.Standing],
-    after: dict[it.EngineId, it.Standing],
+    before: dict[it.EngineId, it.EngineState],
+    after: dict[it.EngineId, it.EngineState],
 ) -> dict[str, str]:
     """For the log: the engines whose state has changed between two lists, with the new state of each."""
     changed = {
-        engine: after.get(engine, it.Standing.GONE)
+        engine: after.get(engine, it.EngineState.GONE)
         for engine in before | after
-        if before.get(engine, it.Standing.GONE) is not after.get(engine, it.Standing.GONE)
+        if before.get(engine, it.EngineState.GONE) is not after.get(engine, it.EngineState.GONE)
     }
-    return {engine.decode("latin-1"): standing.name.lower() for engine, standing in sorted(changed.items())}
+    return {engine.decode("latin-1"): state.name.lower() for engine, state in sorted(changed.items())}
 
 
 def place(entry: Entry) -> tuple:
     """What a connection was made to."""
-    return entry.address, entry.engine.started, entry.engine.standing is it.Standing.GONE
+    return entry.address, entry.engine.started, entry.engine.state is it.EngineState.GONE
--- a/thistlelever/wirehost/codec.py
+++ b/thistlelever/wirehost/codec.py
@@ -113,23 +113,23 @@
         slot, count = self.take(DIRECTORY)
         body = self.raw(count * ENTRY.size)
         self.lists[slot] = tuple(
-            it.Engine(engine, zone, cell, kind, it.Standing(standing), started * MICRO, size)
-            for cell, zone, engine, standing, started, kind, size in ENTRY.iter_unpack(body)
+            it.Engine(engine, zone, cell, kind, it.EngineState(state), started * MICRO, size)
+            for cell, zone, engine, state, started, kind, size in ENTRY.iter_unpack(body)
         )
 
     def roster(self) -> Record:
         front, version, slot, how = self.take(ROSTER)
         kind = it.ListKind(how)
         if kind is it.ListKind.FAILED:
-            return front, it.ListTold(kind, version, ())
+            return front, it.EngineListReceived(kind, version, ())
         if slot not in self.lists:
             raise Malformed(f"list {slot} was never given")
-        return front, it.ListTold(kind, version, self.lists[slot])
+        return front, it.EngineListReceived(kind, version, self.lists[slot])
 
     def submit(self) -> Record:
         front, batch, group, owner, key, left, hint, memory, tables, bits = self.take(SUBMIT)
         work = hint * MICRO if bits & 1 else None
-        return front, it.BatchTaken(
+        return front, it.BatchReceived(
             batch, group, owner, key, left * MICRO, work, memory, tables, bool(bits & 2)
         )
 
@@ -139,15 +139,15 @@
 
     def interim(self) -> Record:
         front, batch, number, value, engine, kind = self.take(INTERIM)
-        return front, it.ProgressNote(batch, number, engine, it.Tidings(kind), value)
+        return front, it.ProgressNote(batch, number, engine, it.ProgressKind(kind), value)
 
     def returned(self) -> Record:
-        front, batch, number, engine, fate, took, complete, stats, n = self.take(RETURNED)
+        front, batch, number, engine, outcome, took, complete, stats, n = self.take(RETURNED)
         return front, it.DispatchEnded(
             batch,
             number,
             engine,
-            it.Fate(fate),
+            it.DispatchOutcome(outcome),
             took * MICRO,
             bool(complete),
             stats // COST_UNIT * 1e-3,
@@ -164,8 +164,8 @@
         return front, it.TimerDue(token)
 
     def pinged(self) -> Record:
-        front, took, engine, fate, n = self.take(PINGED)
-        return front, it.ProbeEnded(engine, it.Fate(fate), took * MICRO, self.take(GAUGES[n]))
+        front, took, engine, outcome, n = self.take(PINGED)
+        return front, it.ProbeEnded(engine, it.DispatchOutcome(outcome), took * MICRO, self.take(GAUGES[n]))
 
     def note_from(self) -> Record:
         front, peer, size = self.take(NOTE_FROM)
