--- a/thistlelever/ground/manifest.py
+++ b/thistlelever/ground/manifest.py
@@ -1,4 +1,4 @@
-"""Parses the platform's settings into a `Manifest`.
+"""Parses the platform's settings into a `Settings`.
 
 The settings come as text with one `path=value` a line (`thistlelever.wirehost`) or as part of the front's
 configuration (`ground/papers.py`). Their names are used in this module only.
@@ -11,15 +11,19 @@
 from thistlelever.ground import interface as it
 
 REPEATS = {
-    "repeatable": it.Repeat.REPEATABLE,
-    "by_key": it.Repeat.REFERENCED,
-    "once": it.Repeat.ONCE_ONLY,
+    "repeatable": it.Idempotency.IDEMPOTENT,
+    "by_key": it.Idempotency.DEDUPLICATED,
+    "once": it.Idempotency.NON_IDEMPOTENT,
+}
+SHORTAGES = {
+    "queue": it.MemoryShortage.QUEUE,
+    "trim": it.MemoryShortage.SHRINK,
+    "swap": it.MemoryShortage.PAGE,
 }
-SHORTAGES = {"queue": it.Shortage.LINE, "trim": it.Shortage.SHRINK, "swap": it.Shortage.PAGE}
 REPORTS = {
-    "piggyback": it.Reports.WITH_ANSWERS,
-    "pull": it.Reports.WHEN_PROBED,
-    "silent": it.Reports.NEVER,
+    "piggyback": it.ReportDelivery.WITH_ANSWERS,
+    "pull": it.ReportDelivery.WHEN_PROBED,
+    "silent": it.ReportDelivery.NEVER,
 }
 
 
@@ -96,21 +100,21 @@
         return frozenset(self.index(item, names, path) for item in self.items(path))
 
 
-def manifest(text: str) -> it.Manifest:
+def manifest(text: str) -> it.Settings:
     """Parse settings from text, one `path=value` a line; raises `Unreadable`."""
     return made(SettingsReader(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
 
 
-def made(reader: SettingsReader) -> it.Manifest:
-    """Build the `Manifest` from settings; raises `Unreadable` for any that is missing or invalid."""
+def made(reader: SettingsReader) -> it.Settings:
+    """Build the `Settings` from settings; raises `Unreadable` for any that is missing or invalid."""
     try:
         return read(reader)
     except (ValueError, OverflowError) as why:
         raise Unreadable(f"settings: {why}") from None
 
 
-def read(reader: SettingsReader) -> it.Manifest:
-    """Build the `Manifest`; lists of numbers raise ValueError or OverflowError for a bad item."""
+def read(reader: SettingsReader) -> it.Settings:
+    """Build the `Settings`; lists of numbers raise ValueError or OverflowError for a bad item."""
     groups = range(reader.integer("Classes.count"))
     widths = [int(float(w)) for w in reader.items("FamilyInfo.WidthByClass")]
     holds = [w == "true" for w in reader.items("FamilyInfo.HoldsTables")]
@@ -121,12 +125,12 @@
     rationed = "Invariants.LookBack" in reader.pairs
     asked = reader.choice("RegistryMode", {"pushed": False, "on_request": True})
     parties = range(reader.integer("Parties.count")) if "Parties.count" in reader.pairs else range(0)
-    return it.Manifest(
+    return it.Settings(
         fronts=reader.integer("Balancers"),
         zone=reader.index(reader.text("MyZone"), "FailureDomains", "MyZone"),
         tariffs=tuple(tariff(reader, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
         consignors=tuple(
-            it.Consignor(reader.text(f"Parties.{p}.Name"), reader.number(f"Parties.{p}.QuotaPerS"))
+            it.Tenant(reader.text(f"Parties.{p}.Name"), reader.number(f"Parties.{p}.QuotaPerS"))
             for p in parties
         ),
         over_share_worth=reader.number("OverShareWorth") if parties else 1.0,
@@ -159,7 +163,7 @@
         fall_multiple=reader.number("Invariants.FallMultiple"),
         fall_window=reader.seconds("Invariants.Fall"),
         key_rest=reader.seconds("Invariants.KeyRest") if "Invariants.KeyRest" in reader.pairs else 0.0,
-        allowance=it.Allowance(
+        allowance=it.RetryBudget(
             reader.number("Invariants.ExtraFloor"),
             reader.number("Invariants.ResendRatio"),
             reader.seconds("Invariants.LookBack"),
@@ -169,15 +173,15 @@
     )
 
 
-def tariff(reader: SettingsReader, at: str, width: int, holds: bool, yields: bool) -> it.Tariff:
+def tariff(reader: SettingsReader, at: str, width: int, holds: bool, yields: bool) -> it.QueryClass:
     """Build the terms of the query class whose settings are at the path prefix `at`.
 
     `width`, `holds` and `yields` are its items of the `FamilyInfo` lists `WidthByClass`, `HoldsTables` and
     `YieldsToLoads`.
     """
     repeat = reader.choice(at + "Idempotency", REPEATS)
-    referenced = repeat is it.Repeat.REFERENCED
-    return it.Tariff(
+    referenced = repeat is it.Idempotency.DEDUPLICATED
+    return it.QueryClass(
         name=reader.text(at + "Name"),
         utility=reader.number(at + "Value"),
         late_share=reader.number(at + "LateShare"),
@@ -185,9 +189,9 @@
         goal_stretch=reader.number(at + "AimStretch") if at + "AimStretch" in reader.pairs else 0.0,
         time_limit=reader.seconds(at + "Deadline"),
         repeat=repeat,
-        scope=reader.choice(at + "DedupScope", {s.value: s for s in it.Scope})
+        scope=reader.choice(at + "DedupScope", {s.value: s for s in it.DeduplicationScope})
         if referenced
-        else it.Scope.ALL,
+        else it.DeduplicationScope.ALL,
         window=reader.seconds(at + "Window") if referenced else 0.0,
         width=width,
         holds_tables=holds,
--- a/thistlelever/ground/papers.py
+++ b/thistlelever/ground/papers.py
@@ -17,10 +17,10 @@
 # connections; dispatch decisions do not use them.
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, DEFAULT_CORES = 1024, 192.0, 1.0
 # The states of engines by their names in the registry's events.
-STANDINGS = {
-    "Ready": it.Standing.READY,
-    "Terminating": it.Standing.DRAINING,
-    "Gone": it.Standing.GONE,
+ENGINE_STATES = {
+    "Ready": it.EngineState.READY,
+    "Terminating": it.EngineState.DRAINING,
+    "Gone": it.EngineState.GONE,
 }
 
 
@@ -56,7 +56,7 @@
     kinds: tuple[str, ...]
     idle: float
     answer_slack: float
-    manifest: it.Manifest
+    manifest: it.Settings
 
 
 class ConfigNode:
@@ -202,8 +202,8 @@
             entries.clear()
         for instance in hosts.require("instances").items():
             name = instance.require("instanceId").string()
-            standing = instance.require("lifecycle").choice(STANDINGS)
-            if standing is it.Standing.GONE:
+            state = instance.require("lifecycle").choice(ENGINE_STATES)
+            if state is it.EngineState.GONE:
                 entries.pop(name, None)
                 continue
             cell, weight, started = (instance.get(key) for key in ("cell", "weight", "startedAtMs"))
@@ -212,7 +212,7 @@
                 instance.require("zone").choice(places[0]),
                 cell.integer() if cell else 0,
                 instance.require("machineType").choice(places[1]),
-                standing,
+                state,
                 started.number() / 1e3 if started else 0.0,
                 weight.number() if weight else 1.0,
             )
