--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -17,7 +17,7 @@
 
 from rigs.verdict import Chance, close
 from thistlelever.budgets.waits import SHORT, Waits
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Operator, read
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import directory
@@ -126,7 +126,7 @@
             engine.cost = lambda statement: seconds_of(statement) * 1e3
             await engine.start()
         self.directory, known = await directory.beside(self.stir, self.engines)
-        told = papers.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings(2)), {})
+        told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings(2)), {})
         ready = asyncio.get_running_loop().create_future()
         self.failures = []
 
@@ -265,7 +265,7 @@
     for name, day in (("alone", alone), ("flooded", flooded), ("without", without)):
         if day.late or day.answers["2+"]:
             broken.append(f"{name}: one final answer")
-        broken += [f"{name}: {n}" for n in day.office.tally.counts if n.startswith("broken")]
+        broken += [f"{name}: {n}" for n in day.office.metrics.counts if n.startswith("broken")]
         broken += [f"{name}: {event}" for event, _ in day.failures]
     if not judge.conserved() or judge.batches:
         broken.append("something is still held")
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -18,8 +18,8 @@
 from thistlelever.admission.decide import Front
 from thistlelever.carrier.directory import NAME, Inquiry
 from thistlelever.ground import interface as it
-from thistlelever.ground import papers
-from thistlelever.ground.tally import Tally
+from thistlelever.ground import config as front_config
+from thistlelever.ground.metrics import Metrics
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings
 from thistlelever.membership.judge import Judge
@@ -141,7 +141,7 @@
 
 
 def decisions() -> Front:
-    return Front(papers.read(configuration(settings=settings()), {}).manifest, 1)
+    return Front(front_config.read(configuration(settings=settings()), {}).settings, 1)
 
 
 def cpu_of(work: Callable[[], object]) -> float:
@@ -186,7 +186,7 @@
 
     def __init__(self) -> None:
         zones = {"zones": ZONES, "kinds": ("std",), "seed": 1}
-        self.inquiry = Inquiry(Roll(), lambda engine: None, DecisionDesk(), Tally(), **zones)
+        self.inquiry = Inquiry(Roll(), lambda engine: None, DecisionDesk(), Metrics(), **zones)
         # The second answer that a newer list needs is handed to it by the rig.
         self.inquiry.ask = lambda by_order: None
 
--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -35,7 +35,7 @@
     settings,
 )
 from rigs.verdict import Chance, close
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Flight, Operator
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import flight_client
@@ -119,7 +119,7 @@
         )
         self.list_anew()
         known = [(name, f"127.0.0.1:{self.port(name)}", zone) for name, zone in ZONES.items()]
-        told = papers.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings()), {})
+        told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings()), {})
         terms = Flight(
             listen="127.0.0.1:0",
             engines=("f-cala", "f-duna", "f-duna-2"),
@@ -341,7 +341,7 @@
         if most > 1:
             broken.append("one dispatch out at a time")
         broken += self.after_drains() + self.by_key(lines) + self.further(lines)
-        counts = self.office.tally.counts
+        counts = self.office.metrics.counts
         broken += [f"must: {name}" for name in counts if name.startswith("broken")]
         broken += [f"fault: {event}" for event, _ in self.failures]
         told = sum(counts[name] for name in ("End", "Begun", "PushBack", "Error"))
--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -21,7 +21,7 @@
 from thistlelever.admission.decide import Front
 from thistlelever.distribution.records import EngineRecord
 from thistlelever.ground import interface as it
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.subsetting import EngineRing, FrontPlace, Subset, SubsetTerms
 
@@ -31,9 +31,9 @@
 MOST_CHANGE, MOST_TURN = 1.0, 20.0
 
 
-def manifest() -> it.Settings:
+def settings() -> it.Settings:
     zones = [f"zone-{zone}" for zone in range(ZONES)]
-    told = papers.read(configuration(settings=SETTINGS | {"FailureDomains": zones}), {}).manifest
+    told = front_config.read(configuration(settings=SETTINGS | {"FailureDomains": zones}), {}).settings
     return told._replace(fronts=FRONTS)
 
 
@@ -59,7 +59,7 @@
 
     def __init__(self, engines: list[it.Engine], fronts: int) -> None:
         self.engines, self.fronts, self.now = engines, fronts, 1e6
-        self.front = Front(manifest(), 1)
+        self.front = Front(settings(), 1)
 
     def tell(self, event: it.Event) -> float:
         """The milliseconds of the turn."""
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -36,7 +36,9 @@
     """CPU seconds of one front for one changed engine: the list is read and told whole."""
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     parts = empty_front(place, zones, fronts)
-    inquiry = Inquiry(parts.roll, lambda engine: None, parts.desk, parts.tally, zones, parts.papers.kinds, 1)
+    inquiry = Inquiry(
+        parts.roll, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
+    )
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -8,9 +8,9 @@
 from thistlelever.carrier.desk import Desk
 from thistlelever.carrier.subscribed_list import KnownNames, SubscribedList
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.ground.log import Log
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.batches import Batches
 from thistlelever.store.roll import Roll
@@ -36,9 +36,9 @@
 
     roll: Roll
     desk: Desk
-    tally: Tally
+    metrics: Metrics
     log: Log
-    papers: papers.Papers
+    config: front_config.Config
 
 
 def settings(zones, zone, fronts):
@@ -56,24 +56,24 @@
     }
 
 
-PAPERS = {}
+CONFIGS = {}
 
 
-def papers_of(place, zones, fronts):
+def config_of(place, zones, fronts):
     """A front's configuration; read once for each zone, as hollow fronts share what never changes."""
-    if place.zone not in PAPERS:
+    if place.zone not in CONFIGS:
         told = configuration(settings=settings(zones, place.zone, fronts))
         told["name"] = place.name
-        PAPERS[place.zone] = papers.read(told, {})
-    return PAPERS[place.zone]
+        CONFIGS[place.zone] = front_config.read(told, {})
+    return CONFIGS[place.zone]
 
 
 def empty_front(place, zones, fronts):
     """A front with its decisions and an empty list."""
-    read = papers_of(place, zones, fronts)
-    tally, log = Tally(), Log(place.name, LOG_SINK)
-    desk = Desk(Front(read.manifest, place.seed), read.manifest.tick, Batches(), tally, log)
-    return Parts(Roll(), desk, tally, log, read)
+    read = config_of(place, zones, fronts)
+    metrics, log = Metrics(), Log(place.name, LOG_SINK)
+    desk = Desk(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
+    return Parts(Roll(), desk, metrics, log, read)
 
 
 def control_of(parts, place, terms):
@@ -84,6 +84,6 @@
     )
     front_place = FrontPlace(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
-    names = KnownNames(parts.papers.zones, parts.papers.kinds)
+    names = KnownNames(parts.config.zones, parts.config.kinds)
     SubscribedList(subscription, parts.roll, lambda engine: None, parts.desk, names)
     return subscription
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -206,9 +206,9 @@
         """What asking the directory at today's pace costs one front, in cores: so many ask for so long."""
         place = HollowPlace(name="front-dns", zone=zones[0], rank=0, zone_rank=0, seed=1)
         parts = empty_front(place, tuple(zones), 1)
-        names = parts.papers.zones, parts.papers.kinds
+        names = parts.config.zones, parts.config.kinds
         inquiries = [
-            Inquiry(Roll(), lambda engine: None, parts.desk, parts.tally, *names, seed=number)
+            Inquiry(Roll(), lambda engine: None, parts.desk, parts.metrics, *names, seed=number)
             for number in range(count)
         ]
         for inquiry in inquiries:
--- a/rigs/scale_real.py
+++ b/rigs/scale_real.py
@@ -68,12 +68,12 @@
         config = configuration(known, f"127.0.0.1:{self.directory.port}", told)
         config["settings"]["Rank"] = self.place["rank"]
         config["name"] = self.place["name"]
-        papers = self.folder / f"{self.place['name']}-{bool(self.distributors)}.json"
-        papers.write_text(json.dumps(config))
-        operator = papers.with_suffix(".operator.json")
+        config_path = self.folder / f"{self.place['name']}-{bool(self.distributors)}.json"
+        config_path.write_text(json.dumps(config))
+        operator = config_path.with_suffix(".operator.json")
         operator.write_text(json.dumps(self.operator()))
         words = ("thistlelever", "serve", "--operator", str(operator))
-        self.child = Child(*words, environment={"BALANCER_CONFIG": str(papers)})
+        self.child = Child(*words, environment={"BALANCER_CONFIG": str(config_path)})
         await self.child.start()
         ready = next(line for line in self.child.log if line["event"] == "ready")
         self.host, self.port = ready["listen"]
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -15,7 +15,7 @@
 from thistlelever.standins.directory import Directory, dns_answer
 from thistlelever.standins.http_engine import Engine, rows, unescaped
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 
 TXN = "0000000000000000"
@@ -115,11 +115,11 @@
         entries = [(name, f"127.0.0.1:{self.port(name)}") for name in self.engines]
         self.config = configuration(entries, settings=self.settings)
         await self.open_directory()
-        told = papers.read(self.config, {})._replace(sockets=int(sockets))
+        told = front_config.read(self.config, {})._replace(sockets=int(sockets))
         self.office = run.Office(
             told,
             self.log,
-            lambda: papers.read(self.config, {}),
+            lambda: front_config.read(self.config, {}),
             self.operator(),
             self.operator if self.door is not None or self.sections else None,
         )
@@ -270,7 +270,7 @@
 
     async def do_counted(self, *words):
         name = " ".join(words)
-        await self.until(lambda: self.office.tally.counts[name] > 0)
+        await self.until(lambda: self.office.metrics.counts[name] > 0)
 
     async def do_sighup(self, event, *words):
         """The configuration is read again; the log says so, with these words in what it says."""
@@ -332,7 +332,7 @@
     async def do_stopped(self):
         async with asyncio.timeout(LONGEST_WAIT):
             await self.running
-        assert not [name for name in self.office.tally.counts if name.startswith("broken")]
+        assert not [name for name in self.office.metrics.counts if name.startswith("broken")]
 
     async def end(self):
         clients.SLOWER = self.was_slower
@@ -703,7 +703,7 @@
             try:
                 await stage.line(*words)
             except Exception as why:
-                counts = stage.office.tally.counts if stage.office else ""
+                counts = stage.office.metrics.counts if stage.office else ""
                 seen = f"{stage.events} {stage.answers} {counts}"
                 raise AssertionError(f"{line}: {' '.join(words)}: {why} {seen}") from why
         yield stage
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -14,7 +14,7 @@
 from thistlelever.budgets.judge import Entry, Judge, Terms
 from thistlelever.budgets.plan import Branch, Plan, Share, PlanError
 from thistlelever.budgets.preemption import WASTE_WINDOW
-from thistlelever.ground.orders import Preempt, Refuse, Release
+from thistlelever.ground.commands import Preempt, Refuse, Release
 
 TERMS = Terms(cancels=True, waste=0.05, longest_return=1.0, depth=1.0)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_scenarios import GROUP, MANIFEST
+from test_scenarios import GROUP, SETTINGS
 
 from thistlelever.admission.decide import Front
 from thistlelever.carrier import http_engines
@@ -14,9 +14,9 @@
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.carrier.intake import Intake
 from thistlelever.carrier.pulse import Pulse
-from thistlelever.ground import clock, papers
+from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import configuration
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import Link, Links, Refused, Unreached
@@ -26,7 +26,7 @@
 
 def dispatches(group, allowance=None):
     """The first dispatch of a batch at 10 s, and the one that follows after a reset 0.5 s later."""
-    front = Front(MANIFEST._replace(tariffs=(group,), allowance=allowance), 7)
+    front = Front(SETTINGS._replace(tariffs=(group,), allowance=allowance), 7)
     engines = tuple(it.Engine(name, 0, 0, 0, it.EngineState.READY, 0.0, 1.0) for name in (b"a", b"b"))
     found = front.handle(
         10.0,
@@ -53,13 +53,13 @@
 
 def test_where_further_dispatches_are_rationed_none_is_sent_again_uncounted():
     first, _ = dispatches(GROUP, it.RetryBudget(1.0, 0.1, 10.0))
-    assert first.begin_by == 10.0 + MANIFEST.connect_limit
+    assert first.begin_by == 10.0 + SETTINGS.connect_limit
 
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
     # Risk: the engine runs on, and the next dispatch is a second copy (`Front.patience`).
-    front = Front(MANIFEST._replace(tariffs=(GROUP,), cancel=cancel), 7)
+    front = Front(SETTINGS._replace(tariffs=(GROUP,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
         10.0,
@@ -73,7 +73,7 @@
 
 def down_after(*outcomes):
     """Whether an engine counts as one that was down after these ends, one after the other."""
-    front = Front(MANIFEST._replace(tariffs=(GROUP,), most_dispatches=99), 7)
+    front = Front(SETTINGS._replace(tariffs=(GROUP,), most_dispatches=99), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     front.handle(10.0, [it.EngineListReceived(it.ListKind.CACHED, 1, engines)])
     for outcome in outcomes:
@@ -99,7 +99,7 @@
             raise why
 
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
-        engines = HttpEngines(terms, None, SimpleNamespace(take=take), None, Tally())
+        engines = HttpEngines(terms, None, SimpleNamespace(take=take), None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         with pytest.raises(Ended) as ended:
             await engines.converse(batch, "entry", End(0, b"a"), Sending(0), 0.0)
@@ -128,7 +128,7 @@
         roll = SimpleNamespace(begin=lambda engine: None, end=lambda engine: None, entries={b"a": "entry"})
         terms = SimpleNamespace(cancel=False, copies=False)
         dispatcher = Dispatcher(
-            terms, roll, lambda entry: Speech(), None, Tally(), lambda *event, **facts: None
+            terms, roll, lambda entry: Speech(), None, Metrics(), lambda *event, **facts: None
         )
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         dispatcher.start(batch, 0, it.Dispatch(1, b"a", 5.0))
@@ -146,7 +146,7 @@
 
     async def run():
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
-        engines = HttpEngines(terms, None, None, None, Tally())
+        engines = HttpEngines(terms, None, None, None, Metrics())
         asked = clock.now()
         await engines.run_out(Sending(0, asked=asked))
         assert clock.now() >= asked + 0.05
@@ -163,7 +163,7 @@
         )
         out = Counter()
         terms = SimpleNamespace(cancel=True, copies=False)
-        dispatcher = Dispatcher(terms, roll, None, None, Tally(), None)
+        dispatcher = Dispatcher(terms, roll, None, None, Metrics(), None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         task = dispatcher.start(batch, 0, it.Dispatch(1, b"a", 0.0))
         then(task)
@@ -187,9 +187,9 @@
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
     # Risk: the sockets are read before the beat that tells of the stop (`Pulse.behind`).
-    manifest = papers.read(configuration(), {}).manifest
+    settings = front_config.read(configuration(), {}).settings
     pulse = Pulse()
-    intake = Intake(manifest, pulse, Batches())
+    intake = Intake(settings, pulse, Batches())
     fields = {"id": "00000000000000aa", "wait": 1500, "tenant": "acme", "cost": 50.0}
     assert intake.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
     pulse.due = clock.now() - 3.0
@@ -201,7 +201,7 @@
     """Links that may be one, that one with a call behind it, and the engine's entry."""
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     entry = SimpleNamespace(engine=SimpleNamespace(id=b"a"), address=server.sockets[0].getsockname())
-    links = Links(1, 30.0, 8.0, Tally())
+    links = Links(1, 30.0, 8.0, Metrics())
     used = await links.take(entry, urgent=True)
     used.calls = 1
     async with asyncio.timeout(8):
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -16,7 +16,7 @@
 from thistlelever.ground import clock
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import REST, Links, Unreached
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 TICK = 0.02
 
@@ -41,15 +41,15 @@
     async def run():
         front, log, unheeded = Told(), [], []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: unheeded.append(context))
-        tally = Tally()
-        desk = Desk(front, TICK, Batches(), tally, lambda event, **facts: log.append(event))
+        metrics = Metrics()
+        desk = Desk(front, TICK, Batches(), metrics, lambda event, **facts: log.append(event))
         for tokens in moments:
             for token in tokens:
                 desk.tell(it.TimerDue(token))
             while not front.moments or tokens[-1] not in front.moments[-1][1]:
                 await asyncio.sleep(0)
         await front.done.wait()
-        return front.moments, tally, log
+        return front.moments, metrics, log
 
     return asyncio.run(run())
 
@@ -62,9 +62,9 @@
 
 
 def test_decisions_that_fail_are_logged_counted_and_asked_again():
-    moments, tally, log = play([13], [99])
+    moments, metrics, log = play([13], [99])
     assert [tokens for _, tokens in moments] == [[13], [99]]
-    assert tally.counts["decisions failed"] == 1 and log == ["decisions failed"]
+    assert metrics.counts["decisions failed"] == 1 and log == ["decisions failed"]
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
     """The dispatch here ends last, and is told as of a batch that is over."""
 
     async def run():
-        told, given, tally = [], [], Tally()
+        told, given, metrics = [], [], Metrics()
 
         async def ends(batch):
             await asyncio.sleep(0)
@@ -90,14 +90,14 @@
             start=lambda batch, number, order: asyncio.get_running_loop().create_task(ends(batch))
         )
         desk = SimpleNamespace(tell=told.append)
-        courses = Courses(desk, dispatcher, Batches(), tally, lambda *a, **f: None)
+        courses = Courses(desk, dispatcher, Batches(), metrics, lambda *a, **f: None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         courses.start(batch, lambda answer: given.append(type(answer)))
         for word in crossing:
             batch.inbox.put_nowait(word)
         await asyncio.wait(courses.tasks)
         assert [e.complete for e in told if isinstance(e, it.DispatchEnded)] in ([], [True])
-        assert not tally.counts["course failed"]
+        assert not metrics.counts["course failed"]
         return given
 
     assert asyncio.run(run()) == answers
@@ -113,7 +113,7 @@
     async def run():
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
         links = SimpleNamespace(take=take)
-        engines = HttpEngines(terms, None, links, None, Tally())
+        engines = HttpEngines(terms, None, links, None, Metrics())
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(4 * RETRY_PACE):
                 await engines.ask("/fetch/1/", 0, "entry", End(0, b"a"), Sending(0), None)
@@ -126,7 +126,7 @@
     told = []
 
     async def run():
-        courses = Courses(SimpleNamespace(tell=told.append), None, Batches(), Tally(), None)
+        courses = Courses(SimpleNamespace(tell=told.append), None, Batches(), Metrics(), None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         courses.batches.add(batch)
         with pytest.raises(TimeoutError):
@@ -159,7 +159,7 @@
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
         links = SimpleNamespace(take=take, give_back=lambda link: None)
         roll = SimpleNamespace(open_to=lambda engine: False)
-        engines = HttpEngines(terms, roll, links, None, Tally())
+        engines = HttpEngines(terms, roll, links, None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         entry = SimpleNamespace(address=("127.0.0.1", 1), engine=SimpleNamespace(id=b"a"))
         await engines.give_up(batch, entry, Sending(0, begun=True, asked=clock.now()))
@@ -173,7 +173,7 @@
     made = []
 
     async def run():
-        links = Links(10, 30.0, 0.25, Tally())
+        links = Links(10, 30.0, 0.25, Metrics())
         kept = SimpleNamespace(fresh=lambda: True, idle_since=monotonic())
         links.kept["e"] = deque([kept])
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -432,10 +432,10 @@
     scope, listed, ran, out, answer
 ):
     roll = SimpleNamespace(listed=lambda engine: listed)
-    tally = SimpleNamespace(add=lambda name: None)
+    metrics = SimpleNamespace(add=lambda name: None)
     found = b"e-1", Name("a" * 16, 2), ran
     memory = Recollection(
-        SimpleNamespace(tariffs=(query_class(scope),)), roll, tally, None, lambda mark: found
+        SimpleNamespace(tariffs=(query_class(scope),)), roll, metrics, None, lambda mark: found
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, repeat=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
+from thistlelever.ground.config import Entry
 from thistlelever.store import list_agreement
 from thistlelever.store.list_agreement import Answer, ListAgreement
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -16,7 +16,7 @@
 from stage import LONGEST_WAIT, brisk, staged
 
 from thistlelever.carrier import clients, directory
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 from thistlelever.standins.http_engine import rows
 from thistlelever.standins.papers import configuration
@@ -156,16 +156,16 @@
 def test_a_whole_list_and_a_change_are_each_taken_for_what_they_are(events, names):
     """A whole list where a change was due, the reverse, and each of them after the other."""
     told = [
-        papers.ConfigNode({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
+        front_config.ConfigNode({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
         for whole, listed in events
     ]
-    assert [e.engine.id.decode() for e in papers.listed(told, ("nord",), ("std",))] == names
+    assert [e.engine.id.decode() for e in front_config.listed(told, ("nord",), ("std",))] == names
 
 
 def test_a_reload_may_hold_a_whole_list_in_any_event():
     config = configuration([("a", "127.0.0.1:9")])
     config["known"]["entries"].append({"pos": 4, "hosts": {"reset": True, "instances": [instance("b")]}})
-    assert [e.engine.id for e in papers.read(config, {}).known] == [b"b"]
+    assert [e.engine.id for e in front_config.read(config, {}).known] == [b"b"]
 
 
 # The end of a front.
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,7 @@
 
 from thistlelever import __main__ as command
 from thistlelever.ground import operator
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 from thistlelever.standins.papers import configuration
 
 DEPLOY = Path(__file__).parents[1] / "deploy"
@@ -33,14 +33,14 @@
     ],
 )
 def test_a_fault_names_its_key(text, words):
-    with pytest.raises(Unreadable, match="operator file") as why:
+    with pytest.raises(ConfigError, match="operator file") as why:
         operator.read(text.encode())
     assert words in str(why.value) and "\n" not in str(why.value)
 
 
 def test_a_section_whose_extra_is_missing(monkeypatch):
     monkeypatch.setattr(operator, "is_installed", lambda module: module != "pyarrow")
-    with pytest.raises(Unreadable, match=r"flight: wants the extra 'flight' .*pyarrow"):
+    with pytest.raises(ConfigError, match=r"flight: wants the extra 'flight' .*pyarrow"):
         operator.read(b'{"flight": {"listen": "127.0.0.1:1"}}')
 
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -11,10 +11,10 @@
 
 from thistlelever.__main__ import main
 from thistlelever.ground import interface as it
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.ground.log import MAX_LINES_A_MINUTE, Libraries, Log
 from thistlelever.store.roll import Roll
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 ENTRY = [("s-1", "127.0.0.1:8443")]
 HOSTS = "known.entries.0.hosts.instances.0."
@@ -84,9 +84,9 @@
     )
     told["settings"]["Classes"][1]["RunsIn"] = ["sud", 0]
     del told["limits"], told["name"]
-    read = papers.read(told, {"BALANCER_NAME": "n9"})
-    assert read.manifest.tariffs[1].zones == {0, 1} and read.manifest.tariffs[0].zones is None
-    assert (read.name, read.sockets) == ("n9", papers.DEFAULT_SOCKETS)
+    read = front_config.read(told, {"BALANCER_NAME": "n9"})
+    assert read.settings.tariffs[1].zones == {0, 1} and read.settings.tariffs[0].zones is None
+    assert (read.name, read.sockets) == ("n9", front_config.DEFAULT_SOCKETS)
     assert [(e.engine.id, e.engine.state) for e in read.known] == [
         (b"s-1", it.EngineState.DRAINING),
         (b"s-3", it.EngineState.READY),
@@ -95,7 +95,7 @@
 
 def test_a_new_engine_at_a_gone_ones_address_is_another():
     # A registry keyed by address would give a new engine the state (warm, draining) of the former one there.
-    told = papers.read(configuration(ENTRY), {}).known
+    told = front_config.read(configuration(ENTRY), {}).known
     roll = Roll()
     roll.replace(1, list(told), 0.0)
     fresh = told[0]._replace(engine=told[0].engine._replace(id=b"s-9"))
@@ -105,12 +105,12 @@
 
 
 def test_what_must_hold_is_raised_in_debug_builds():
-    tally = Tally()
-    assert tally.must(True, "a") and not tally.counts
+    metrics = Metrics()
+    assert metrics.check_invariant(True, "a") and not metrics.counts
     if __debug__:
         with pytest.raises(AssertionError):
-            tally.must(False, "b")
-    assert not __debug__ or tally.counts["broken: b"] == 1
+            metrics.check_invariant(False, "b")
+    assert not __debug__ or metrics.counts["broken: b"] == 1
 
 
 def test_what_the_decisions_are_given_can_be_looked_at(tmp_path):
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -9,8 +9,8 @@
 from thistlelever.budgets.plan import Plan, Share
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.links import Links, Refused
 from thistlelever.store.roll import Roll
 
@@ -62,7 +62,7 @@
         roll.replace(1, [old], 0.0)
         roll.begin(b"old")
         roll.replace(2, [entry(b"new", address)], 1.0)
-        links = Links(4, 1.0, 0.25, Tally())
+        links = Links(4, 1.0, 0.25, Metrics())
         links.reachable = roll.reachable
         with pytest.raises(Refused):
             await links.take(old, urgent=False)
@@ -75,10 +75,10 @@
 
 def test_budgets_count_the_threads_of_another_list_under_the_same_serial():
     """The directory's numbers may begin anew, so that a serial and a size tell no two lists apart."""
-    manifest = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
+    settings = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     roll, plan = Roll(), Plan({}, Share(weight=1.0))
     roll.update(2, [entry(b"a"), entry(b"b")], 0.0)
-    gate = Gate(manifest, plan, Terms(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
+    gate = Gate(settings, plan, Terms(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Metrics(), None)
     assert gate.threads() == 64.0
     roll.update(2, [entry(b"a"), entry(b"b", state=it.EngineState.DRAINING)], 1.0)
     assert gate.threads() == 32.0
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,7 +29,7 @@
     None,
     None,
 )
-MANIFEST = it.Settings(
+SETTINGS = it.Settings(
     2,
     0,
     (),
@@ -108,13 +108,13 @@
 
 class Play:
     def __init__(self):
-        self.manifest, self.groups, self.front, self.now, self.seen = MANIFEST, {}, None, 0.0, []
+        self.settings, self.groups, self.front, self.now, self.seen = SETTINGS, {}, None, 0.0, []
         self.entries = {}
 
     def tell(self, *events):
         if self.front is None:
-            manifest = self.manifest._replace(tariffs=tuple(self.groups.values()))
-            self.front = Front(manifest, 7)
+            settings = self.settings._replace(tariffs=tuple(self.groups.values()))
+            self.front = Front(settings, 7)
             whole = it.EngineListReceived(it.ListKind.CACHED, 1, tuple(self.entries.values()))
             events = (whole, *events)
         for action in self.front.handle(self.now, list(events)):
@@ -125,7 +125,7 @@
         getattr(self, "do_" + verb)(*words)
 
     def do_front(self, *words):
-        self.manifest = self.manifest._replace(**pairs(words))
+        self.settings = self.settings._replace(**pairs(words))
 
     def do_group(self, name, *words):
         self.groups[name] = GROUP._replace(name=name, **pairs(words))
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -17,8 +17,8 @@
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
 from thistlelever.ground import interface as it
-from thistlelever.ground import papers
-from thistlelever.ground.tally import Tally
+from thistlelever.ground import config as front_config
+from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
 from thistlelever.standins.papers import configuration
 from thistlelever.store.roll import Roll
@@ -36,7 +36,7 @@
         self.replica, self.told, self.forgotten = Replica(strict=False), [], []
         self.subscription = SimpleNamespace(replica=self.replica, heard_at=0.0)
         self.roll = Roll()
-        desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, tally=Tally())
+        desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, metrics=Metrics())
         names = KnownNames(("nord", "sud"), ("std",))
         self.list = SubscribedList(self.subscription, self.roll, self.forgotten.append, desk, names)
         self.fronts = 4
@@ -108,7 +108,7 @@
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, zone="elsewhere"), record("c", 3, kind="huge"))
     assert front.states() == {"a": READY}
-    assert front.list.desk.tally.counts["engines of the list that can't be used"] == 2
+    assert front.list.desk.metrics.counts["engines of the list that can't be used"] == 2
 
 
 class SubscribedStage(Stage):
@@ -131,7 +131,7 @@
         """Start the front with no engine known."""
         self.config = configuration((), settings=self.settings)
         await self.open_directory()
-        read = papers.read(self.config, {})
+        read = front_config.read(self.config, {})
         self.office = run.Office(read, self.log, lambda: read, self.operator(), self.operator)
         self.running = asyncio.create_task(self.office.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
--- a/tests/test_subset_decisions.py
+++ b/tests/test_subset_decisions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_scenarios import GROUP, MANIFEST
+from test_scenarios import GROUP, SETTINGS
 
 from thistlelever.admission.decide import BUSY, Front
 from thistlelever.ground import interface as it
@@ -14,8 +14,8 @@
 COLD, WARM = b"cold", tuple(b"warm-%d" % number for number in range(4))
 
 
-def manifest() -> it.Settings:
-    return MANIFEST._replace(
+def settings() -> it.Settings:
+    return SETTINGS._replace(
         fronts=FRONTS,
         tariffs=(GROUP._replace(goal=5.0, time_limit=10.0),),
         kind_cores=(CORES,),
@@ -47,7 +47,7 @@
 
     def __init__(self, fronts: int, told: it.EngineListReceived) -> None:
         self.now = 1000.0
-        self.fronts = [Front(manifest(), seed) for seed in range(fronts)]
+        self.fronts = [Front(settings(), seed) for seed in range(fronts)]
         self.out: list[dict[tuple[int, int], tuple[bytes, float]]] = [{} for _ in self.fronts]
         # When each batch went to the cold engine.
         self.sent: list[float] = []
@@ -121,7 +121,7 @@
 
 
 def told(*events: it.Event) -> Front:
-    front = Front(manifest(), 1)
+    front = Front(settings(), 1)
     for event in events:
         front.handle(1000.0, [event])
     return front
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,7 +10,7 @@
 
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
+from thistlelever.ground.config import Entry
 from thistlelever.ledger.records import Learnt
 from thistlelever.lifecycle import state
 from thistlelever.standins.directory import beside
--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -1,6 +1,6 @@
 """All decisions of one front: when, where and on what terms each batch is dispatched.
 
-    front = Front(manifest, seed)           # once, from what is read at start
+    front = Front(settings, seed)           # once, from what is read at start
     actions = front.handle(now, events)     # all events of one moment, answered in order
 
 The types are in `interface.py`; `docs/design.md` says what follows the paper and what departs from it.
@@ -97,8 +97,8 @@
 class Front:
     """The decisions of one front. It knows its own events and nothing else."""
 
-    def __init__(self, manifest: it.Settings, seed: int) -> None:
-        m, groups = manifest, manifest.tariffs
+    def __init__(self, settings: it.Settings, seed: int) -> None:
+        m, groups = settings, settings.tariffs
         self.seed, self.draws, self.now, self.groups = seed, 0, 0.0, groups
         self.tick, self.home, self.crossing = m.tick, m.zone, 10 * m.cross_price
         self.top = max(range(len(groups)), key=lambda g: groups[g].utility)
--- a/thistlelever/budgets/judge.py
+++ b/thistlelever/budgets/judge.py
@@ -23,7 +23,7 @@
 from thistlelever.budgets.throughput import Throughput
 from thistlelever.budgets.tree import BudgetTree, upwards
 from thistlelever.budgets.waits import Waits
-from thistlelever.ground.orders import Order, Preempt, Refuse, Release
+from thistlelever.ground.commands import Command, Preempt, Refuse, Release
 
 # Each so many releases the longest held of all that has waited half of its time goes first, whoever's it is.
 AGED_EVERY = 8
@@ -77,7 +77,7 @@
 
     # What it is told.
 
-    def submit(self, now: float, entry: Entry) -> list[Order]:
+    def submit(self, now: float, entry: Entry) -> list[Command]:
         """A batch has come. It is refused at once where it would wait past what its client does; else it is
         held, and goes with the next `tick`: what comes in one moment is weighed together."""
         self.counts["submitted"] += 1
@@ -97,7 +97,7 @@
         heappush(self.ageing, ((now + held.must_go_by()) / 2, entry.number))
         return []
 
-    def refuse_at_once(self, now: float, entry: Entry, leaf: Node, after: float, why: str) -> list[Order]:
+    def refuse_at_once(self, now: float, entry: Entry, leaf: Node, after: float, why: str) -> list[Command]:
         """The batch is not held at all."""
         self.counts["refused"] += 1
         self.tree.spare(leaf, now)
@@ -129,7 +129,7 @@
         if held := self.batches.get(number):
             held.began = True
 
-    def ended(self, now: float, number: int, true_work: float) -> list[Order]:
+    def ended(self, now: float, number: int, true_work: float) -> list[Command]:
         """Its answer is given and nothing of it is out; what it truly cost, 0 where nobody says."""
         held = self.batches.pop(number, None)
         if held is None:
@@ -149,7 +149,7 @@
         self.release_threads(held, real - held.charge, now)
         return self.go(now)
 
-    def left(self, now: float, number: int) -> list[Order]:
+    def left(self, now: float, number: int) -> list[Command]:
         """Its client has gone while it was held."""
         held = self.batches.get(number)
         if held is None or held.out:
@@ -157,7 +157,7 @@
         self.drop(held, "left", now)
         return self.go(now)
 
-    def capacity_is(self, now: float, threads: float) -> list[Order]:
+    def capacity_is(self, now: float, threads: float) -> list[Command]:
         """What all engines carry for this front, in threads: guarantees and ceilings are shares of it."""
         if threads == self.capacity:
             return []
@@ -169,7 +169,7 @@
             node.waits(threads)
         return self.go(now)
 
-    def tick(self, now: float) -> list[Order]:
+    def tick(self, now: float) -> list[Command]:
         """Time has passed: what can be held no longer is refused, what has aged counts so, idle nodes go."""
         # First what can go: a batch whose run outlasts its time is the decisions' to refuse, if it need not
         # wait.
@@ -197,7 +197,7 @@
             self.ageing[0][0] if self.ageing else float("inf"),
         )
 
-    def stops(self, now: float, at: float) -> list[Order]:
+    def stops(self, now: float, at: float) -> list[Command]:
         """The front ends then: what is held must have gone before, with the time for its run."""
         for held in self.batches.values():
             if held.entry.limit_at > at:
@@ -205,7 +205,7 @@
                 heappush(self.deadlines, (held.must_go_by(), held.entry.number))
         return self.tick(now)
 
-    def renew(self, now: float, plan: Plan, terms: Terms) -> list[Order]:
+    def renew(self, now: float, plan: Plan, terms: Terms) -> list[Command]:
         """Another tree: what is held and out moves into it, each once; what its leaf owed it owes there."""
         owed = {
             leaf.path()[1:]: max(leaf.finish - leaf.parent.time, 0.0)
@@ -216,7 +216,7 @@
         self.estimates.clear()
         moving = sorted(self.batches.values())
         self.held_width, self.slow, self.ageing, self.aged = 0.0, 0, [], []
-        actions: list[Order] = []
+        actions: list[Command] = []
         for held in moving:
             held.leaf, held.waiting = self.tree.leaf(held.entry.team, held.entry.group), False
             held.leaf.finish = held.leaf.finish or owed.get(held.leaf.path()[1:], 0.0)
@@ -237,9 +237,9 @@
 
     # What it does.
 
-    def go(self, now: float) -> list[Order]:
+    def go(self, now: float) -> list[Command]:
         """Release for as long as there is room and someone's turn."""
-        actions: list[Order] = []
+        actions: list[Command] = []
         while (held := self.next(now)) is not None:
             self.unhold(held)
             held.out, held.released = True, now
@@ -346,7 +346,7 @@
             node.waits(self.capacity)
         self.tree.spare(held.leaf, now)
 
-    def preempt(self, now: float) -> list[Order]:
+    def preempt(self, now: float) -> list[Command]:
         """Where a batch under its guarantee would miss its goal because others hold more than theirs: of
         those the least worthy, least far one is given up, if that pays and the bound on waste allows it.
 
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -19,7 +19,7 @@
 from thistlelever.store.batches import Batch
 from thistlelever.store.bounds import Bounds
 from thistlelever.store.stream import Stream
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
 from thistlelever.wire.inflow import Inflow, Purse, TooLong
 
@@ -48,8 +48,8 @@
 class Reception:
     """Takes connections and turns what clients submit into batches."""
 
-    def __init__(self, intake: Intake, courses: Courses, tally: Tally, log: Log, bounds: Bounds) -> None:
-        self.intake, self.courses, self.tally = intake, courses, tally
+    def __init__(self, intake: Intake, courses: Courses, metrics: Metrics, log: Log, bounds: Bounds) -> None:
+        self.intake, self.courses, self.metrics = intake, courses, metrics
         self.log, self.bounds = log, bounds
         self.ready: Callable[[], bool] = lambda: False
         self.unread, self.purse = 0, Purse(bounds.unfinished)
@@ -95,7 +95,7 @@
                 return
             except OSError:
                 # Risk: a port that stays readable and can't be taken from turns the loop into a spin.
-                self.tally.add("connections that could not be taken")
+                self.metrics.add("connections that could not be taken")
                 self.look_away()
                 return
             place = len(self.sessions) < self.bounds.sessions or self.close_one()
@@ -106,7 +106,7 @@
                 return
             if not place:
                 # All have batches open. A close is an answer too, and the next front may have a place.
-                self.tally.add("connections past the bound")
+                self.metrics.add("connections past the bound")
                 with suppress(OSError):
                     raw.close()
                 continue
@@ -115,7 +115,7 @@
                 raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             except OSError:
                 # The connection has ended already, or its answers leave a little later.
-                self.tally.add("connections without TCP_NODELAY")
+                self.metrics.add("connections without TCP_NODELAY")
             stream = Stream(
                 raw, max_buffer_size=LONGEST_LINE, max_write_buffer_size=MOST_UNREAD, read_chunk_size=BUFFER
             )
@@ -143,7 +143,7 @@
 
         for session in sorted((s for s in self.sessions if not s.open and not s.ending), key=idle_since):
             if not session.hears():
-                self.tally.add("idle clients closed for others")
+                self.metrics.add("idle clients closed for others")
                 session.left()
                 return True
         return False
@@ -154,7 +154,7 @@
         for session in [s for s in self.sessions if not s.open and not s.ending]:
             waits = session.spoken and session.inflow.start == session.inflow.end
             if now - session.since > (IDLE if waits else SILENT) and not session.hears():
-                self.tally.add("idle clients closed" if waits else "silent clients closed")
+                self.metrics.add("idle clients closed" if waits else "silent clients closed")
                 session.end()
 
     def batch(self, call: jsonrpc.Call) -> Batch:
@@ -177,7 +177,7 @@
 
     def __init__(self, stream: Stream, reception: Reception) -> None:
         self.stream, self.reception = stream, reception
-        self.tally = reception.tally
+        self.metrics = reception.metrics
         self.inflow = Inflow(BUFFER, LONGEST_LINE, reception.purse)
         self.open: dict[int, Batch] = {}
         self.latest, self.bad, self.slow_till = 0, 0, 0.0
@@ -198,7 +198,7 @@
                 try:
                     self.read()
                 except TooLong as why:
-                    self.tally.add("lines too long")
+                    self.metrics.add("lines too long")
                     self.write(jsonrpc.error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}"))
                     self.end_when_answered()
                 self.take_lines()
@@ -206,7 +206,7 @@
         except StreamClosedError:
             pass
         except Exception as why:
-            self.tally.add("session failed")
+            self.metrics.add("session failed")
             self.reception.log("session failed", why=repr(why))
         finally:
             self.left()
@@ -236,7 +236,7 @@
         if len(self.inflow.data) < READ_AHEAD and self.inflow.can_grow():
             return True
         if self.bad:
-            self.tally.add("clients that flood")
+            self.metrics.add("clients that flood")
             self.end_when_answered()
         return self.closing
 
@@ -325,14 +325,14 @@
                 self.submit(call)
                 self.bad = 0
         except jsonrpc.Bad as why:
-            self.tally.add("bad lines")
+            self.metrics.add("bad lines")
             self.bad += 1
             self.reception.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
             # Risk: an error under a number that is open would be the answer to what is open under it.
             number = None if why.number in self.open else why.number
             self.write(jsonrpc.error(number, why.code, why.why))
             if self.bad >= MOST_BAD:
-                self.tally.add("clients that send nothing of use")
+                self.metrics.add("clients that send nothing of use")
                 self.end_when_answered()
 
     def submit(self, call: jsonrpc.Call) -> None:
@@ -343,12 +343,12 @@
         batch = self.reception.batch(call)
         self.open[call.number] = batch
         self.latest = max(self.latest, call.number)
-        self.tally.add("taken")
+        self.metrics.add("taken")
 
         def answer(told) -> None:
             if self.open.pop(call.number, None) is batch:
                 self.since = clock.now()
-                self.tally.add(type(told).__name__)
+                self.metrics.add(type(told).__name__)
                 self.report(batch, told)
                 self.write(line(call.number, told))
                 self.end_if_answered()
@@ -366,7 +366,7 @@
 
     def withdraw(self, call: jsonrpc.Call) -> None:
         """The client has stopped waiting for one of its requests: nothing more is owed for it."""
-        self.tally.add("withdrawn")
+        self.metrics.add("withdrawn")
         named = call.params.get("id", call.number)
         for number, batch in list(self.open.items()):
             if named in (number, batch.asked.txn):
@@ -382,13 +382,13 @@
         if self.ending or self.stream.closed():
             return
         if self.reception.unread + len(data) > self.reception.bounds.unread:
-            self.tally.add("clients that do not read")
+            self.metrics.add("clients that do not read")
             self.stream.close()
             return
         try:
             written = self.stream.write(data)
         except StreamBufferFullError:
-            self.tally.add("clients that do not read")
+            self.metrics.add("clients that do not read")
             self.stream.close()
             return
         self.reception.unread += len(data)
@@ -414,7 +414,7 @@
     def abandon(self) -> None:
         """Nothing is owed any more for what is open here."""
         for _ in self.open:
-            self.tally.add("left with the connection")
+            self.metrics.add("left with the connection")
         for batch in self.open.values():
             batch.inbox.put_nowait(LEFT)
         self.open.clear()
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -14,9 +14,9 @@
 from thistlelever.carrier.flow import Begun
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import Preempt, Refuse, Release, TakenOver
+from thistlelever.ground.commands import Preempt, Refuse, Release, TakenOver
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
     from thistlelever.carrier.gate import Gate
@@ -37,7 +37,9 @@
 class Courses:
     """Runs one task a batch."""
 
-    def __init__(self, desk: Desk, dispatcher: Dispatcher, batches: Batches, tally: Tally, log: Log) -> None:
+    def __init__(
+        self, desk: Desk, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
+    ) -> None:
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
         self.gate: Gate | None = None
@@ -45,7 +47,7 @@
         # Where state is kept, what a former life has said of a batch.
         self.memory: Recollection | None = None
         self.desk, self.dispatcher, self.batches = desk, dispatcher, batches
-        self.tally, self.log = tally, log
+        self.metrics, self.log = metrics, log
         self.tasks: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, answer: Answer) -> None:
@@ -60,7 +62,7 @@
         try:
             await self.life(batch, answer)
         except Exception as why:
-            self.tally.add("course failed")
+            self.metrics.add("course failed")
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
             for number, task in batch.out.items():
                 task.cancel()
@@ -161,7 +163,7 @@
                     batch.flow.leave()
                     batch.out[batch.flow.number].cancel()
                 case _ if told is OVERDUE and not batch.answered:
-                    self.tally.add("left without an answer at the limit")
+                    self.metrics.add("left without an answer at the limit")
                     self.final(batch, answer, it.Error(batch.number))
                     self.desk.tell(it.ClientLeft(batch.number))
 
@@ -222,7 +224,7 @@
                     return False
                 case _ if told is OVERDUE:
                     # Nothing was ever sent, so that trying again is harmless.
-                    self.tally.add("held past the limit")
+                    self.metrics.add("held past the limit")
                     self.final(batch, answer, it.PushBack(batch.number, 0.0))
                     self.gate.left(batch)
                     return False
@@ -235,6 +237,6 @@
             limit.reschedule(clock.on_loop(batch.limit_at))
 
     def final(self, batch: Batch, answer: Answer, told: it.Action | End | Begun) -> None:
-        if self.tally.must(not batch.answered, "one final answer"):
+        if self.metrics.check_invariant(not batch.answered, "one final answer"):
             batch.answered = True
             answer(told)
--- a/thistlelever/carrier/desk.py
+++ b/thistlelever/carrier/desk.py
@@ -12,14 +12,14 @@
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.store.batches import Batches
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 
 class Desk:
     """Gathers what comes in one turn of the loop, tells it together, hands the actions on in order."""
 
-    def __init__(self, front: Front, tick: float, batches: Batches, tally: Tally, log: Log) -> None:
-        self.front, self.batches, self.tally, self.log = front, batches, tally, log
+    def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
+        self.front, self.batches, self.metrics, self.log = front, batches, metrics, log
         self.tick, self.rest_till = tick, 0.0
         self.events: list[it.Event] = []
         self.turns, self.spent = 0, 0.0
@@ -44,7 +44,7 @@
             actions = self.front.handle(clock.now(), events)
         except Exception as why:
             # What is open still gets its answer: each batch has a backstop at its time limit.
-            self.tally.add("decisions failed")
+            self.metrics.add("decisions failed")
             self.log("decisions failed", why=repr(why), trace=traceback.format_exc())
             if __debug__:
                 raise
@@ -71,6 +71,6 @@
             batch = self.batches.by_number.get(action.batch)
             if batch is None:
                 # Its client left, or its backstop struck, in the very moment of the action.
-                self.tally.add("actions for what is over")
+                self.metrics.add("actions for what is over")
             else:
                 batch.inbox.put_nowait(action)
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -11,10 +11,10 @@
 from thistlelever.carrier.desk import Desk
 from thistlelever.carrier.directory_sockets import DirectorySockets
 from thistlelever.ground import clock
-from thistlelever.ground.papers import Entry
+from thistlelever.ground.config import Entry
 from thistlelever.store.list_agreement import Answer, ListAgreement
 from thistlelever.store.roll import Roll, transitions
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import dns
 
 if TYPE_CHECKING:
@@ -41,13 +41,13 @@
         roll: Roll,
         forget: Callable[[it.EngineId], None],
         desk: Desk,
-        tally: Tally,
+        metrics: Metrics,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         seed: int,
     ) -> None:
         # What drops connections to an engine that is gone or was started anew.
-        self.roll, self.forget, self.desk, self.tally = roll, forget, desk, tally
+        self.roll, self.forget, self.desk, self.metrics = roll, forget, desk, metrics
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.asked = seed, 0
@@ -58,7 +58,7 @@
         # The latest query whose answer agreed with the list in force.
         self.agreement, self.settled_by = ListAgreement(), 0
         # Sockets are listened to for as long as late answers on their way to them would be read.
-        self.sockets = DirectorySockets(self.answered, PATIENCE + READ_LATE, tally)
+        self.sockets = DirectorySockets(self.answered, PATIENCE + READ_LATE, metrics)
         self.renewal: asyncio.Task | None = None
         self.opening: asyncio.Task | None = None
         self.last, self.misses, self.heard_at = b"", 0, 0.0
@@ -85,7 +85,7 @@
         try:
             await self.sockets.open(address)
         except OSError as why:
-            self.tally.add("directory: no socket")
+            self.metrics.add("directory: no socket")
             self.desk.log("directory can't be asked yet", address=address, why=str(why))
             return False
         self.drop_queries()
@@ -97,7 +97,7 @@
         """Ask by a new socket."""
         if await self.sockets.renew():
             sockets = len(self.sockets.transports)
-            self.tally.add("directory asked by a new socket")
+            self.metrics.add("directory asked by a new socket")
             self.desk.log("directory asked by a new socket", asked=self.asked, sockets=sockets)
             self.ask(by_order=False)
 
@@ -153,7 +153,7 @@
         loop = asyncio.get_running_loop()
         query, _ = self.awaited.pop(number)
         self.overdue[number] = query, loop.call_later(READ_LATE, self.overdue.pop, number, None)
-        self.tally.add("directory silent")
+        self.metrics.add("directory silent")
         if self.sockets.unanswered():
             self.renewal = loop.create_task(self.renew())
         self.missed()
@@ -167,14 +167,14 @@
         in_time = number in self.awaited
         due = self.awaited.pop(number, None) or self.overdue.pop(number, None)
         if due is None:
-            self.tally.add("directory answers unasked for")
+            self.metrics.add("directory answers unasked for")
             return
         query, timer = due
         timer.cancel()
         try:
             settled = self.take(data, number, query)
         except (dns.Unreadable, KeyError, ValueError) as why:
-            self.tally.add("directory answers out of form")
+            self.metrics.add("directory answers out of form")
             self.desk.log("directory answer out of form", why=str(why))
             settled = False
         if in_time and settled:
@@ -194,7 +194,7 @@
         held = Answer(self.roll.serial, self.roll.listing())
         if answer.serial <= held.serial and query < self.settled_by:
             # It was overtaken on its way by one to a later query.
-            self.tally.add("directory answers overtaken by later ones")
+            self.metrics.add("directory answers overtaken by later ones")
             return True
         step = self.agreement.heard(answer, held, clock.now())
         if self.agreement.contrary is answer:
@@ -222,7 +222,7 @@
         differing = transitions(self.roll.states(), listed)
         serial, held = answer.serial, self.roll.serial
         what = "older than the list" if serial < held else "that differ under one serial"
-        self.tally.add(f"directory answers {what}")
+        self.metrics.add(f"directory answers {what}")
         self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
     def hold(self, serial: int, entries: list[Entry]) -> None:
@@ -270,8 +270,8 @@
 class Deaf(asyncio.DatagramProtocol):
     """Where other fronts' datagrams arrive. The decisions use none: they are dropped and counted."""
 
-    def __init__(self, tally: Tally) -> None:
-        self.tally = tally
+    def __init__(self, metrics: Metrics) -> None:
+        self.metrics = metrics
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
-        self.tally.add("datagrams of other fronts")
+        self.metrics.add("datagrams of other fronts")
--- a/thistlelever/carrier/directory_sockets.py
+++ b/thistlelever/carrier/directory_sockets.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 from thistlelever.ground import clock
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 # So many queries in a row without any answer, and the next goes by a new socket: a way that has fallen silent
 # without a word stays so, and what is told must be known within 1.5 s.
@@ -20,9 +20,9 @@
     """The last socket opened asks. Those before it are listened to for as long as late answers may be on
     their way to them: closed sooner, they take along all that a slow directory tells."""
 
-    def __init__(self, received: Callable[[bytes], None], listened: float, tally: Tally) -> None:
+    def __init__(self, received: Callable[[bytes], None], listened: float, metrics: Metrics) -> None:
         """`received` is handed each datagram; `listened`: seconds that a socket that was left is kept."""
-        self.received, self.listened, self.tally = received, listened, tally
+        self.received, self.listened, self.metrics = received, listened, metrics
         self.transports: list[asyncio.DatagramTransport] = []
         self.address: tuple[str, int] | None = None
         # Queries in a row without an answer, and when the socket that asks was opened.
@@ -71,7 +71,7 @@
             self.transports.append(transport)
             asyncio.get_running_loop().call_later(self.listened, self.leave, left)
             return True
-        self.tally.add("directory: no new socket")
+        self.metrics.add("directory: no new socket")
         return False
 
     def leave(self, transport: asyncio.DatagramTransport) -> None:
@@ -100,7 +100,7 @@
 
     def error_received(self, why: OSError) -> None:
         """A call on the socket failed; the query counts as one without an answer."""
-        self.sockets.tally.add("directory out of reach")
+        self.sockets.metrics.add("directory out of reach")
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
         """Hand on what came."""
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -15,8 +15,8 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
 
@@ -121,17 +121,17 @@
 
     def __init__(
         self,
-        manifest: it.Settings,
+        settings: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
         desk: Desk,
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
-        self.cancels, self.copies = manifest.cancel, manifest.copies
+        self.cancels, self.copies = settings.cancel, settings.copies
         # What an entry's engine speaks.
         self.speech = speech
-        self.roll, self.desk, self.tally, self.log = roll, desk, tally, log
+        self.roll, self.desk, self.metrics, self.log = roll, desk, metrics, log
         self.asides: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
@@ -146,7 +146,7 @@
     def finished(self, batch: Batch, end: End) -> None:
         """The one place where a dispatch's end is told, however its task ended."""
         self.roll.end(end.engine)
-        self.tally.add(f"dispatches {end.outcome.name.lower()}")
+        self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
     def may_begin(self, batch: Batch, order: it.Dispatch) -> bool:
@@ -156,7 +156,7 @@
         why = self.withheld(batch, order)
         if not why:
             return True
-        self.tally.add(f"dispatches withheld: {why}")
+        self.metrics.add(f"dispatches withheld: {why}")
         self.log("dispatch withheld", id=batch.asked.txn, engine=order.engine.decode("latin-1"), why=why)
         return False
 
@@ -192,7 +192,7 @@
         except Ended as why:
             end.outcome = why.outcome
         except Exception as why:
-            self.tally.add("dispatch failed")
+            self.metrics.add("dispatch failed")
             self.log("dispatch failed", why=repr(why), trace=traceback.format_exc())
             end.outcome = it.DispatchOutcome.ERRORED
         end.took = clock.now() - begun
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -18,8 +18,8 @@
 from thistlelever.carrier.flow import Begun, Flow
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
 from thistlelever.wire.flight import columns
@@ -99,16 +99,16 @@
 
     def __init__(
         self,
-        manifest: it.Settings,
+        settings: it.Settings,
         roll: Roll,
         desk: Desk,
-        tally: Tally,
+        metrics: Metrics,
         held: int,
         between: int,
         purse: Purse,
     ) -> None:
-        self.fields, self.connect_limit = manifest.report_fields, manifest.connect_limit
-        self.roll, self.desk, self.tally = roll, desk, tally
+        self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
+        self.roll, self.desk, self.metrics = roll, desk, metrics
         # What one result may hold before it begins to go on, and all of them together.
         self.held, self.purse = held, purse
         # What of a result that goes on may lie between its engine and its client.
@@ -177,7 +177,7 @@
             # Its channel was let go between two calls, as its engine is gone or its connection was lost.
             raise Ended(it.DispatchOutcome.RESET) from None
         except Unreadable as why:
-            self.tally.add("flight results without use")
+            self.metrics.add("flight results without use")
             self.desk.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
             # What we stop reading its engine may run on.
             await self.give_up(batch, entry, sent)
@@ -329,7 +329,7 @@
             if code is None:
                 break
             await asyncio.sleep(RETRY_PACE)
-        self.tally.add("flight cancel failed")
+        self.metrics.add("flight cancel failed")
 
     async def cancel(self, entry: Entry, name: Name, order: bytes) -> StatusCode | None:
         """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
@@ -355,7 +355,7 @@
         try:
             await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.name(number)))
         except (aio.AioRpcError, Ended):
-            self.tally.add("flight priority failed")
+            self.metrics.add("flight priority failed")
 
     async def act(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
         """An action's first result."""
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/gate.py
@@ -10,8 +10,8 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import Preempt
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.commands import Preempt
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.roll import Roll
 
@@ -26,23 +26,23 @@
 
     def __init__(
         self,
-        manifest: it.Settings,
+        settings: it.Settings,
         plan: Plan,
         terms: Terms,
         threads_a_core: float,
         seed: int,
         batches: Batches,
         roll: Roll,
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
-        self.query_classes = {t.name: t for t in manifest.tariffs}
-        self.fronts, self.kind_cores = max(manifest.fronts, 1), manifest.kind_cores
+        self.query_classes = {t.name: t for t in settings.tariffs}
+        self.fronts, self.kind_cores = max(settings.fronts, 1), settings.kind_cores
         self.threads_a_core = threads_a_core
         # The revision of the engine list that `found` was worked out from.
         self.revision, self.found = -1, 0.0
-        self.batches, self.roll, self.tally, self.log = batches, roll, tally, log
-        self.usual = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
+        self.batches, self.roll, self.metrics, self.log = batches, roll, metrics, log
+        self.usual = {t.name: t.goal * t.width / 4 for t in settings.tariffs}
         self.judge = Judge(plan, terms, seed, self.threads())
         self.due: asyncio.TimerHandle | asyncio.Handle | None = None
         self.soon = False
@@ -106,7 +106,7 @@
         self.soon, now = False, clock.now()
         self.carry(self.judge.capacity_is(now, self.threads()))
         self.carry(self.judge.tick(now))
-        self.tally.must(self.judge.conserved(), "budgets lose or double nothing")
+        self.metrics.check_invariant(self.judge.conserved(), "budgets lose or double nothing")
         if self.judge.root.held:
             at = min(max(self.judge.next_at(), now), now + LOOK)
             self.due = asyncio.get_running_loop().call_at(clock.on_loop(at), self.look)
@@ -128,10 +128,10 @@
         for action in actions:
             batch = self.batches.by_number.get(action.number)
             if batch is None:
-                self.tally.add("budget actions for what is over")
+                self.metrics.add("budget actions for what is over")
             else:
                 batch.inbox.put_nowait(action)
-                self.tally.add(f"budgets: {type(action).__name__.lower()}")
+                self.metrics.add(f"budgets: {type(action).__name__.lower()}")
 
     def preempted(self, batch: Batch, told: Preempt) -> it.PushBack | it.Error:
         """What the client of a batch that is given up hears. Risk: one that has had its single allowed
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -10,8 +10,8 @@
 from thistlelever.carrier.dispatch import End, Ended, Sending
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.links import Broken, Link, Links, Refused, Short, Silent, Unreached
 from thistlelever.store.roll import Roll
@@ -50,18 +50,18 @@
 class HttpEngines:
     """The platform's own way to its engines; see `Speech` in `dispatch.py`."""
 
-    def __init__(self, manifest: it.Settings, roll: Roll, links: Links, desk: Desk, tally: Tally) -> None:
-        self.fields, self.probe_limit = manifest.report_fields, manifest.connect_limit
+    def __init__(self, settings: it.Settings, roll: Roll, links: Links, desk: Desk, metrics: Metrics) -> None:
+        self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
         self.once_only = frozenset(
-            t.name for t in manifest.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
+            t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
         )
         # Groups that a wrong word of 'never ran' does harm to: they may not go just anywhere after it.
         self.wary = self.once_only | {
             t.name
-            for t in manifest.tariffs
+            for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
-        self.roll, self.links, self.desk, self.tally = roll, links, desk, tally
+        self.roll, self.links, self.desk, self.metrics = roll, links, desk, metrics
 
     async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         path = way(batch, end.number)
@@ -213,10 +213,10 @@
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
         if not self.roll.open_to(entry.engine.id):
-            self.tally.add(f"calls to engines that drain or are gone: {method}")
+            self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
     def spoilt(self, why: Exception) -> None:
-        self.tally.add(f"calls without a reply of use: {type(why).__name__}")
+        self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
     def read(self, reply: http.Reply, page: int, link: Link, end: End, sent: Sending, batch: Batch) -> None:
         """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
@@ -270,7 +270,7 @@
                 finally:
                     self.links.give_back(link)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
-            self.tally.add("PUT failed")
+            self.metrics.add("PUT failed")
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
         """The DELETE, until the engine has it, or no longer holds the batch anyway: it is dead, or has not
@@ -317,7 +317,7 @@
             # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
             except (Unreached, Broken, Silent, Short):
                 await asyncio.sleep(RETRY_PACE)
-        self.tally.add("DELETE failed")
+        self.metrics.add("DELETE failed")
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/intake.py
@@ -18,10 +18,10 @@
 class Intake:
     """Makes batches of what clients submit. It takes none: a batch is taken once its course has begun."""
 
-    def __init__(self, manifest: it.Settings, pulse: Pulse, batches: Batches) -> None:
-        self.groups = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
-        self.consignors = {c.name: p for p, c in enumerate(manifest.consignors)}
-        self.most_memory = max(manifest.kind_memory, default=float("inf")) * MOST_MEMORIES
+    def __init__(self, settings: it.Settings, pulse: Pulse, batches: Batches) -> None:
+        self.groups = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
+        self.consignors = {c.name: p for p, c in enumerate(settings.consignors)}
+        self.most_memory = max(settings.kind_memory, default=float("inf")) * MOST_MEMORIES
         self.pulse, self.batches, self.stop_at = pulse, batches, float("inf")
 
     def batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -8,7 +8,7 @@
 from thistlelever.carrier.peers import Peers
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.membership.facts import Send, View
 from thistlelever.membership.judge import Judge
 from thistlelever.wire import peers as wire
@@ -18,9 +18,9 @@
     """One judge on the loop's clock. `on_view` is told whenever what others may act on has changed."""
 
     def __init__(
-        self, judge: Judge, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
+        self, judge: Judge, peers: Peers, metrics: Metrics, log: Log, on_view: Callable[[View], None]
     ) -> None:
-        self.judge, self.peers, self.tally, self.log, self.on_view = judge, peers, tally, log, on_view
+        self.judge, self.peers, self.metrics, self.log, self.on_view = judge, peers, metrics, log, on_view
         self.timer: asyncio.TimerHandle | None = None
         self.told: View | None = None
         peers.matters[wire.MEMBERSHIP] = self.heard
@@ -62,7 +62,7 @@
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
         for change in self.judge.changes:
             mine, state = change.name == self.judge.me.name, change.state.name.lower()
-            self.tally.add(f"membership: {change.path}" if mine else f"members: {state}")
+            self.metrics.add(f"membership: {change.path}" if mine else f"members: {state}")
             # A kind of line for each state: the log bounds lines by kind, and doubts must not crowd out
             # deaths.
             self.log(
--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import peers as wire
 
 Address = tuple[str, int]
@@ -21,8 +21,8 @@
     """Reads and writes datagrams of one tier. `fresh` is asked before what waits is read: where it says no,
     what waits is older than a pause of this front and is let go."""
 
-    def __init__(self, address: Address, tier: str, tally: Tally) -> None:
-        self.address, self.tier, self.tally = address, wire.tag(tier), tally
+    def __init__(self, address: Address, tier: str, metrics: Metrics) -> None:
+        self.address, self.tier, self.metrics = address, wire.tag(tier), metrics
         self.matters: dict[int, Callable[[Address, bytes], None]] = {}
         self.fresh: Callable[[], bool] = lambda: True
         self.raw: socket.socket | None = None
@@ -58,24 +58,27 @@
                 return
             except OSError:
                 # What was sent to nobody comes back as an error of the next read.
-                self.tally.add("peers: out of reach")
+                self.metrics.add("peers: out of reach")
                 continue
             if not fresh:
-                self.tally.add("peers: older than a pause")
+                self.metrics.add("peers: older than a pause")
                 continue
             try:
                 matter, body = wire.opened(data, self.tier)
                 self.matters[matter](source, body)
             except wire.Unfit as why:
-                self.tally.add(f"peers: {why.kind}")
+                self.metrics.add(f"peers: {why.kind}")
             except KeyError:
-                self.tally.add("peers: of another matter")
+                self.metrics.add("peers: of another matter")
 
     def send(self, address: Address, data: bytes) -> None:
         """Risk: a datagram longer than the platform's bound voids a run; none is sent."""
-        if not self.tally.must(len(data) <= wire.LONGEST, "datagrams within their bound") or self.raw is None:
+        if (
+            not self.metrics.check_invariant(len(data) <= wire.LONGEST, "datagrams within their bound")
+            or self.raw is None
+        ):
             return
         try:
             self.raw.sendto(data, address)
         except OSError:
-            self.tally.add("peers: could not be sent")
+            self.metrics.add("peers: could not be sent")
--- a/thistlelever/carrier/recollection.py
+++ b/thistlelever/carrier/recollection.py
@@ -7,7 +7,7 @@
 from thistlelever.admission.decide import NEVER_RAN
 from thistlelever.carrier.dispatch import End
 from thistlelever.ground import interface as it
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
 
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        manifest: it.Settings,
+        settings: it.Settings,
         roll: Roll,
-        tally: Tally,
+        metrics: Metrics,
         remember: Callable[[bytes, tuple[it.EngineId, Name, float] | None], None],
         find: Callable[[bytes], tuple[it.EngineId, Name, float] | None],
     ) -> None:
-        self.query_classes = {t.name: t for t in manifest.tariffs}
-        self.roll, self.tally, self.remember, self.find = roll, tally, remember, find
+        self.query_classes = {t.name: t for t in settings.tariffs}
+        self.roll, self.metrics, self.remember, self.find = roll, metrics, remember, find
 
     def referenced(self, batch: Batch) -> bool:
         repeat = self.query_classes[batch.lane].repeat
@@ -62,7 +62,7 @@
             good = False
         else:
             good = goes_on_from(batch, query_class, self.roll, name, engine, ran_for)
-        self.tally.add("state: gone on with" if good else "state: told that it is not known")
+        self.metrics.add("state: gone on with" if good else "state: told that it is not known")
         return None if good else it.Error(batch.number)
 
     def goes_out(self, batch: Batch, number: int, engine: it.EngineId) -> None:
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -12,7 +12,7 @@
 from thistlelever.distribution.records import EngineRecord, engines_of
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
+from thistlelever.ground.config import Entry
 from thistlelever.store.roll import Roll, transitions
 
 
@@ -127,7 +127,7 @@
         try:
             return record, self.made(record)
         except (UnknownNameError, ValueError) as error:
-            self.desk.tally.add("engines of the list that can't be used")
+            self.desk.metrics.add("engines of the list that can't be used")
             self.desk.log("engine not usable", engine=record.id, why=str(error))
             return None
 
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -14,9 +14,9 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import TakenOver
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.commands import TakenOver
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
 from thistlelever.takeover.facts import Address, AskOn, CallOff, Enough, Group, Say, Told, may_have_run
@@ -62,7 +62,7 @@
         told = await wards.answer(ward)
         if told.say is Say.ALONE and not self.group.demands:
             # It can't be known, and what then is done is what a lone front does.
-            wards.tally.add("takeover: dispatched unprotected")
+            wards.metrics.add("takeover: dispatched unprotected")
             ward.bare = "no majority for its dispatch"
             return True
         return told.say is Say.SURE
@@ -76,7 +76,7 @@
             return Say.SURE
         wards.judge.confirm(clock.now(), ward)
         told = await wards.answer(ward, ward.limit_at)
-        wards.tally.add(f"takeover: asked whether still its own: {told.say.value}")
+        wards.metrics.add(f"takeover: asked whether still its own: {told.say.value}")
         return told.say
 
     async def settled(self, told):
@@ -84,7 +84,7 @@
         say = await self.holds()
         if say is Say.SURE or say is Say.ALONE and (type(told) is not it.PushBack or self.group.repeatable):
             return told
-        self.wards.tally.add("takeover: answers left to another")
+        self.wards.metrics.add("takeover: answers left to another")
         return it.Error(self.batch.number)
 
     async def may_call_off(self) -> bool:
@@ -116,15 +116,15 @@
         self,
         judge: Judge,
         peers: Peers,
-        manifest: it.Settings,
+        settings: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
         self.judge, self.peers, self.roll, self.speech = judge, peers, roll, speech
-        self.tally, self.log = tally, log
-        self.query_classes = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
+        self.metrics, self.log = metrics, log
+        self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
         self.guards: dict[bytes, Guard] = {}
         self.asking: dict[bytes, asyncio.Task] = {}
@@ -172,7 +172,7 @@
                 return answer
             self.judge.close(clock.now(), ward)
             heard = told.value or heard
-            self.tally.add("takeover: led to another front's run")
+            self.metrics.add("takeover: led to another front's run")
             end = await self.read(batch, told.value) if may_have_run(told.value) else None
             if end:
                 return end
@@ -188,7 +188,7 @@
         unknown = told.say in (Say.UNSURE, Say.ALONE) or (
             told.say is Say.FRESH and told.value is None and not demands
         )
-        self.tally.add(f"takeover: {told.say.value}")
+        self.metrics.add(f"takeover: {told.say.value}")
         if may_have_run(told.value):
             # Without a majority too: what is known to have begun is not begun anew.
             if not self.adopts(batch, told.value, query_class):
@@ -199,15 +199,15 @@
         elif unknown and demands:
             # Risk: a first try that lay unread while its front was stopped comes after its own retry, and
             # where a place has forgotten that one, nothing is known is no proof.
-            self.tally.add("takeover: refused unprotected")
+            self.metrics.add("takeover: refused unprotected")
             return it.PushBack(batch.number, 0.0)
-        self.tally.add("takeover: unprotected" if ward.bare else "takeover: protected")
+        self.metrics.add("takeover: unprotected" if ward.bare else "takeover: protected")
         batch.ward = Guard(self, batch, ward)
         self.guards[ward.owner.txn] = batch.ward
         return None
 
     def not_known(self, batch: Batch, told: Told, why: str) -> it.Error:
-        self.tally.add("takeover: told that it is not known")
+        self.metrics.add("takeover: told that it is not known")
         self.log(
             "work not known", batch=batch.asked.txn, mark=batch.asked.reference, say=told.say.value, why=why
         )
@@ -220,7 +220,7 @@
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
         good = goes_on_from(batch, query_class, self.roll, *begun)
         if 0 in batch.under:
-            self.tally.add("takeover: adopted")
+            self.metrics.add("takeover: adopted")
             self.log(
                 "work adopted",
                 batch=batch.asked.txn,
@@ -247,7 +247,7 @@
             self.roll.end(end.engine)
         if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
-        self.tally.add("takeover: read another front's run")
+        self.metrics.add("takeover: read another front's run")
         return end
 
     async def answer(self, ward: Ward, limit_at: float = float("inf")) -> Told:
@@ -322,7 +322,7 @@
             elif told.say is Say.LOST:
                 self.tell_lost(ward)
         for note in judge.notes:
-            self.tally.add(f"work {note.what}")
+            self.metrics.add(f"work {note.what}")
             self.log(f"work {note.what}", key=note.key.hex(), **note.facts)
         for order in judge.orders:
             self.carry(order)
@@ -370,7 +370,7 @@
             entry = self.roll.entries.get(order.engine.encode("latin-1"))
             name = Name(order.txn.hex(), order.number)
             said = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
-            self.tally.add(f"takeover: asked on: {said}")
+            self.metrics.add(f"takeover: asked on: {said}")
             self.judge.heirs.asked(order.key, said)
             self.soon()
             await asyncio.sleep(self.judge.terms.ask)
@@ -380,7 +380,7 @@
             await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
 
 
-def groups(manifest: it.Settings, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
+def groups(settings: it.Settings, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
     """The service groups as the judgement knows them; where nothing is said once-only ones demand
     protection."""
 
@@ -395,4 +395,4 @@
             demands,
         )
 
-    return tuple(one(query_class) for query_class in manifest.tariffs)
+    return tuple(one(query_class) for query_class in settings.tariffs)
--- a/thistlelever/cli/common.py
+++ b/thistlelever/cli/common.py
@@ -10,8 +10,8 @@
 import click
 import orjson
 
-from thistlelever.ground import papers
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground import config as front_config
+from thistlelever.ground.settings import ConfigError
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator
@@ -36,15 +36,15 @@
     sys.exit(code)
 
 
-def load_config() -> papers.Papers:
+def load_config() -> front_config.Config:
     """The configuration that BALANCER_CONFIG names; exit 2 where it can't be read."""
     try:
-        return papers.load()
-    except Unreadable as error:
+        return front_config.load()
+    except ConfigError as error:
         exit_with_error(error)
 
 
-def load_operator_file(path: str | None, config: papers.Papers | None = None) -> Operator | None:
+def load_operator_file(path: str | None, config: front_config.Config | None = None) -> Operator | None:
     """The operator file, or None where none is named: then nothing of it is imported.
 
     Where a configuration is given, what a section needs of it is checked too. Exit 2 on a fault.
@@ -56,14 +56,14 @@
         if config:
             check_against_config(operator, config)
         return operator
-    except Unreadable as error:
+    except ConfigError as error:
         exit_with_error(error)
 
 
 def read_operator_file(path: str) -> Operator:
-    """The operator file, checked as far as it can be without starting anything; raises `Unreadable`."""
+    """The operator file, checked as far as it can be without starting anything; raises `ConfigError`."""
     if find_spec("msgspec") is None:
-        raise Unreadable("operator file: wants the extra 'operator' (pip install 'thistlelever[operator]')")
+        raise ConfigError("operator file: wants the extra 'operator' (pip install 'thistlelever[operator]')")
     from thistlelever.ground import operator as operator_file
 
     operator = operator_file.load(path)
@@ -74,8 +74,8 @@
     return operator
 
 
-def check_against_config(operator: Operator, config: papers.Papers) -> None:
-    """Raise `Unreadable` where a section that is on needs what the configuration does not say."""
+def check_against_config(operator: Operator, config: front_config.Config) -> None:
+    """Raise `ConfigError` where a section that is on needs what the configuration does not say."""
     if operator.membership:
         from thistlelever.lifecycle import membership
 
--- a/thistlelever/cli/configuration.py
+++ b/thistlelever/cli/configuration.py
@@ -18,7 +18,7 @@
     switched_on = load_operator_file(operator, config)
     click.echo(
         f"{config.name}: listens at {config.listen[0]}:{config.listen[1]}, "
-        f"{len(config.manifest.tariffs)} service groups, {len(config.known)} engines known"
+        f"{len(config.settings.tariffs)} service groups, {len(config.known)} engines known"
     )
     if switched_on is None:
         return
@@ -30,7 +30,7 @@
 @click.command()
 def show() -> None:
     """Print the terms that the decisions are given, as JSON."""
-    settings = orjson.dumps(to_plain(load_config().manifest), option=orjson.OPT_INDENT_2)
+    settings = orjson.dumps(to_plain(load_config().settings), option=orjson.OPT_INDENT_2)
     click.echo(settings.decode())
 
 
--- a/thistlelever/demo.py
+++ b/thistlelever/demo.py
@@ -7,7 +7,7 @@
 from base64 import b64decode, b64encode
 from contextlib import suppress
 
-from thistlelever.ground import papers
+from thistlelever.ground import config as front_config
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine, rows
@@ -46,7 +46,7 @@
             engine.text = RESULT
             await engine.start()
         self.directory, known = await directory.beside(self.stir, self.engines)
-        told = papers.read(configuration(known, f"127.0.0.1:{self.directory.port}"), {})
+        told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}"), {})
         ready = asyncio.get_running_loop().create_future()
 
         def log(event, **facts) -> None:
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -31,7 +31,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.operator import Flight
 from thistlelever.ground.submission import Unfit
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.state.prepared import Shelf
 from thistlelever.state.sessions import Sessions, figure
 from thistlelever.state.tickets import Tickets, Verdict
@@ -80,10 +80,10 @@
     """Serves on one port. Each call is one task, from its request to its status."""
 
     def __init__(
-        self, terms: Flight, name: str, intake: Intake, courses: Courses, tally: Tally, log: Log
+        self, terms: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
     ) -> None:
         self.terms, self.intake, self.courses = terms, intake, courses
-        self.tally, self.log = tally, log
+        self.metrics, self.log = metrics, log
         self.seal = Seal(name)
         self.tickets = Tickets(name, self.seal.life, terms.tickets)
         self.shelf = Shelf(terms.prepared, terms.idle_s)
@@ -142,7 +142,7 @@
         """A call's whole course: whatever goes wrong in it ends it with a status that says what."""
 
         async def whole(request, context: aio.ServicerContext):
-            self.tally.add("flight calls")
+            self.metrics.add("flight calls")
             try:
                 return await serve(request, context)
             except Refusal as why:
@@ -155,13 +155,13 @@
                 raise
             except aio.InternalError:
                 # The call is over on the client's side: there is nobody left to write to.
-                self.tally.add("flight clients gone")
+                self.metrics.add("flight clients gone")
                 return None
             except Exception as why:
-                self.tally.add("flight call failed")
+                self.metrics.add("flight call failed")
                 self.log("flight call failed", why=repr(why), trace=traceback.format_exc())
                 refusal = Refusal(StatusCode.INTERNAL, "a fault of the front")
-            self.tally.add(f"flight calls ended {refusal.code.name}")
+            self.metrics.add(f"flight calls ended {refusal.code.name}")
             return await context.abort(refusal.code, refusal.why, refusal.metadata)
 
         return whole
@@ -290,7 +290,7 @@
                 await self.deliver(batch, context)
         except TimeoutError:
             # Its reader is slow: what it has is not the whole, and its status says so.
-            self.tally.add("flight readers too slow")
+            self.metrics.add("flight readers too slow")
             raise answers.broken_off(it.DispatchOutcome.TIMED_OUT) from None
 
     def ticket_refused(self, verdict: Verdict) -> Refusal:
--- a/thistlelever/flight/taking.py
+++ b/thistlelever/flight/taking.py
@@ -40,11 +40,11 @@
                 told.set_result(said)
 
         door.open[batch.asked.txn] = Open(batch, told)
-        door.tally.add("taken")
+        door.metrics.add("taken")
         door.courses.start(batch, answer)
         try:
             said = await told
-            door.tally.add(type(said).__name__)
+            door.metrics.add(type(said).__name__)
             if type(said) not in (End, Begun):
                 raise door.meaning(said, batch)
         except BaseException:
--- a/thistlelever/ground/orders.py
+++ b/thistlelever/ground/commands.py
@@ -39,4 +39,4 @@
     number: int
 
 
-Order = Release | Refuse | Preempt | TakenOver
+Command = Release | Refuse | Preempt | TakenOver
--- a/thistlelever/ground/papers.py
+++ b/thistlelever/ground/config.py
@@ -9,8 +9,7 @@
 import orjson
 
 from thistlelever.ground import interface as it
-from thistlelever.ground import manifest
-from thistlelever.ground.manifest import SettingsReader, Unreadable
+from thistlelever.ground.settings import ConfigError, SettingsReader, build_settings
 
 Address = tuple[str, int]
 # Defaults of the section `limits`: file descriptors, memory in MB and CPU cores of the front. They bound its
@@ -31,7 +30,7 @@
     address: Address
 
 
-class Papers(NamedTuple):
+class Config(NamedTuple):
     """The configuration of one front.
 
     `seed` seeds its random choices; `directory` is the address of the DNS directory; `known` is the list of
@@ -56,22 +55,22 @@
     kinds: tuple[str, ...]
     idle: float
     answer_slack: float
-    manifest: it.Settings
+    settings: it.Settings
 
 
 class ConfigNode:
     """A JSON value of the configuration with its path, which error messages name.
 
-    All methods raise `Unreadable` where the value is not of the form they return.
+    All methods raise `ConfigError` where the value is not of the form they return.
     """
 
     def __init__(self, value, path: str = "") -> None:
         """Wrap a decoded value; the root has the empty path."""
         self.value, self.path = value, path
 
-    def expected(self, wanted: str) -> Unreadable:
+    def expected(self, wanted: str) -> ConfigError:
         """Return the error that says what was expected at this path."""
-        return Unreadable(f"{self.path or 'the configuration'}: {wanted} expected")
+        return ConfigError(f"{self.path or 'the configuration'}: {wanted} expected")
 
     def require(self, key: str) -> ConfigNode:
         """Return the value of a required key of an object."""
@@ -79,7 +78,7 @@
         if type(self.value) is not dict:
             raise self.expected("an object")
         if key not in self.value:
-            raise Unreadable(f"{path}: missing")
+            raise ConfigError(f"{path}: missing")
         return ConfigNode(self.value[key], path)
 
     def get(self, key: str) -> ConfigNode | None:
@@ -132,23 +131,23 @@
         return host, int(port)
 
 
-def load(environ: Mapping[str, str] = os.environ) -> Papers:
-    """Read the configuration from the file that BALANCER_CONFIG names; raises `Unreadable`."""
+def load(environ: Mapping[str, str] = os.environ) -> Config:
+    """Read the configuration from the file that BALANCER_CONFIG names; raises `ConfigError`."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise Unreadable("BALANCER_CONFIG: missing; the path of the configuration is expected")
+        raise ConfigError("BALANCER_CONFIG: missing; the path of the configuration is expected")
     try:
         with open(path, "rb") as file:
             value = orjson.loads(file.read())
     except OSError as why:
-        raise Unreadable(f"BALANCER_CONFIG: {path}: {why.strerror}") from None
+        raise ConfigError(f"BALANCER_CONFIG: {path}: {why.strerror}") from None
     except orjson.JSONDecodeError as why:
-        raise Unreadable(f"BALANCER_CONFIG: {path}: no JSON: {why}") from None
+        raise ConfigError(f"BALANCER_CONFIG: {path}: no JSON: {why}") from None
     return read(value, environ)
 
 
-def read(value, environ: Mapping[str, str]) -> Papers:
-    """Check a decoded configuration and fill in the defaults; raises `Unreadable` with the key's path.
+def read(value, environ: Mapping[str, str]) -> Config:
+    """Check a decoded configuration and fill in the defaults; raises `ConfigError` with the key's path.
 
     `name` and `listen` may be absent if the environment has BALANCER_NAME and BALANCER_LISTEN.
     """
@@ -166,7 +165,7 @@
     zones, kinds = tuple(reader.items("FailureDomains")), tuple(reader.items("Kinds"))
     known = root.require("known")
     peer, peers = root.get("peer_listen"), root.get("peers")
-    return Papers(
+    return Config(
         name=name.string(),
         listen=listen.address(),
         seed=chance,
@@ -183,7 +182,7 @@
         kinds=kinds,
         idle=reader.seconds("Limits.Keepalive"),
         answer_slack=reader.seconds("Invariants.AnswerSlack"),
-        manifest=manifest.made(reader),
+        settings=build_settings(reader),
     )
 
 
@@ -191,7 +190,7 @@
     """Return the list of engines after a sequence of registry events.
 
     An event with `reset` starts a new list; any other adds, changes or removes the engines that it names.
-    Raises `Unreadable` for an event that is malformed or names an unknown zone or kind.
+    Raises `ConfigError` for an event that is malformed or names an unknown zone or kind.
     """
     entries: dict[str, Entry] = {}
     places = {zone: z for z, zone in enumerate(zones)}, {kind: k for k, kind in enumerate(kinds)}
@@ -221,7 +220,7 @@
 
 
 def pairs(settings: ConfigNode) -> dict[str, str]:
-    """Flatten nested settings into strings by dotted path, the form in which `ground/manifest.py` reads them.
+    """Flatten nested settings into strings by dotted path, the form in which `ground/settings.py` reads them.
 
     A list of objects is written with indexes in the path and its length as `PATH.count`; other lists are
     joined by commas.
--- a/thistlelever/ground/tally.py
+++ b/thistlelever/ground/metrics.py
@@ -8,7 +8,7 @@
 from collections import Counter
 
 
-class Tally:
+class Metrics:
     """Counts events by name since the start of the process."""
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         """Increment the counter of that name."""
         self.counts[name] += 1
 
-    def must(self, holds: bool, name: str) -> bool:
+    def check_invariant(self, holds: bool, name: str) -> bool:
         """Count a violated invariant under `broken: NAME` and return whether it holds.
 
         Raises AssertionError in debug builds. In service a violation must not end the process, which would
--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$", description="IPv4 address and port")]
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
@@ -177,7 +177,7 @@
 def load(path: str | None = None, environ: Mapping[str, str] = os.environ) -> Operator:
     """Read the operator file at `path`, by default the one that BALANCER_OPERATOR names.
 
-    Without either, all sections are absent. Raises `Unreadable` as `read` does, and for a file that can't be
+    Without either, all sections are absent. Raises `ConfigError` as `read` does, and for a file that can't be
     opened.
     """
     path = path or environ.get("BALANCER_OPERATOR")
@@ -187,29 +187,29 @@
         with open(path, "rb") as file:
             data = file.read()
     except OSError as why:
-        raise Unreadable(f"operator file: {path}: {why.strerror}") from None
+        raise ConfigError(f"operator file: {path}: {why.strerror}") from None
     return read(data)
 
 
 def read(data: bytes) -> Operator:
-    """Parse and check the operator file; raises `Unreadable` with the path of the key at fault."""
+    """Parse and check the operator file; raises `ConfigError` with the path of the key at fault."""
     try:
         operator = msgspec.json.decode(data, type=Operator)
     except msgspec.ValidationError as why:
-        raise Unreadable(f"operator file: {fault(why)}") from None
+        raise ConfigError(f"operator file: {fault(why)}") from None
     except msgspec.DecodeError as why:
-        raise Unreadable(f"operator file: no JSON: {why}") from None
+        raise ConfigError(f"operator file: no JSON: {why}") from None
     for section, modules in REQUIRED_MODULES.items():
         missing = [name for name in modules if getattr(operator, section) and not is_installed(name)]
         if missing:
-            raise Unreadable(
+            raise ConfigError(
                 f"operator file: {section}: wants the extra {section!r} (pip install "
                 f"'thistlelever[{section}]'); {missing[0]} is not installed"
             )
     if operator.flight and not (operator.flight.listen or operator.flight.kinds or operator.flight.engines):
-        raise Unreadable("operator file: flight: a listen address, kinds or engines expected; found none")
+        raise ConfigError("operator file: flight: a listen address, kinds or engines expected; found none")
     if operator.takeover and not operator.membership:
-        raise Unreadable("operator file: takeover: a section membership expected; found none")
+        raise ConfigError("operator file: takeover: a section membership expected; found none")
     return operator
 
 
--- a/thistlelever/ground/manifest.py
+++ b/thistlelever/ground/settings.py
@@ -1,7 +1,7 @@
 """Parses the platform's settings into a `Settings`.
 
 The settings come as text with one `path=value` a line (`thistlelever.wirehost`) or as part of the front's
-configuration (`ground/papers.py`). Their names are used in this module only.
+configuration (`ground/config.py`). Their names are used in this module only.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 }
 
 
-class Unreadable(Exception):
+class ConfigError(Exception):
     """The configuration, a setting or the operator file can't be used; the text names the key at fault."""
 
 
 class SettingsReader:
     """Typed access to settings, which are strings looked up by their dotted paths.
 
-    All methods raise `Unreadable` where the setting is missing or invalid, unless they say otherwise.
+    All methods raise `ConfigError` where the setting is missing or invalid, unless they say otherwise.
     """
 
     def __init__(self, pairs: dict[str, str]) -> None:
@@ -44,7 +44,7 @@
     def text(self, path: str) -> str:
         """Return a setting as it is written."""
         if path not in self.pairs:
-            raise Unreadable(f"setting {path} is missing")
+            raise ConfigError(f"setting {path} is missing")
         return self.pairs[path]
 
     def number(self, path: str) -> float:
@@ -55,7 +55,7 @@
         except ValueError:
             value = nan
         if not isfinite(value):
-            raise Unreadable(f"setting {path} is no number: {text}")
+            raise ConfigError(f"setting {path} is no number: {text}")
         return value
 
     def integer(self, path: str) -> int:
@@ -74,7 +74,7 @@
         """Return the value that `known` has for the setting's text."""
         text = self.text(path)
         if text not in known:
-            raise Unreadable(f"setting {path} says {text}")
+            raise ConfigError(f"setting {path} says {text}")
         return known[text]
 
     def items(self, path: str) -> list[str]:
@@ -91,7 +91,7 @@
             return known.index(item)
         if item.isdigit() and int(item) < len(known):
             return int(item)
-        raise Unreadable(f"setting {path} says {item}, which is no place of {names}")
+        raise ConfigError(f"setting {path} says {item}, which is no place of {names}")
 
     def indexes(self, path: str, names: str) -> frozenset[int] | None:
         """Return the indexes of a list's items as `index` does; None where the setting is missing."""
@@ -100,20 +100,22 @@
         return frozenset(self.index(item, names, path) for item in self.items(path))
 
 
-def manifest(text: str) -> it.Settings:
-    """Parse settings from text, one `path=value` a line; raises `Unreadable`."""
-    return made(SettingsReader(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
+def parse_settings(text: str) -> it.Settings:
+    """Parse settings from text, one `path=value` a line; raises `ConfigError`."""
+    return build_settings(
+        SettingsReader(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
+    )
 
 
-def made(reader: SettingsReader) -> it.Settings:
-    """Build the `Settings` from settings; raises `Unreadable` for any that is missing or invalid."""
+def build_settings(reader: SettingsReader) -> it.Settings:
+    """Build the `Settings` from settings; raises `ConfigError` for any that is missing or invalid."""
     try:
-        return read(reader)
+        return assemble(reader)
     except (ValueError, OverflowError) as why:
-        raise Unreadable(f"settings: {why}") from None
+        raise ConfigError(f"settings: {why}") from None
 
 
-def read(reader: SettingsReader) -> it.Settings:
+def assemble(reader: SettingsReader) -> it.Settings:
     """Build the `Settings`; lists of numbers raise ValueError or OverflowError for a bad item."""
     groups = range(reader.integer("Classes.count"))
     widths = [int(float(w)) for w in reader.items("FamilyInfo.WidthByClass")]
@@ -121,7 +123,7 @@
     yields = [w == "true" for w in reader.items("FamilyInfo.YieldsToLoads")]
     for name, row in (("WidthByClass", widths), ("HoldsTables", holds), ("YieldsToLoads", yields)):
         if len(row) != len(groups):
-            raise Unreadable(f"setting FamilyInfo.{name} has {len(row)} values for {len(groups)} classes")
+            raise ConfigError(f"setting FamilyInfo.{name} has {len(row)} values for {len(groups)} classes")
     rationed = "Invariants.LookBack" in reader.pairs
     asked = reader.choice("RegistryMode", {"pushed": False, "on_request": True})
     parties = range(reader.integer("Parties.count")) if "Parties.count" in reader.pairs else range(0)
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -9,14 +9,14 @@
 from thistlelever.budgets.plan import Branch, Plan, Share, PlanError
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import clock
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Budgets, Operator
-from thistlelever.ground.papers import Papers
+from thistlelever.ground.config import Config
 from thistlelever.lifecycle.parts import Parts
 
 
 def plan(section: Budgets) -> Plan:
-    """The tree that a section describes; `Unreadable` with the path of what can't be kept."""
+    """The tree that a section describes; `ConfigError` with the path of what can't be kept."""
 
     def branch(node, below: str | None = None, further: str | None = None) -> Branch:
         inner = getattr(node, below) if below else {}
@@ -29,35 +29,35 @@
         brokers = {name: branch(node, "teams", "groups") for name, node in section.brokers.items()}
         return Plan(brokers, branch(section.other).share)
     except PlanError as why:
-        raise Unreadable(f"operator file: budgets: {why}") from None
+        raise ConfigError(f"operator file: budgets: {why}") from None
 
 
 class BudgetsSide:
     """The gate that batches pass before the decisions hear of them."""
 
     def __init__(self, parts: Parts, section: Budgets) -> None:
-        self.parts, papers = parts, parts.papers
+        self.parts, config = parts, parts.config
         self.gate = parts.courses.gate = Gate(
-            papers.manifest,
+            config.settings,
             plan(section),
             self.terms(section),
             section.threads_a_core,
-            papers.seed,
+            config.seed,
             parts.batches,
             parts.roll,
-            parts.tally,
+            parts.metrics,
             parts.log,
         )
 
     def terms(self, section: Budgets) -> Terms:
-        manifest = self.parts.papers.manifest
-        longest = manifest.longest_return if manifest.names_return else 0.0
-        return Terms(manifest.cancel, section.waste, longest, section.depth)
+        settings = self.parts.config.settings
+        longest = settings.longest_return if settings.names_return else 0.0
+        return Terms(settings.cancel, section.waste, longest, section.depth)
 
     async def open(self) -> dict:
         return {}
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
+    def renew(self, operator: Operator, config: Config) -> None:
         if section := operator.budgets:
             self.gate.renew(plan(section), self.terms(section), section.threads_a_core)
 
--- a/thistlelever/lifecycle/distributed_configuration.py
+++ b/thistlelever/lifecycle/distributed_configuration.py
@@ -8,7 +8,7 @@
 from thistlelever.distribution.replica import Replica
 from thistlelever.distribution.versions import NO_VERSION, Version
 from thistlelever.ground import operator as operator_file
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator
 from thistlelever.lifecycle.budgets import plan
 
@@ -19,11 +19,11 @@
 
 
 def read_document(text: str) -> dict[str, msgspec.Struct]:
-    """The sections that the document holds; `Unreadable`, a `ValueError`, with the path of what can't be."""
+    """The sections that the document holds; `ConfigError`, a `ValueError`, with the path of what can't be."""
     told = operator_file.read(text.encode())
     held = {name: getattr(told, name) for name in told.__struct_fields__ if getattr(told, name) is not None}
     if unknown := sorted(held.keys() - SECTIONS):
-        raise Unreadable(f"{unknown[0]}: one of {', '.join(sorted(SECTIONS))} expected")
+        raise ConfigError(f"{unknown[0]}: one of {', '.join(sorted(SECTIONS))} expected")
     if "budgets" in held:
         plan(held["budgets"])
     return held
@@ -33,7 +33,7 @@
     """Raise `ValueError` for a document that no front could use."""
     try:
         read_document(text)
-    except Unreadable as error:
+    except ConfigError as error:
         raise ValueError(str(error)) from None
 
 
@@ -57,12 +57,12 @@
         return self.held() != self.seen
 
     def overlay(self, local: Operator) -> Operator:
-        """The operator file with the document's sections in place of its own. `Unreadable` where the document
-        can't be used here: what is in force stays."""
+        """The operator file with the document's sections in place of its own. `ConfigError` where the
+        document can't be used here: what is in force stays."""
         self.seen = found = self.held()
         try:
             sections = read_document(found.content) if found else {}
-        except Unreadable as error:
+        except ConfigError as error:
             self.refused = f"{self.replica.version}: {error}"
             raise
         if found != self.in_force:
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -14,7 +14,7 @@
 from thistlelever.distribution.versions import unpacked
 from thistlelever.ground import interface as it
 from thistlelever.ground.operator import Distribution, Operator, address
-from thistlelever.ground.papers import Entry, Papers
+from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
 from thistlelever.store.roll import Roll
 from thistlelever.subsetting import FrontPlace, Requirement
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        papers: Papers,
+        config: Config,
         section: Distribution,
         roll: Roll,
         forget: Callable[[it.EngineId], None],
@@ -38,16 +38,16 @@
             tuple(address(text) for text in section.distributors),
             section.heartbeat_s,
             section.patience_s,
-            papers.seed,
+            config.seed,
         )
         self.subscription = Subscription(
             terms,
-            place_of(papers, section.zone_rank),
-            requirements_of(papers),
-            drops_repeats_by_cell(papers),
+            place_of(config, section.zone_rank),
+            requirements_of(config),
+            drops_repeats_by_cell(config),
             self.changed,
         )
-        names = KnownNames(papers.zones, papers.kinds)
+        names = KnownNames(config.zones, config.kinds)
         self.list = SubscribedList(self.subscription, roll, forget, desk, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the configuration is to be read again.
@@ -72,7 +72,7 @@
         """The list of a configuration that was read again; its serials are not the distributors' versions."""
 
     def overlay(self, operator: Operator) -> Operator:
-        """The operator file with the sections that distributors tell; `Unreadable` where these can't be
+        """The operator file with the sections that distributors tell; `ConfigError` where these can't be
         used."""
         before = self.configuration.in_force
         found = self.configuration.overlay(operator)
@@ -134,31 +134,31 @@
         return {"version": str(self.subscription.replica.version), "engines": [r._asdict() for r in records]}
 
 
-def place_of(papers: Papers, zone_rank: int) -> FrontPlace:
+def place_of(config: Config, zone_rank: int) -> FrontPlace:
     """Which front this is, for its subset."""
-    zone = papers.manifest.zone
-    name = papers.zones[zone] if zone < len(papers.zones) else ""
-    return FrontPlace(papers.name, name, papers.rank, zone_rank)
+    zone = config.settings.zone
+    name = config.zones[zone] if zone < len(config.zones) else ""
+    return FrontPlace(config.name, name, config.rank, zone_rank)
 
 
-def requirements_of(papers: Papers) -> tuple[Requirement, ...]:
+def requirements_of(config: Config) -> tuple[Requirement, ...]:
     """The zones and kinds that some query class is bound to, each pair once."""
     found = {}
-    for query_class in papers.manifest.tariffs:
+    for query_class in config.settings.tariffs:
         zones, kinds = query_class.zones, query_class.kinds
         if zones is None and kinds is None:
             continue
         requirement = Requirement(
-            None if zones is None else frozenset(papers.zones[zone] for zone in zones),
-            None if kinds is None else frozenset(papers.kinds[kind] for kind in kinds),
+            None if zones is None else frozenset(config.zones[zone] for zone in zones),
+            None if kinds is None else frozenset(config.kinds[kind] for kind in kinds),
         )
         found[requirement] = None
     return tuple(found)
 
 
-def drops_repeats_by_cell(papers: Papers) -> bool:
+def drops_repeats_by_cell(config: Config) -> bool:
     """Whether some class may be retried in the cell of its first attempt alone."""
     return any(
         query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.CELL
-        for query_class in papers.manifest.tariffs
+        for query_class in config.settings.tariffs
     )
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -7,7 +7,7 @@
 from thistlelever.carrier.flight_engines import FlightEngines
 from thistlelever.flight.door import Door
 from thistlelever.ground.operator import Flight, Operator, address
-from thistlelever.ground.papers import Entry, Papers
+from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.wire.inflow import Purse
 
@@ -19,19 +19,19 @@
     """The door for clients and the way to engines, either or both."""
 
     def __init__(self, parts: Parts, terms: Flight) -> None:
-        papers, self.terms = parts.papers, terms
+        config, self.terms = parts.config, terms
         between = max(terms.held_bytes_all // terms.streams, LEAST_BETWEEN)
         self.engines = FlightEngines(
-            papers.manifest,
+            config.settings,
             parts.roll,
             parts.desk,
-            parts.tally,
+            parts.metrics,
             terms.held_bytes,
             between,
             Purse(terms.held_bytes_all),
         )
-        self.kinds = papers.kinds
-        self.door = Door(terms, papers.name, parts.intake, parts.courses, parts.tally, parts.log)
+        self.kinds = config.kinds
+        self.door = Door(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
 
     def speaks(self, entry: Entry) -> bool:
         """Whether an engine speaks Flight SQL, by its kind or its own id."""
@@ -45,7 +45,7 @@
         await self.door.listen(address(self.terms.listen))
         return {"flight": (address(self.terms.listen)[0], self.door.port)}
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
+    def renew(self, operator: Operator, config: Config) -> None:
         if operator.flight:
             self.terms = self.door.terms = operator.flight
 
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -9,9 +9,9 @@
 from thistlelever.carrier.peers import Peers
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Membership, Operator
-from thistlelever.ground.papers import Papers
+from thistlelever.ground.config import Config
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
@@ -25,33 +25,33 @@
 LOOK = 0.5
 
 
-def sound(section: Membership, papers: Papers) -> None:
-    """`Unreadable` with the key where the section can't be kept."""
-    if papers.peer_listen is None:
-        raise Unreadable("operator file: membership: peer_listen in the configuration expected; found none")
+def sound(section: Membership, config: Config) -> None:
+    """`ConfigError` with the key where the section can't be kept."""
+    if config.peer_listen is None:
+        raise ConfigError("operator file: membership: peer_listen in the configuration expected; found none")
 
 
 class MembershipSide:
     """Who else is alive, told to whoever counts fronts."""
 
     def __init__(self, parts: Parts, section: Membership) -> None:
-        papers = parts.papers
-        sound(section, papers)
+        config = parts.config
+        sound(section, config)
         self.parts, self.service_health = parts, ServiceHealth()
         # Behind a relay or an address translation others know this front by another address than it binds.
-        rank = papers.rank
-        known_as = papers.peers[rank] if 0 <= rank < len(papers.peers) else papers.peer_listen
-        self.peers = Peers(papers.peer_listen, section.tier, parts.tally)
-        config = MembershipConfig(
+        rank = config.rank
+        known_as = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
+        self.peers = Peers(config.peer_listen, section.tier, parts.metrics)
+        membership_config = MembershipConfig(
             period=section.period_s,
             suspicion_timeout=section.suspect_s,
             reconnect_interval=section.knock_s,
         )
-        identity = Identity(papers.name, known_as, int((clock.wall() - EPOCH) * 8))
-        tier = TierSettings(papers.peers, papers.manifest.fronts)
-        judge = Judge(config, identity, tier, papers.seed, clock.now())
-        self.members = Members(judge, self.peers, parts.tally, parts.log, self.counted)
-        self.fronts, self.task, self.left = papers.manifest.fronts, None, False
+        identity = Identity(config.name, known_as, int((clock.wall() - EPOCH) * 8))
+        tier = TierSettings(config.peers, config.settings.fronts)
+        judge = Judge(membership_config, identity, tier, config.seed, clock.now())
+        self.members = Members(judge, self.peers, parts.metrics, parts.log, self.counted)
+        self.fronts, self.task, self.left = config.settings.fronts, None, False
 
     async def open(self) -> dict:
         self.peers.open()
@@ -59,8 +59,8 @@
         self.task = asyncio.get_running_loop().create_task(self.looking())
         return {"membership": self.members.judge.me.address}
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
-        self.members.judge.renew(clock.now(), papers.peers)
+    def renew(self, operator: Operator, config: Config) -> None:
+        self.members.judge.renew(clock.now(), config.peers)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         judge = self.members.judge
@@ -79,7 +79,7 @@
                 self.parts.courses.gate.counted(view.fronts)
 
     async def looking(self) -> None:
-        counts, batches = self.parts.tally.counts, self.parts.batches
+        counts, batches = self.parts.metrics.counts, self.parts.batches
         while True:
             await asyncio.sleep(LOOK)
             answered = counts["End"] + counts["PushBack"] + counts["Error"]
--- a/thistlelever/lifecycle/parts.py
+++ b/thistlelever/lifecycle/parts.py
@@ -14,8 +14,8 @@
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.intake import Intake
 from thistlelever.ground.log import Log
-from thistlelever.ground.papers import Papers
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Config
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batches
 from thistlelever.store.roll import Roll
 
@@ -26,9 +26,9 @@
 class Parts(NamedTuple):
     """What a front is made of, as far as further parts work with it."""
 
-    papers: Papers
+    config: Config
     log: Log
-    tally: Tally
+    metrics: Metrics
     batches: Batches
     roll: Roll
     desk: Desk
@@ -44,7 +44,7 @@
     async def open(self) -> dict:
         """Start; what the line `ready` of the log says of it."""
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
+    def renew(self, operator: Operator, config: Config) -> None:
         """Take from what was read again what can change at once."""
 
     def questions(self) -> dict[str, Callable[..., dict]]:
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -22,14 +22,14 @@
 from thistlelever.carrier.pulse import Pulse
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.manifest import Unreadable
-from thistlelever.ground.papers import Papers, load
+from thistlelever.ground.settings import ConfigError
+from thistlelever.ground.config import Config, load
 from thistlelever.lifecycle.start_times import StartTimes
 from thistlelever.store.batches import Batches
 from thistlelever.store.bounds import bounds
 from thistlelever.store.links import OWN_WANT, Links
 from thistlelever.store.roll import Roll
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator, Takeover
@@ -52,7 +52,7 @@
 RENEWED = ("directory", "serial", "known", "seed", "peers")
 # The keys of the file that hold what goes by another name here.
 KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
-    ("zones", "kinds", "idle", "answer_slack", "manifest"), "settings"
+    ("zones", "kinds", "idle", "answer_slack", "settings"), "settings"
 )
 HOUSEKEEPING, COUNTS_EVERY = 0.5, 6.0
 # What a start is short of is tried for again so often, this far apart.
@@ -66,33 +66,35 @@
 
     def __init__(
         self,
-        papers: Papers,
+        config: Config,
         log: Log,
-        read_again: Callable[[], Papers] = load,
+        read_again: Callable[[], Config] = load,
         operator: Operator | None = None,
         operator_again: Callable[[], Operator] | None = None,
     ) -> None:
-        self.papers, self.log, self.read_again = papers, log, read_again
+        self.config, self.log, self.read_again = config, log, read_again
         # The operator file, where there is one: what is switched on beyond the platform's own front.
         self.operator, self.operator_again = operator, operator_again
-        self.tally, self.batches, self.roll = Tally(), Batches(), Roll()
-        self.roll.replace(papers.serial, list(papers.known), clock.now())
-        manifest = papers.manifest
-        self.desk = Desk(Front(manifest, papers.seed), manifest.tick, self.batches, self.tally, log)
+        self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
+        self.roll.replace(config.serial, list(config.known), clock.now())
+        settings = config.settings
+        self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
         flight = operator.flight if operator else None
-        limits = bounds(papers.sockets, papers.memory_mb, flight.descriptors if flight else 0)
-        self.links = Links(limits.links, papers.idle, manifest.connect_limit, self.tally)
+        limits = bounds(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
+        self.links = Links(limits.links, config.idle, settings.connect_limit, self.metrics)
         self.links.listed = self.roll.listed
         self.links.reachable = self.roll.reachable
-        over_http = HttpEngines(manifest, self.roll, self.links, self.desk, self.tally)
-        self.dispatcher = Dispatcher(manifest, self.roll, lambda entry: over_http, self.desk, self.tally, log)
+        over_http = HttpEngines(settings, self.roll, self.links, self.desk, self.metrics)
+        self.dispatcher = Dispatcher(
+            settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
+        )
         self.flight: FlightSide | None = None
         self.membership: MembershipSide | None = None
         self.state: StateSide | None = None
-        self.courses = Courses(self.desk, self.dispatcher, self.batches, self.tally, log)
+        self.courses = Courses(self.desk, self.dispatcher, self.batches, self.metrics, log)
         self.pulse = Pulse()
-        self.intake = Intake(manifest, self.pulse, self.batches)
-        self.reception = Reception(self.intake, self.courses, self.tally, log, limits)
+        self.intake = Intake(settings, self.pulse, self.batches)
+        self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
         self.inquiry = self.discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
         self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
@@ -108,22 +110,24 @@
 
     def discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
         """Where the list of engines comes from: DNS, or distributors where the operator file names them."""
-        papers = self.papers
+        config = self.config
         if operator and operator.distribution:
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
 
             section = operator.distribution
-            return SubscribedDiscovery(papers, section, self.roll, self.forget, self.desk)
-        return Inquiry(self.roll, self.forget, self.desk, self.tally, papers.zones, papers.kinds, papers.seed)
+            return SubscribedDiscovery(config, section, self.roll, self.forget, self.desk)
+        return Inquiry(
+            self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
+        )
 
     def parts(self) -> Parts:
         """What further parts are handed."""
         from thistlelever.lifecycle.parts import Parts
 
         return Parts(
-            self.papers,
+            self.config,
             self.log,
-            self.tally,
+            self.metrics,
             self.batches,
             self.roll,
             self.desk,
@@ -188,15 +192,15 @@
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.renew.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        await self.inquiry.open(self.papers.directory)
+        await self.inquiry.open(self.config.directory)
         start_times.reached("directory")
-        address = self.papers.peer_listen
+        address = self.config.peer_listen
         if address and not self.membership:
             await patiently(
-                lambda: loop.create_datagram_endpoint(lambda: Deaf(self.tally), local_addr=address)
+                lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
             )
         self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
-        raw = await patiently(lambda: listener(self.papers.listen))
+        raw = await patiently(lambda: listener(self.config.listen))
         self.reception.listen(raw)
         start_times.reached("listening")
         further: dict = {}
@@ -223,7 +227,7 @@
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked, by the parts that are on."""
-        asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.tally.counts)}
+        asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
         for part in (self.inquiry, *self.sides):
             asked |= part.questions()
         return asked
@@ -236,7 +240,7 @@
 
     async def close(self) -> None:
         """Take what still comes, answer all that was taken, and be gone before the kill."""
-        longest = max(query_class.time_limit for query_class in self.papers.manifest.tariffs)
+        longest = max(query_class.time_limit for query_class in self.config.settings.tariffs)
         stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
@@ -255,8 +259,8 @@
         for task in self.tasks:
             task.cancel()
         self.inquiry.close()
-        self.tally.must(not self.batches.by_number, "all answered at the end")
-        self.log("stopped", counts=self.tally.counts)
+        self.metrics.check_invariant(not self.batches.by_number, "all answered at the end")
+        self.log("stopped", counts=self.metrics.counts)
 
     async def renewing(self) -> None:
         """At each SIGHUP the configuration is read again; what can't be used leaves the old one in force."""
@@ -272,11 +276,11 @@
                     from thistlelever.lifecycle.budgets import plan
 
                     plan(operator.budgets)
-                if new.directory != self.papers.directory:
+                if new.directory != self.config.directory:
                     await self.inquiry.open(new.directory)
                 # Risk: a drain that it names is known only once the directory's new address has answered.
                 self.inquiry.hold(new.serial, list(new.known))
-            except Unreadable as why:
+            except ConfigError as why:
                 self.log("reload refused", why=str(why))
                 continue
             except OSError as why:
@@ -285,11 +289,11 @@
             waiting = sorted(
                 {
                     KEYS.get(name, name)
-                    for name, was in self.papers._asdict().items()
+                    for name, was in self.config._asdict().items()
                     if name not in RENEWED and getattr(new, name) != was
                 }
             )
-            self.papers = self.papers._replace(directory=new.directory, peers=new.peers)
+            self.config = self.config._replace(directory=new.directory, peers=new.peers)
             waiting += self.renewed(operator)
             self.log("reloaded", dns=new.directory, needs_restart=waiting)
 
@@ -298,7 +302,7 @@
         if new is None:
             return []
         for side in self.sides:
-            side.renew(new, self.papers)
+            side.renew(new, self.config)
         if new == self.operator:
             return []
         from thistlelever.ground.operator import AT_ONCE, differing
@@ -307,7 +311,7 @@
 
     def unforeseen(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """What no task heeded: logged and counted, and the front goes on."""
-        self.tally.add("unforeseen")
+        self.metrics.add("unforeseen")
         self.log("unforeseen failed", why=repr(context.get("exception") or context["message"]))
 
     async def housekeeping(self) -> None:
@@ -317,8 +321,8 @@
             await asyncio.sleep(HOUSEKEEPING)
             self.links.sweep()
             self.reception.sweep()
-            if clock.now() >= due and self.tally.counts != written:
-                written = self.tally.counts.copy()
+            if clock.now() >= due and self.metrics.counts != written:
+                written = self.metrics.counts.copy()
                 self.log(
                     "counts",
                     links=self.links.count,
@@ -332,14 +336,14 @@
 
 
 async def serve(
-    papers: Papers,
+    config: Config,
     log: Log,
     operator: Operator | None = None,
     operator_again: Callable[[], Operator] | None = None,
     start_times: StartTimes | None = None,
 ) -> int:
     """Serve until SIGTERM and all that was taken is answered."""
-    office = Office(papers, log, operator=operator, operator_again=operator_again)
+    office = Office(config, log, operator=operator, operator_again=operator_again)
     # What was made at the start lives as long as the front: no collection need look at it again.
     gc.collect()
     gc.freeze()
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -13,7 +13,7 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.operator import Operator, State
-from thistlelever.ground.papers import Entry, Papers
+from thistlelever.ground.config import Config, Entry
 from thistlelever.ledger import file, records
 from thistlelever.ledger.file import File
 from thistlelever.ledger.keeper import Keeper
@@ -73,15 +73,15 @@
 class StateSide:
     """The store, what goes into it, and the start by what was in it."""
 
-    def __init__(self, parts: Parts, section: State, config: str | None = None) -> None:
+    def __init__(self, parts: Parts, section: State, config_path: str | None = None) -> None:
         self.parts, self.section = parts, section
         self.loop: asyncio.AbstractEventLoop | None = None
         # Who is told when the store begins to fail, and when it does no more.
         self.on_failing: list[Callable[[str], None]] = []
         self.keeper = Keeper(lambda: File(section.path), section.every_s, self.changed)
         self.keeper.open()
-        config = config or os.environ.get("BALANCER_CONFIG")
-        entries, ages = self.remembered(parts.papers, written(config))
+        config_path = config_path or os.environ.get("BALANCER_CONFIG")
+        entries, ages = self.remembered(parts.config, written(config_path))
         self.judge = Judge(Terms(section.fresh_s, section.old_s), ages)
         self.entries = entries
         self.fresh_start = len(self.judge.use) == len(entries)
@@ -90,12 +90,12 @@
         self.serial, self.written_at = parts.roll.serial, 0.0
         self.tasks: list[asyncio.Task] = []
         parts.courses.memory = Recollection(
-            parts.papers.manifest, parts.roll, parts.tally, self.remember, self.find
+            parts.config.settings, parts.roll, parts.metrics, self.remember, self.find
         )
 
     # What a former life knew.
 
-    def remembered(self, papers: Papers, config_age: Age) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
+    def remembered(self, config: Config, config_age: Age) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
         """Each engine that either list names, with the age of the younger word of it. What the younger of
         the two lists does not name any more is gone."""
         stored = {record.id: record for record in self.keeper.records["listed"].values()}
@@ -103,7 +103,7 @@
         newest = min((found.most for found in ages.values()), default=float("inf"))
         entries: dict[bytes, Entry] = {}
         found: dict[bytes, Age] = {}
-        for entry in papers.known:
+        for entry in config.known:
             if newest >= config_age.most or entry.engine.id in stored:
                 entries[entry.engine.id], found[entry.engine.id] = entry, config_age
         for engine, record in stored.items():
@@ -260,12 +260,12 @@
                 self.loop.call_soon_threadsafe(self.changed_here, failing)
 
     def changed_here(self, failing: str) -> None:
-        self.parts.tally.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
+        self.parts.metrics.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
         self.parts.log("state not kept" if failing else "state kept again", why=failing)
         for told in self.on_failing:
             told(failing)
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
+    def renew(self, operator: Operator, config: Config) -> None:
         """All of it waits for a restart."""
 
     def questions(self) -> dict[str, Callable[..., dict]]:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -7,9 +7,9 @@
 
 from thistlelever.carrier.wards import Wards, groups
 from thistlelever.ground import clock
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator, Takeover
-from thistlelever.ground.papers import Papers
+from thistlelever.ground.config import Config
 from thistlelever.lifecycle.membership import MembershipSide
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.takeover import views
@@ -22,17 +22,17 @@
 GONE = frozenset((State.DEAD, State.LEFT))
 
 
-def sound(section: Takeover, papers: Papers) -> None:
-    """`Unreadable` with the key where the section can't be kept."""
-    known = {query_class.name for query_class in papers.manifest.tariffs}
+def sound(section: Takeover, config: Config) -> None:
+    """`ConfigError` with the key where the section can't be kept."""
+    known = {query_class.name for query_class in config.settings.tariffs}
     if unknown := sorted(set(section.demand or ()) - known):
-        raise Unreadable(
+        raise ConfigError(
             f"operator file: takeover.demand: service groups of the settings expected; found {unknown[0]!r}"
         )
-    if len(papers.peers) < 2:
-        raise Unreadable(
+    if len(config.peers) < 2:
+        raise ConfigError(
             "operator file: takeover: two peers or more in the configuration expected; found "
-            f"{len(papers.peers)}"
+            f"{len(config.peers)}"
         )
 
 
@@ -40,8 +40,8 @@
     """Who owns which work, told to the batches' tasks."""
 
     def __init__(self, parts: Parts, section: Takeover, membership: MembershipSide) -> None:
-        papers = parts.papers
-        sound(section, papers)
+        config = parts.config
+        sound(section, config)
         self.parts, self.members = parts, membership.members.judge
         terms = Terms(
             places=section.places,
@@ -57,9 +57,9 @@
             terms,
             me.address,
             me.life,
-            papers.peers,
-            groups(papers.manifest, section.demand),
-            papers.seed,
+            config.peers,
+            groups(config.settings, section.demand),
+            config.seed,
             clock.now(),
         )
         heirs = self.judge.heirs
@@ -67,10 +67,10 @@
         self.wards = parts.courses.wards = Wards(
             self.judge,
             membership.peers,
-            papers.manifest,
+            config.settings,
             parts.roll,
             lambda entry: parts.dispatcher.speech(entry),
-            parts.tally,
+            parts.metrics,
             parts.log,
         )
 
@@ -96,8 +96,8 @@
         self.wards.open()
         return {"takeover": len(self.judge.places.fronts)}
 
-    def renew(self, operator: Operator, papers: Papers) -> None:
-        self.judge.places.renew((*papers.peers, self.members.me.address))
+    def renew(self, operator: Operator, config: Config) -> None:
+        self.judge.places.renew((*config.peers, self.members.me.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
--- a/thistlelever/store/links.py
+++ b/thistlelever/store/links.py
@@ -14,8 +14,8 @@
 from tornado.iostream import StreamClosedError
 
 from thistlelever.ground.interface import EngineId
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.stream import Stream
 from thistlelever.wire import http
 from thistlelever.wire.inflow import Inflow, TooLong
@@ -127,8 +127,9 @@
 class Links:
     """All links of this front. Who finds none free waits in turn, what is urgent before polls."""
 
-    def __init__(self, most: int, idle: float, connect_limit: float, tally: Tally) -> None:
-        self.most, self.idle, self.connect_limit, self.tally = most, idle * IDLE_SHARE, connect_limit, tally
+    def __init__(self, most: int, idle: float, connect_limit: float, metrics: Metrics) -> None:
+        self.most, self.idle = most, idle * IDLE_SHARE
+        self.connect_limit, self.metrics = connect_limit, metrics
         self.most_polls = most - int(most * URGENT_SHARE)
         self.kept: dict[EngineId, deque[Link]] = {}
         self.count = 0
@@ -146,7 +147,7 @@
         engine = entry.engine.id
         while True:
             if not self.reachable(entry):
-                self.tally.add("links to an address that is another engine's")
+                self.metrics.add("links to an address that is another engine's")
                 raise Refused("the engine has left its address")
             link = None if unused else self.rested(engine)
             if link:
@@ -160,7 +161,7 @@
                 # They have not rested yet, and there is place for no other.
                 await asyncio.sleep(REST)
             elif not self.close_idle_one():
-                self.tally.add("links short")
+                self.metrics.add("links short")
                 link = await self.turn(NOBODY if unused else engine, urgent)
                 if link:
                     return link
@@ -172,7 +173,7 @@
         while place >= 0:
             link = kept[place]
             if not link.fresh():
-                self.tally.add("links that were not as left")
+                self.metrics.add("links that were not as left")
                 del kept[place]
                 self.close(link)
             elif link.idle_since <= before:
@@ -220,7 +221,7 @@
         real = getattr(why, "real_error", None) or why
         if isinstance(real, ConnectionRefusedError):
             return Refused(str(real))
-        self.tally.add("connect failed otherwise")
+        self.metrics.add("connect failed otherwise")
         if isinstance(real, ConnectionError):
             return Broken(str(real))
         return Short(str(real)) if getattr(real, "errno", None) in OWN_WANT else Unreached(str(real))
@@ -239,7 +240,7 @@
     def settle(self, link: Link) -> None:
         """A link that has rested goes to who waits for one."""
         if not link.fresh():
-            self.tally.add("links that were not as left")
+            self.metrics.add("links that were not as left")
             self.close(link)
             return
         for waiting in self.waiting:
@@ -261,7 +262,7 @@
 
     def freed(self) -> None:
         self.count -= 1
-        self.tally.must(self.count >= 0, "links counted")
+        self.metrics.check_invariant(self.count >= 0, "links counted")
         self.wake()
 
     def wake(self) -> None:
--- a/thistlelever/store/list_agreement.py
+++ b/thistlelever/store/list_agreement.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from thistlelever.ground import interface as it
-from thistlelever.ground.papers import Entry
+from thistlelever.ground.config import Entry
 
 # Answers that must say the same before a newer list is in force.
 CONFIRMATIONS = 2
--- a/thistlelever/wirehost/host.py
+++ b/thistlelever/wirehost/host.py
@@ -7,7 +7,7 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.wirehost import codec
-from thistlelever.ground.manifest import Unreadable, manifest
+from thistlelever.ground.settings import ConfigError, parse_settings
 
 
 class Host:
@@ -25,8 +25,8 @@
             if isinstance(event, codec.Started):
                 waiting[front] = []
                 try:
-                    self.fronts[front] = Front(manifest(event.conf), event.seed)
-                except Unreadable as why:
+                    self.fronts[front] = Front(parse_settings(event.conf), event.seed)
+                except ConfigError as why:
                     self.fronts.pop(front, None)
                     out.append(codec.fault(front, str(why)))
             elif isinstance(event, codec.Stopped):
