--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -16,7 +16,7 @@
 from thistlelever.admission.decide import Front
 from thistlelever.ground import interface as it
 from thistlelever.ground.settings import build_settings
-from thistlelever.ground.config import ConfigNode, SettingsReader, pairs
+from thistlelever.ground.config import ConfigNode, SettingsReader, flatten_settings
 from thistlelever.standins.papers import SETTINGS
 
 EVENTS = (
@@ -47,7 +47,7 @@
     """Classes that differ in all that the decisions look at, and a bounded number of further attempts."""
     told = json.loads(json.dumps(SETTINGS))
     told["Balancers"] = 3
-    return build_settings(SettingsReader(pairs(ConfigNode(told, "settings"))))
+    return build_settings(SettingsReader(flatten_settings(ConfigNode(told, "settings"))))
 
 
 def plain(value):
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -288,7 +288,8 @@
             "ClosePreparedStatement",
             parcels.wrapped(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
-        assert not stage.office.flight.door.shelf.held and not stage.office.flight.door.shelf.bytes
+        statements = stage.office.flight.door.prepared_statements
+        assert not statements.by_handle and not statements.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
 
     return played(work)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -437,7 +437,7 @@
     memory = Recollection(
         SimpleNamespace(tariffs=(query_class(scope),)), roll, metrics, None, lambda mark: found
     )
-    asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, repeat=True)
+    asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
     told = memory.enter(batch)
     assert (told and type(told)) == answer and batch.taken.out_at == out
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -159,7 +159,7 @@
         front_config.ConfigNode({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
         for whole, listed in events
     ]
-    assert [e.engine.id.decode() for e in front_config.listed(told, ("nord",), ("std",))] == names
+    assert [e.engine.id.decode() for e in front_config.apply_events(told, ("nord",), ("std",))] == names
 
 
 def test_a_reload_may_hold_a_whole_list_in_any_event():
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -12,7 +12,7 @@
 from thistlelever.__main__ import main
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
-from thistlelever.ground.log import MAX_LINES_A_MINUTE, Libraries, Log
+from thistlelever.ground.log import MAX_LINES_A_MINUTE, LibraryLogHandler, Log
 from thistlelever.store.roll import Roll
 from thistlelever.ground.metrics import Metrics
 
@@ -135,7 +135,7 @@
     sink = BytesIO()
     log = Log("n0", sink)
     log("ready", engines=2)
-    Libraries(log).handle(logging.makeLogRecord({"name": "tornado", "msg": "x\ny", "levelno": 40}))
+    LibraryLogHandler(log).handle(logging.makeLogRecord({"name": "tornado", "msg": "x\ny", "levelno": 40}))
     lines = [json.loads(line) for line in sink.getvalue().splitlines()]
     assert [(line["event"], line["front"]) for line in lines] == [("ready", "n0"), ("library", "n0")]
     assert lines[1]["text"] == "x\ny"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from thistlelever.state.prepared import Shelf
-from thistlelever.state.sessions import Sessions, fault
-from thistlelever.state.tickets import Stamp, Tickets, Verdict
+from thistlelever.state.prepared import PreparedStatements
+from thistlelever.state.sessions import Sessions, option_error
+from thistlelever.state.tickets import TicketClaims, Tickets, TicketStatus
 
 MOST = 5
 
@@ -21,7 +21,7 @@
 
     @rule(life=st.floats(0.1, 5))
     def issue(self, life):
-        self.issued.append(Stamp("n0", "life", f"{len(self.issued):016x}", self.now + life))
+        self.issued.append(TicketClaims("n0", "life", f"{len(self.issued):016x}", self.now + life))
 
     @rule(seconds=st.floats(0, 3))
     def passes(self, seconds):
@@ -31,33 +31,33 @@
     def redeem(self, place):
         if not self.issued:
             return
-        stamp = self.issued[place % len(self.issued)]
-        verdict = self.tickets.redeem(stamp, self.now)
-        if verdict is Verdict.GOOD:
+        claims = self.issued[place % len(self.issued)]
+        status = self.tickets.redeem(claims, self.now)
+        if status is TicketStatus.VALID:
             # A ticket that is forgotten before it expires would run its batch again.
-            assert stamp.number not in self.ran and stamp.number not in self.called_off
-            assert self.now < stamp.expires
-            self.ran.append(stamp.number)
-        elif verdict is Verdict.USED:
-            assert stamp.number in self.ran
-        elif verdict is Verdict.EXPIRED:
-            assert self.now >= stamp.expires
+            assert claims.number not in self.ran and claims.number not in self.called_off
+            assert self.now < claims.expires
+            self.ran.append(claims.number)
+        elif status is TicketStatus.REDEEMED:
+            assert claims.number in self.ran
+        elif status is TicketStatus.EXPIRED:
+            assert self.now >= claims.expires
 
     @rule(place=st.integers(0, 50))
     def call_off(self, place):
         if not self.issued:
             return
-        stamp = self.issued[place % len(self.issued)]
-        if self.tickets.call_off(stamp, self.now) is Verdict.GOOD:
-            assert stamp.number not in self.ran
-            self.called_off.add(stamp.number)
+        claims = self.issued[place % len(self.issued)]
+        if self.tickets.cancel(claims, self.now) is TicketStatus.VALID:
+            assert claims.number not in self.ran
+            self.called_off.add(claims.number)
 
     @rule(front=st.sampled_from(["n1", "n0"]), life=st.sampled_from(["before", "life"]))
     def foreign(self, front, life):
         if (front, life) != ("n0", "life"):
-            stamp = Stamp(front, life, "00", self.now + 9)
-            verdict = self.tickets.redeem(stamp, self.now)
-            assert verdict is (Verdict.FOREIGN if front == "n1" else Verdict.EARLIER)
+            claims = TicketClaims(front, life, "00", self.now + 9)
+            status = self.tickets.redeem(claims, self.now)
+            assert status is (TicketStatus.OTHER_FRONT if front == "n1" else TicketStatus.EARLIER_START)
 
     @invariant()
     def bounded(self):
@@ -73,26 +73,30 @@
 
     def __init__(self):
         super().__init__()
-        self.shelf, self.now, self.made = Shelf(4, 10.0, 100), 0.0, 0
+        self.statements, self.now, self.made = PreparedStatements(4, 10.0, 100), 0.0, 0
 
     @rule(size=st.integers(0, 60))
     def prepare(self, size):
         self.made += 1
-        before = set(self.shelf.held)
-        if not self.shelf.add(str(self.made), b"x" * size, self.now):
+        before = set(self.statements.by_handle)
+        if not self.statements.add(str(self.made), b"x" * size, self.now):
             # A client that prepares without end must not evict statements in use.
-            assert all(self.now - self.shelf.held[h].last_used < 10 for h in before if h in self.shelf.held)
+            assert all(
+                self.now - self.statements.by_handle[h].last_used < 10
+                for h in before
+                if h in self.statements.by_handle
+            )
 
     @rule(number=st.integers(1, 20), size=st.integers(0, 120))
     def bind(self, number, size):
-        held = str(number) in self.shelf.held
-        if self.shelf.bind(str(number), [(1,)], size, self.now):
-            assert held and self.shelf.held[str(number)].rows == [(1,)]
+        held = str(number) in self.statements.by_handle
+        if self.statements.bind(str(number), [(1,)], size, self.now):
+            assert held and self.statements.by_handle[str(number)].rows == [(1,)]
 
     @rule(number=st.integers(1, 20))
     def close(self, number):
-        held = str(number) in self.shelf.held
-        assert self.shelf.drop(str(number)) == held and str(number) not in self.shelf.held
+        held = str(number) in self.statements.by_handle
+        assert self.statements.drop(str(number)) == held and str(number) not in self.statements.by_handle
 
     @rule(seconds=st.floats(0, 6))
     def passes(self, seconds):
@@ -100,13 +104,13 @@
 
     @invariant()
     def counted(self):
-        assert len(self.shelf.held) <= 4
-        assert self.shelf.bytes == sum(p.size for p in self.shelf.held.values()) <= 100
+        assert len(self.statements.by_handle) <= 4
+        assert self.statements.bytes == sum(p.size for p in self.statements.by_handle.values()) <= 100
 
     @rule(number=st.integers(1, 20))
     def use(self, number):
-        found = self.shelf.find(str(number), self.now)
-        assert (found is not None) == (str(number) in self.shelf.held)
+        found = self.statements.find(str(number), self.now)
+        assert (found is not None) == (str(number) in self.statements.by_handle)
 
 
 TestShelfBounds = ShelfBounds.TestCase
@@ -132,7 +136,7 @@
 def test_an_option_that_is_taken_has_its_form(name, value):
     # An invalid option would fail every later batch of the client, with an error that names no option call.
     for known in (name, "group", "wait_ms", "retry"):
-        if fault(known, value) is None:
+        if option_error(known, value) is None:
             assert known in ("group", "wait_ms", "retry") and value not in (None, "")
             assert known != "wait_ms" or 0 <= float(value) < 1e12
             assert known != "group" or type(value) is str
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.intake import Intake
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.submission import Unfit
+from thistlelever.ground.submission import InvalidFieldError
 from thistlelever.store.batches import Batch
 from thistlelever.store.bounds import Bounds
 from thistlelever.store.stream import Stream
@@ -165,7 +165,7 @@
             raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
         try:
             return self.intake.batch(call.method, call.params, jsonrpc.statement(call))
-        except Unfit as why:
+        except InvalidFieldError as why:
             code, field = jsonrpc.BAD_FIELD, str(why)
             if why.still_open:
                 code, field = jsonrpc.NO_REQUEST, f"params.{why}"
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -186,7 +186,7 @@
             elif told is OVERDUE:
                 # Nothing of it was sent from here. One that has come before may be another front's by now,
                 # and what becomes of it there is not known here.
-                again = it.Error(batch.number) if batch.asked.repeat else it.PushBack(batch.number, 0.0)
+                again = it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
                 self.final(batch, answer, again)
             return False
         hearing.cancel()
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/gate.py
@@ -54,7 +54,7 @@
             self.usual[batch.lane] += USUAL_PACE * (taken.work - self.usual[batch.lane])
         entry = Entry(
             batch.number,
-            batch.asked.consignor,
+            batch.asked.tenant,
             batch.lane,
             query_class.utility,
             taken.work or self.usual[batch.lane],
@@ -62,7 +62,7 @@
             batch.limit_at,
             min(now + query_class.goal, batch.limit_at),
             taken.key,
-            batch.asked.repeat,
+            batch.asked.is_retry,
         )
         self.carry(self.judge.submit(now, entry))
         self.look_soon()
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/intake.py
@@ -7,7 +7,7 @@
 from thistlelever.carrier.pulse import Pulse
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.submission import Unfit, submission
+from thistlelever.ground.submission import InvalidFieldError, parse_submission
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.wire import statement as sql
 
@@ -25,38 +25,38 @@
         self.pulse, self.batches, self.stop_at = pulse, batches, float("inf")
 
     def batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
-        """The batch of that service group (a known one); `Unfit` where it can't be one."""
+        """The batch of that service group (a known one); `InvalidFieldError` where it can't be one."""
         group, query_class = self.groups[name]
-        asked = submission(fields, statement)
+        asked = parse_submission(fields, statement)
         if asked.txn in self.batches.by_txn:
-            raise Unfit("id", "still open", still_open=True)
+            raise InvalidFieldError("id", "still open", still_open=True)
         # Risk: a figure without measure stays in averages and timers for as long as the front lives.
         if asked.wait > 2 * query_class.time_limit:
-            raise Unfit("wait", "past the service group's time limit")
+            raise InvalidFieldError("wait", "past the service group's time limit")
         if (asked.work or 0.0) > MOST_LIMITS * query_class.time_limit * query_class.width:
-            raise Unfit("cost", "out of all range")
+            raise InvalidFieldError("cost", "out of all range")
         if asked.memory > self.most_memory:
-            raise Unfit("need_mb", "out of all range")
-        if self.consignors and asked.consignor not in self.consignors:
-            raise Unfit("tenant", "none of the settings'")
+            raise InvalidFieldError("need_mb", "out of all range")
+        if self.consignors and asked.tenant not in self.consignors:
+            raise InvalidFieldError("tenant", "none of the settings'")
         if query_class.repeat is it.Idempotency.DEDUPLICATED and not asked.reference:
-            raise Unfit("once", "missing, and wanted for this service group")
+            raise InvalidFieldError("once", "missing, and wanted for this service group")
         table = sql.table(asked.statement)
         if table is None:
-            raise Unfit("bytes", "the statement names no table of a group")
+            raise InvalidFieldError("bytes", "the statement names no table of a group")
         number, now = self.batches.number(), clock.now()
         # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
         left = min(asked.wait - 2 * self.pulse.behind(), self.stop_at - now)
         taken = it.BatchReceived(
             number,
             group,
-            self.consignors.get(asked.consignor, 0),
+            self.consignors.get(asked.tenant, 0),
             key(table[1]) if query_class.in_order else 0,
             left,
             asked.work,
             asked.memory,
             float(table[0]),
-            asked.repeat,
+            asked.is_retry,
         )
         return Batch(number, asked, taken, query_class.name, now + left)
 
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -193,7 +193,7 @@
             # Without a majority too: what is known to have begun is not begun anew.
             if not self.adopts(batch, told.value, query_class):
                 return self.not_known(batch, told, "its engine is gone")
-        elif unknown and once_only and batch.asked.repeat:
+        elif unknown and once_only and batch.asked.is_retry:
             # It may have run at a front that nobody can be asked about.
             return self.not_known(batch, told, ward.bare or "nobody would know")
         elif unknown and demands:
--- a/thistlelever/cli/distributor.py
+++ b/thistlelever/cli/distributor.py
@@ -38,12 +38,12 @@
     """Run one distributor until SIGTERM."""
     from thistlelever.distributor.service import serve as run
     from thistlelever.distributor.store import StoreError
-    from thistlelever.ground.log import Libraries, Log
+    from thistlelever.ground.log import LibraryLogHandler, Log
     from thistlelever.lifecycle.distributed_configuration import OPERATOR_DOCUMENT, check_document
 
     config = load(config_path)
     log = Log(config.name)
-    logging.basicConfig(handlers=[Libraries(log)], level=logging.WARNING)
+    logging.basicConfig(handlers=[LibraryLogHandler(log)], level=logging.WARNING)
     try:
         sys.exit(asyncio.run(run(config, log, {OPERATOR_DOCUMENT: check_document})))
     except (OSError, StoreError) as error:
--- a/thistlelever/cli/serve.py
+++ b/thistlelever/cli/serve.py
@@ -17,7 +17,7 @@
     operator_option,
     read_operator_file,
 )
-from thistlelever.ground.log import Libraries, Log
+from thistlelever.ground.log import LibraryLogHandler, Log
 
 
 @click.command()
@@ -36,7 +36,7 @@
     switched_on = load_operator_file(operator, config)
     start_times.reached("configured")
     log = Log(config.name)
-    logging.basicConfig(handlers=[Libraries(log)], level=logging.WARNING)
+    logging.basicConfig(handlers=[LibraryLogHandler(log)], level=logging.WARNING)
     reread = (lambda: read_operator_file(operator)) if operator else None
     try:
         sys.exit(asyncio.run(run(config, log, switched_on, reread, start_times)))
--- a/thistlelever/distributor/config.py
+++ b/thistlelever/distributor/config.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thistlelever.ground.operator import Address, fault
+from thistlelever.ground.operator import Address, describe_error
 
 Seconds = Annotated[float, Meta(gt=0, le=3_600)]
 
@@ -66,7 +66,7 @@
     try:
         config = msgspec.json.decode(data, type=DistributorConfig)
     except msgspec.ValidationError as error:
-        raise ConfigError(fault(error)) from None
+        raise ConfigError(describe_error(error)) from None
     except msgspec.DecodeError as error:
         raise ConfigError(f"no JSON: {error}") from None
     if config.index >= len(config.distributors):
--- a/thistlelever/distributor/service.py
+++ b/thistlelever/distributor/service.py
@@ -25,7 +25,7 @@
 from thistlelever.distributor.store import ContentStore
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.operator import address
+from thistlelever.ground.operator import parse_address
 from thistlelever.subsetting import SubsetTerms
 
 SWEEP_EVERY = 5.0
@@ -52,7 +52,7 @@
         self.writer: ContentWriter | None = None
         kept = self.restore(config.store) if config.store else False
         self.memory = PromiseMemory(self.catalog.replica, self.writer, kept)
-        addresses = tuple(address(text) for text in config.distributors)
+        addresses = tuple(parse_address(text) for text in config.distributors)
         peers = Peers(config.index, addresses, config.heartbeat_s)
         self.follower = Follower(self.catalog, peers, self.counts, log)
         self.role = PublisherRole(self.catalog, self.follower, log, self.memory, checks)
@@ -91,7 +91,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-        host, port = address(self.config.listen)
+        host, port = parse_address(self.config.listen)
         self.server = HTTPServer(application(self), no_keep_alive=False)
         self.server.listen(port, host, backlog=BACKLOG)
         works = [
--- a/thistlelever/flight/answers.py
+++ b/thistlelever/flight/answers.py
@@ -9,17 +9,17 @@
 from grpc import StatusCode
 
 from thistlelever.ground.interface import DispatchOutcome
-from thistlelever.state.tickets import Verdict
+from thistlelever.state.tickets import TicketStatus
 
 Metadata = tuple[tuple[str, str | bytes], ...]
 # What becomes of a ticket that makes no batch run.
 TICKETS = {
-    Verdict.USED: StatusCode.ALREADY_EXISTS,
-    Verdict.CALLED_OFF: StatusCode.CANCELLED,
-    Verdict.EXPIRED: StatusCode.NOT_FOUND,
-    Verdict.FOREIGN: StatusCode.FAILED_PRECONDITION,
-    Verdict.EARLIER: StatusCode.FAILED_PRECONDITION,
-    Verdict.FULL: StatusCode.RESOURCE_EXHAUSTED,
+    TicketStatus.REDEEMED: StatusCode.ALREADY_EXISTS,
+    TicketStatus.CANCELLED: StatusCode.CANCELLED,
+    TicketStatus.EXPIRED: StatusCode.NOT_FOUND,
+    TicketStatus.OTHER_FRONT: StatusCode.FAILED_PRECONDITION,
+    TicketStatus.EARLIER_START: StatusCode.FAILED_PRECONDITION,
+    TicketStatus.TOO_MANY: StatusCode.RESOURCE_EXHAUSTED,
 }
 # What a client hears of a result that broke off on its way.
 BROKEN_OFF = {
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -30,11 +30,11 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
 from thistlelever.ground.operator import Flight
-from thistlelever.ground.submission import Unfit
+from thistlelever.ground.submission import InvalidFieldError
 from thistlelever.ground.metrics import Metrics
-from thistlelever.state.prepared import Shelf
-from thistlelever.state.sessions import Sessions, figure
-from thistlelever.state.tickets import Tickets, Verdict
+from thistlelever.state.prepared import PreparedStatements
+from thistlelever.state.sessions import Sessions, parse_number
+from thistlelever.state.tickets import Tickets, TicketStatus
 from thistlelever.store.batches import Batch
 from thistlelever.wire import binding
 from thistlelever.wire.flight import columns
@@ -86,9 +86,9 @@
         self.metrics, self.log = metrics, log
         self.seal = Seal(name)
         self.tickets = Tickets(name, self.seal.life, terms.tickets)
-        self.shelf = Shelf(terms.prepared, terms.idle_s)
+        self.prepared_statements = PreparedStatements(terms.prepared, terms.idle_s)
         self.sessions = Sessions(terms.sessions, terms.idle_s)
-        self.prepared = PreparedCalls(self.shelf)
+        self.prepared = PreparedCalls(self.prepared_statements)
         self.session_calls = SessionCalls(self.sessions)
         self.open: dict[str, Open] = {}
         self.stopping = False
@@ -149,7 +149,7 @@
                 refusal = why
             except Unserved as why:
                 refusal = unserved(str(why))
-            except (Unreadable, Unfit, Forged, binding.Unbindable) as why:
+            except (Unreadable, InvalidFieldError, Forged, binding.Unbindable) as why:
                 refusal = bad(f"ticket: {why}" if type(why) is Forged else str(why))
             except aio.AbortError:
                 raise
@@ -243,9 +243,9 @@
             if value is None:
                 continue
             if name in FIGURES and type(value) is str:
-                number = figure(value)
+                number = parse_number(value)
                 if number is None:
-                    raise Unfit(header, "a number from 0 up expected")
+                    raise InvalidFieldError(header, "a number from 0 up expected")
                 value = number
             if name == "retry":
                 value = value in (True, "1", "true")
@@ -281,9 +281,9 @@
         if type(asked) is not sql.TicketStatementQuery:
             raise unserved(f"DoGet of {asked.DESCRIPTOR.name}: ask GetFlightInfo for a ticket")
         order = self.seal.open(asked.statement_handle)
-        verdict = self.tickets.redeem(order.stamp(), clock.now())
-        if verdict is not Verdict.GOOD:
-            raise self.ticket_refused(verdict)
+        status = self.tickets.redeem(order.claims(), clock.now())
+        if status is not TicketStatus.VALID:
+            raise self.ticket_refused(status)
         batch = self.batch(order, context)
         try:
             async with asyncio.timeout_at(clock.on_loop(batch.limit_at + LAST_BYTES)):
@@ -293,10 +293,11 @@
             self.metrics.add("flight readers too slow")
             raise answers.broken_off(it.DispatchOutcome.TIMED_OUT) from None
 
-    def ticket_refused(self, verdict: Verdict) -> Refusal:
-        code = answers.TICKETS[verdict]
-        again = "" if verdict in (Verdict.USED, Verdict.CALLED_OFF) else "; ask GetFlightInfo again"
-        return Refusal(code, f"ticket: {verdict.value}{again}")
+    def ticket_refused(self, status: TicketStatus) -> Refusal:
+        code = answers.TICKETS[status]
+        final = status in (TicketStatus.REDEEMED, TicketStatus.CANCELLED)
+        again = "" if final else "; ask GetFlightInfo again"
+        return Refusal(code, f"ticket: {status.value}{again}")
 
     async def deliver(self, batch: Batch, context: aio.ServicerContext) -> None:
         """Take the batch and pass its result on; the call ends well only after the last of a whole result."""
@@ -336,7 +337,7 @@
             case sql.CommandPreparedStatementQuery():
                 handle = asked.prepared_statement_handle
                 self.prepared.find(handle)
-                if not self.shelf.bind(handle.decode("latin-1"), rows, size, clock.now()):
+                if not self.prepared_statements.bind(handle.decode("latin-1"), rows, size, clock.now()):
                     raise Refusal(StatusCode.RESOURCE_EXHAUSTED, "no room for more parameters")
                 said = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
                 await context.write(pb.PutResult(app_metadata=said.SerializeToString()).SerializeToString())
@@ -422,9 +423,9 @@
             if not told.done():
                 told.set_result(CALLED_OFF)
             return pb.CANCEL_STATUS_CANCELLED
-        verdict = self.tickets.call_off(order.stamp(), clock.now())
-        if verdict in (Verdict.GOOD, Verdict.CALLED_OFF):
+        status = self.tickets.cancel(order.claims(), clock.now())
+        if status in (TicketStatus.VALID, TicketStatus.CANCELLED):
             return pb.CANCEL_STATUS_CANCELLED
-        if verdict is Verdict.USED:
+        if status is TicketStatus.REDEEMED:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
-        raise self.ticket_refused(verdict)
+        raise self.ticket_refused(status)
--- a/thistlelever/flight/seal.py
+++ b/thistlelever/flight/seal.py
@@ -8,7 +8,7 @@
 import msgspec
 from itsdangerous import BadSignature, Signer
 
-from thistlelever.state.tickets import Stamp
+from thistlelever.state.tickets import TicketClaims
 
 # A ticket holds a statement and a few words.
 LONGEST = 262_144
@@ -25,8 +25,8 @@
     fields: dict[str, str | float | bool]
     statement: bytes
 
-    def stamp(self) -> Stamp:
-        return Stamp(self.front, self.life, self.number, self.expires)
+    def claims(self) -> TicketClaims:
+        return TicketClaims(self.front, self.life, self.number, self.expires)
 
 
 class Forged(Exception):
@@ -48,7 +48,7 @@
         return self.signer.sign(msgspec.msgpack.encode(order)), order
 
     def open(self, ticket: bytes) -> Order:
-        """What it is for. Of another front's, or of one from before a restart, the stamp alone is to be
+        """What it is for. Of another front's, or of one from before a restart, the claims alone are to be
         believed, and only as far as that it can't be redeemed here."""
         if len(ticket) > LONGEST:
             raise Forged("longer than any ticket")
--- a/thistlelever/flight/session_calls.py
+++ b/thistlelever/flight/session_calls.py
@@ -9,7 +9,7 @@
 from thistlelever.flight.answers import Refusal
 from thistlelever.flight.requests import SESSION_COOKIE, headers, session_number
 from thistlelever.ground import clock
-from thistlelever.state.sessions import Session, Sessions, fault, figure
+from thistlelever.state.sessions import Session, Sessions, option_error, parse_number
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight.parcels import read
 
@@ -39,12 +39,12 @@
             kind = option.WhichOneof("option_value")
             value = getattr(option, kind) if kind else None
             # An option without a value is unset; only its name can be wrong then.
-            wrong = fault(name, value)
+            wrong = option_error(name, value)
             if wrong == "name" or wrong and kind:
                 known = {"name": pb.SetSessionOptionsResult.INVALID_NAME}
                 result.errors[name[:60]].value = known.get(wrong, pb.SetSessionOptionsResult.INVALID_VALUE)
             elif kind:
-                number = figure(value) if name.endswith(("_ms", "_mb")) else None
+                number = parse_number(value) if name.endswith(("_ms", "_mb")) else None
                 session.options[name] = value if number is None else number
             else:
                 session.options.pop(name, None)
--- a/thistlelever/ground/config.py
+++ b/thistlelever/ground/config.py
@@ -161,7 +161,7 @@
         raise seed.expected("hex digits") from None
     limits = root.get("limits") or ConfigNode({}, "limits")
     sockets, memory, cores = limits.get("sockets"), limits.get("memory_mb"), limits.get("cores")
-    reader = SettingsReader(pairs(root.require("settings")))
+    reader = SettingsReader(flatten_settings(root.require("settings")))
     zones, kinds = tuple(reader.items("FailureDomains")), tuple(reader.items("Kinds"))
     known = root.require("known")
     peer, peers = root.get("peer_listen"), root.get("peers")
@@ -177,7 +177,7 @@
         rank=reader.integer("Rank") if "Rank" in reader.pairs else -1,
         directory=root.require("dns").address(),
         serial=known.require("pos").integer(),
-        known=tuple(listed(known.require("entries").items(), zones, kinds)),
+        known=tuple(apply_events(known.require("entries").items(), zones, kinds)),
         zones=zones,
         kinds=kinds,
         idle=reader.seconds("Limits.Keepalive"),
@@ -186,7 +186,7 @@
     )
 
 
-def listed(events: list[ConfigNode], zones: tuple[str, ...], kinds: tuple[str, ...]) -> list[Entry]:
+def apply_events(events: list[ConfigNode], zones: tuple[str, ...], kinds: tuple[str, ...]) -> list[Entry]:
     """Return the list of engines after a sequence of registry events.
 
     An event with `reset` starts a new list; any other adds, changes or removes the engines that it names.
@@ -219,7 +219,7 @@
     return list(entries.values())
 
 
-def pairs(settings: ConfigNode) -> dict[str, str]:
+def flatten_settings(settings: ConfigNode) -> dict[str, str]:
     """Flatten nested settings into strings by dotted path, the form in which `ground/settings.py` reads them.
 
     A list of objects is written with indexes in the path and its length as `PATH.count`; other lists are
--- a/thistlelever/ground/log.py
+++ b/thistlelever/ground/log.py
@@ -49,7 +49,7 @@
             self.sink.flush()
 
 
-class Libraries(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """Writes records of Python's `logging`, which libraries use, as events named `library`."""
 
     def __init__(self, log: Log) -> None:
--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -30,7 +30,7 @@
 }
 
 # Keys that take effect at a reload; all others need a restart.
-AT_ONCE = frozenset(
+RELOADABLE_KEYS = frozenset(
     [
         f"flight.{key}"
         for key in (
@@ -196,7 +196,7 @@
     try:
         operator = msgspec.json.decode(data, type=Operator)
     except msgspec.ValidationError as why:
-        raise ConfigError(f"operator file: {fault(why)}") from None
+        raise ConfigError(f"operator file: {describe_error(why)}") from None
     except msgspec.DecodeError as why:
         raise ConfigError(f"operator file: no JSON: {why}") from None
     for section, modules in REQUIRED_MODULES.items():
@@ -213,7 +213,7 @@
     return operator
 
 
-def fault(error: msgspec.ValidationError) -> str:
+def describe_error(error: msgspec.ValidationError) -> str:
     """Return the text of a validation error as `KEY.PATH: reason`."""
     what, _, path = str(error).partition(" - at ")
     key = path.strip("`").replace("$.", "").replace("$", "") or "the whole"
@@ -233,14 +233,14 @@
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(Operator)), indent=2) + b"\n"
 
 
-def address(word: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Split `HOST:PORT` into host and port; the text has been checked against `Address`."""
-    host, _, port = word.rpartition(":")
+    host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def differing(old: Operator, new: Operator, at_once: frozenset[str]) -> list[str]:
-    """Return the paths of the keys that differ, without those in `at_once`.
+def changed_keys(old: Operator, new: Operator, ignored: frozenset[str]) -> list[str]:
+    """Return the paths of the keys that differ, without those in `ignored`.
 
     A section that was added or removed is named as a whole.
     """
@@ -251,5 +251,5 @@
             found.append(section)
         elif was is not None:
             changed = [key for key in was.__struct_fields__ if getattr(was, key) != getattr(now, key)]
-            found += [f"{section}.{key}" for key in changed if f"{section}.{key}" not in at_once]
+            found += [f"{section}.{key}" for key in changed if f"{section}.{key}" not in ignored]
     return found
--- a/thistlelever/ground/settings.py
+++ b/thistlelever/ground/settings.py
@@ -10,7 +10,7 @@
 
 from thistlelever.ground import interface as it
 
-REPEATS = {
+IDEMPOTENCY = {
     "repeatable": it.Idempotency.IDEMPOTENT,
     "by_key": it.Idempotency.DEDUPLICATED,
     "once": it.Idempotency.NON_IDEMPOTENT,
@@ -130,7 +130,7 @@
     return it.Settings(
         fronts=reader.integer("Balancers"),
         zone=reader.index(reader.text("MyZone"), "FailureDomains", "MyZone"),
-        tariffs=tuple(tariff(reader, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
+        tariffs=tuple(query_class(reader, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
         consignors=tuple(
             it.Tenant(reader.text(f"Parties.{p}.Name"), reader.number(f"Parties.{p}.QuotaPerS"))
             for p in parties
@@ -175,14 +175,14 @@
     )
 
 
-def tariff(reader: SettingsReader, at: str, width: int, holds: bool, yields: bool) -> it.QueryClass:
+def query_class(reader: SettingsReader, at: str, width: int, holds: bool, yields: bool) -> it.QueryClass:
     """Build the terms of the query class whose settings are at the path prefix `at`.
 
     `width`, `holds` and `yields` are its items of the `FamilyInfo` lists `WidthByClass`, `HoldsTables` and
     `YieldsToLoads`.
     """
-    repeat = reader.choice(at + "Idempotency", REPEATS)
-    referenced = repeat is it.Idempotency.DEDUPLICATED
+    repeat = reader.choice(at + "Idempotency", IDEMPOTENCY)
+    deduplicated = repeat is it.Idempotency.DEDUPLICATED
     return it.QueryClass(
         name=reader.text(at + "Name"),
         utility=reader.number(at + "Value"),
@@ -192,9 +192,9 @@
         time_limit=reader.seconds(at + "Deadline"),
         repeat=repeat,
         scope=reader.choice(at + "DedupScope", {s.value: s for s in it.DeduplicationScope})
-        if referenced
+        if deduplicated
         else it.DeduplicationScope.ALL,
-        window=reader.seconds(at + "Window") if referenced else 0.0,
+        window=reader.seconds(at + "Window") if deduplicated else 0.0,
         width=width,
         holds_tables=holds,
         yields_to_loads=yields,
--- a/thistlelever/ground/submission.py
+++ b/thistlelever/ground/submission.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Unfit(Exception):
+class InvalidFieldError(Exception):
     """A field of a submission is missing or invalid; the text, which goes to the client, names it.
 
     `still_open` is set where the batch's id is that of a batch which is still open.
@@ -22,36 +22,36 @@
     """One batch as submitted; times in seconds, memory in MB, the statement as the client wrote it.
 
     `wait` is how long the client waits for the answer, `work` its estimate of the cost in core-seconds (None:
-    not given), `repeat` whether this is a retry, and `reference` the idempotency key ("": none).
+    not given), `is_retry` whether this is a retry, and `reference` the idempotency key ("": none).
     """
 
     txn: str
     wait: float
-    consignor: str
-    repeat: bool
+    tenant: str
+    is_retry: bool
     reference: str
     work: float | None
     memory: float
     statement: bytes
 
 
-def submission(fields: Mapping, statement: bytes) -> Submission:
+def parse_submission(fields: Mapping, statement: bytes) -> Submission:
     """Check and convert the fields id, wait, tenant, once, cost, need_mb and retry of a batch.
 
     `wait` and `cost` come in milliseconds, `need_mb` in MB; `id` has 16 hex digits, `once` has 32. Raises
-    `Unfit` for a field that is missing or malformed.
+    `InvalidFieldError` for a field that is missing or malformed.
     """
     reader = FieldReader(fields)
     txn = reader.string("id")
     if not is_hex(txn, 16):
-        raise Unfit("id", "16 hex digits expected")
+        raise InvalidFieldError("id", "16 hex digits expected")
     wait = reader.number("wait")
     if wait is None or wait <= 0:
-        raise Unfit("wait", "milliseconds above 0 expected")
+        raise InvalidFieldError("wait", "milliseconds above 0 expected")
     reference = reader.string("once", "")
     if reference and not is_hex(reference, 32):
         # The value is copied into a request header unescaped.
-        raise Unfit("once", "32 hex digits expected")
+        raise InvalidFieldError("once", "32 hex digits expected")
     work = reader.number("cost")
     return Submission(
         txn,
@@ -78,17 +78,17 @@
         self.fields = fields
 
     def string(self, name: str, absent: str | None = None) -> str:
-        """Return a string field, or `absent` if it is missing; raises `Unfit` if there is no string."""
+        """Return a string field, or `absent` if it is missing; raises `InvalidFieldError` otherwise."""
         value = self.fields.get(name, absent)
         if type(value) is not str:
-            raise Unfit(name, "a string expected")
+            raise InvalidFieldError(name, "a string expected")
         return value
 
     def number(self, name: str) -> float | None:
-        """Return a number from 0 to below 1e12, or None if it is missing; raises `Unfit` for others."""
+        """Return a number from 0 to 1e12, or None if it is missing; raises `InvalidFieldError` otherwise."""
         value = self.fields.get(name)
         if value is None:
             return None
         if type(value) not in (int, float) or not 0 <= value < 1e12:
-            raise Unfit(name, "a number from 0 up expected")
+            raise InvalidFieldError(name, "a number from 0 up expected")
         return float(value)
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -13,7 +13,7 @@
 from thistlelever.distribution.records import engines_of
 from thistlelever.distribution.versions import unpacked
 from thistlelever.ground import interface as it
-from thistlelever.ground.operator import Distribution, Operator, address
+from thistlelever.ground.operator import Distribution, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
 from thistlelever.store.roll import Roll
@@ -35,7 +35,7 @@
         """Nothing is asked before `open`."""
         self.roll, self.desk, self.start_within = roll, desk, section.start_within_s
         terms = SubscriptionTerms(
-            tuple(address(text) for text in section.distributors),
+            tuple(parse_address(text) for text in section.distributors),
             section.heartbeat_s,
             section.patience_s,
             config.seed,
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -6,7 +6,7 @@
 
 from thistlelever.carrier.flight_engines import FlightEngines
 from thistlelever.flight.door import Door
-from thistlelever.ground.operator import Flight, Operator, address
+from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.wire.inflow import Purse
@@ -42,8 +42,8 @@
         """Listen, where the section says so; what the log says of it."""
         if not self.terms.listen:
             return {}
-        await self.door.listen(address(self.terms.listen))
-        return {"flight": (address(self.terms.listen)[0], self.door.port)}
+        await self.door.listen(parse_address(self.terms.listen))
+        return {"flight": (parse_address(self.terms.listen)[0], self.door.port)}
 
     def renew(self, operator: Operator, config: Config) -> None:
         if operator.flight:
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -305,9 +305,9 @@
             side.renew(new, self.config)
         if new == self.operator:
             return []
-        from thistlelever.ground.operator import AT_ONCE, differing
+        from thistlelever.ground.operator import RELOADABLE_KEYS, changed_keys
 
-        return differing(self.operator, new, AT_ONCE)
+        return changed_keys(self.operator, new, RELOADABLE_KEYS)
 
     def unforeseen(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """What no task heeded: logged and counted, and the front goes on."""
--- a/thistlelever/state/prepared.py
+++ b/thistlelever/state/prepared.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Prepared:
+class PreparedStatement:
     """A prepared statement with the parameter rows bound to it.
 
     `last_used` is the time of its last use in seconds, `size` the bytes of statement and rows together.
@@ -22,7 +22,7 @@
     size: int = 0
 
 
-class Shelf:
+class PreparedStatements:
     """Prepared statements by handle, least recently used first.
 
     A new statement replaces only those that have been idle for `idle` seconds. Where that leaves no room it
@@ -32,23 +32,23 @@
     def __init__(self, max_count: int, idle: float, max_bytes: int = MAX_BYTES) -> None:
         """Hold up to `max_count` statements and `max_bytes` bytes; `idle` in seconds."""
         self.max_count, self.idle, self.max_bytes, self.bytes = max_count, idle, max_bytes, 0
-        self.held: OrderedDict[str, Prepared] = OrderedDict()
+        self.by_handle: OrderedDict[str, PreparedStatement] = OrderedDict()
 
     def add(self, handle: str, statement: bytes, now: float) -> bool:
         """Store a statement under a new handle; returns False where there is no room."""
         self.sweep(now)
-        if len(self.held) >= self.max_count or self.bytes + len(statement) > self.max_bytes:
+        if len(self.by_handle) >= self.max_count or self.bytes + len(statement) > self.max_bytes:
             return False
-        self.held[handle] = Prepared(statement, now, size=len(statement))
+        self.by_handle[handle] = PreparedStatement(statement, now, size=len(statement))
         self.bytes += len(statement)
         return True
 
-    def find(self, handle: str, now: float) -> Prepared | None:
+    def find(self, handle: str, now: float) -> PreparedStatement | None:
         """Return the statement under a handle and mark it as used now; None where there is none."""
-        found = self.held.get(handle)
+        found = self.by_handle.get(handle)
         if found:
             found.last_used = now
-            self.held.move_to_end(handle)
+            self.by_handle.move_to_end(handle)
         return found
 
     def bind(self, handle: str, rows: list[tuple], size: int, now: float) -> bool:
@@ -65,14 +65,14 @@
 
     def drop(self, handle: str) -> bool:
         """Remove a statement; returns whether there was one."""
-        found = self.held.pop(handle, None)
+        found = self.by_handle.pop(handle, None)
         self.bytes -= found.size if found else 0
         return found is not None
 
     def sweep(self, now: float) -> None:
         """Remove the statements that have been idle for `idle` seconds."""
-        while self.held:
-            handle, oldest = next(iter(self.held.items()))
+        while self.by_handle:
+            handle, oldest = next(iter(self.by_handle.items()))
             if now - oldest.last_used < self.idle:
                 return
             self.drop(handle)
--- a/thistlelever/state/sessions.py
+++ b/thistlelever/state/sessions.py
@@ -26,46 +26,46 @@
     def __init__(self, max_count: int, idle: float) -> None:
         """Hold up to `max_count` sessions; `idle` in seconds."""
         self.max_count, self.idle = max_count, idle
-        self.held: OrderedDict[str, Session] = OrderedDict()
+        self.by_id: OrderedDict[str, Session] = OrderedDict()
 
     def open(self, session_id: str, now: float) -> Session | None:
         """Create a session under a new id; returns None where there is no room."""
-        while self.held and now - next(iter(self.held.values())).last_used >= self.idle:
-            self.held.popitem(last=False)
-        if len(self.held) >= self.max_count:
+        while self.by_id and now - next(iter(self.by_id.values())).last_used >= self.idle:
+            self.by_id.popitem(last=False)
+        if len(self.by_id) >= self.max_count:
             return None
-        self.held[session_id] = Session(now)
-        return self.held[session_id]
+        self.by_id[session_id] = Session(now)
+        return self.by_id[session_id]
 
     def find(self, session_id: str, now: float) -> Session | None:
         """Return the session with that id and mark it as used now; None where it is missing or expired."""
-        found = self.held.get(session_id)
+        found = self.by_id.get(session_id)
         if found and now - found.last_used >= self.idle:
-            del self.held[session_id]
+            del self.by_id[session_id]
             return None
         if found:
             found.last_used = now
-            self.held.move_to_end(session_id)
+            self.by_id.move_to_end(session_id)
         return found
 
     def close(self, session_id: str) -> bool:
         """Remove a session; returns whether there was one."""
-        return self.held.pop(session_id, None) is not None
+        return self.by_id.pop(session_id, None) is not None
 
 
-def fault(name: str, value) -> str | None:
+def option_error(name: str, value) -> str | None:
     """Check an option: "name" if it is unknown, "value" if its value is invalid, None if it may be set."""
     if name not in OPTIONS:
         return "name"
     if name in ("wait_ms", "cost_ms", "need_mb"):
-        number = value if type(value) in (int, float) else figure(value)
+        number = value if type(value) in (int, float) else parse_number(value)
         return None if number is not None and 0 <= number < 1e12 else "value"
     if name == "retry":
         return None if type(value) is bool or value in ("0", "1", "true", "false") else "value"
     return None if type(value) is str and 0 < len(value) <= 128 else "value"
 
 
-def figure(word) -> float | None:
+def parse_number(word) -> float | None:
     """Parse a number that came as a string, as all headers do; None for anything else."""
     try:
         return float(word) if type(word) is str and len(word) <= 32 else None
--- a/thistlelever/state/tickets.py
+++ b/thistlelever/state/tickets.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 
-class Stamp(NamedTuple):
+class TicketClaims(NamedTuple):
     """The identity of a ticket, as read from the ticket itself.
 
     `front` issued it in the process lifetime `life`; it may be redeemed until the time `expires` in seconds.
@@ -23,16 +23,16 @@
     expires: float
 
 
-class Verdict(Enum):
+class TicketStatus(Enum):
     """The result of redeeming or cancelling a ticket; the texts go to clients."""
 
-    GOOD = "good"
-    USED = "redeemed already"
-    CALLED_OFF = "called off before it was redeemed"
+    VALID = "good"
+    REDEEMED = "redeemed already"
+    CANCELLED = "called off before it was redeemed"
     EXPIRED = "expired"
-    FOREIGN = "issued by another front"
-    EARLIER = "issued before this front's restart"
-    FULL = "too many tickets redeemed that have not expired"
+    OTHER_FRONT = "issued by another front"
+    EARLIER_START = "issued before this front's restart"
+    TOO_MANY = "too many tickets redeemed that have not expired"
 
 
 class Tickets:
@@ -45,43 +45,43 @@
     def __init__(self, front: str, life: str, max_count: int) -> None:
         """Accept the tickets that `front` issues in the process lifetime `life`."""
         self.front, self.life, self.max_count = front, life, max_count
-        self.used: dict[str, Verdict] = {}
+        self.used: dict[str, TicketStatus] = {}
         self.by_expiry: list[tuple[float, str]] = []
 
-    def redeem(self, stamp: Stamp, now: float) -> Verdict:
-        """Use a ticket to run its batch: GOOD where the batch may run now."""
-        verdict = self.standing(stamp, now)
-        if verdict is Verdict.GOOD:
-            verdict = self.mark_used(stamp, Verdict.USED, now) or Verdict.GOOD
-        return verdict
-
-    def call_off(self, stamp: Stamp, now: float) -> Verdict:
-        """Cancel a ticket so that it never runs: GOOD where this call has cancelled it."""
-        verdict = self.standing(stamp, now)
-        if verdict is Verdict.GOOD:
-            verdict = self.mark_used(stamp, Verdict.CALLED_OFF, now) or Verdict.GOOD
-        return verdict
-
-    def standing(self, stamp: Stamp, now: float) -> Verdict:
+    def redeem(self, claims: TicketClaims, now: float) -> TicketStatus:
+        """Use a ticket to run its batch: VALID where the batch may run now."""
+        status = self.status(claims, now)
+        if status is TicketStatus.VALID:
+            status = self.mark_used(claims, TicketStatus.REDEEMED, now) or TicketStatus.VALID
+        return status
+
+    def cancel(self, claims: TicketClaims, now: float) -> TicketStatus:
+        """Cancel a ticket so that it never runs: VALID where this call has cancelled it."""
+        status = self.status(claims, now)
+        if status is TicketStatus.VALID:
+            status = self.mark_used(claims, TicketStatus.CANCELLED, now) or TicketStatus.VALID
+        return status
+
+    def status(self, claims: TicketClaims, now: float) -> TicketStatus:
         """Return the ticket's state without using it.
 
         The issuer is checked first, as this front does not know which tickets of others are used. Use is
         checked before expiry, as it tells the client more.
         """
-        if stamp.front != self.front:
-            return Verdict.FOREIGN
-        if stamp.life != self.life:
-            return Verdict.EARLIER
-        if stamp.number in self.used:
-            return self.used[stamp.number]
-        return Verdict.EXPIRED if now >= stamp.expires else Verdict.GOOD
-
-    def mark_used(self, stamp: Stamp, verdict: Verdict, now: float) -> Verdict | None:
-        """Keep a ticket as used until it expires; returns FULL where there is no room, else None."""
+        if claims.front != self.front:
+            return TicketStatus.OTHER_FRONT
+        if claims.life != self.life:
+            return TicketStatus.EARLIER_START
+        if claims.number in self.used:
+            return self.used[claims.number]
+        return TicketStatus.EXPIRED if now >= claims.expires else TicketStatus.VALID
+
+    def mark_used(self, claims: TicketClaims, status: TicketStatus, now: float) -> TicketStatus | None:
+        """Keep a ticket as used until it expires; returns TOO_MANY where there is no room, else None."""
         while self.by_expiry and self.by_expiry[0][0] <= now:
             del self.used[heappop(self.by_expiry)[1]]
         if len(self.used) >= self.max_count:
-            return Verdict.FULL
-        self.used[stamp.number] = verdict
-        heappush(self.by_expiry, (stamp.expires, stamp.number))
+            return TicketStatus.TOO_MANY
+        self.used[claims.number] = status
+        heappush(self.by_expiry, (claims.expires, claims.number))
         return None
--- a/thistlelever/wire/jsonrpc.py
+++ b/thistlelever/wire/jsonrpc.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from thistlelever.ground.submission import Unfit
+from thistlelever.ground.submission import InvalidFieldError
 
 NOT_JSON, NO_REQUEST, NO_METHOD, BAD_FIELD = -32700, -32600, -32601, -32602
 ERRORED, PUSHED_BACK = -32000, -32001
@@ -55,11 +55,11 @@
     """The statement that a call submits."""
     body = call.params.get("bytes")
     if type(body) is not str:
-        raise Unfit("bytes", "a string expected")
+        raise InvalidFieldError("bytes", "a string expected")
     try:
         return a2b_base64(body, strict_mode=True)
     except (NoBase64, ValueError):
-        raise Unfit("bytes", "base64 expected") from None
+        raise InvalidFieldError("bytes", "base64 expected") from None
 
 
 def result(number: int, pages: list[bytes]) -> bytes:
