--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -22,7 +22,7 @@
     "text, words",
     [
         ("{", "no JSON"),
-        ("[]", "the whole"),
+        ("[]", "top level"),
         ('{"flights": {}}', "flights"),
         ('{"flight": {}}', "flight: "),
         ('{"flight": {"listen": "localhost:1"}}', "flight.listen"),
@@ -40,7 +40,7 @@
 
 def test_a_section_whose_extra_is_missing(monkeypatch):
     monkeypatch.setattr(operator, "is_installed", lambda module: module != "pyarrow")
-    with pytest.raises(ConfigError, match=r"flight: wants the extra 'flight' .*pyarrow"):
+    with pytest.raises(ConfigError, match=r"flight: requires the extra 'flight' .*pyarrow"):
         operator.read(b'{"flight": {"listen": "127.0.0.1:1"}}')
 
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -46,13 +46,13 @@
         (HOSTS + "hostPort", "127.0.0.1", "instances[0].hostPort: HOST:PORT expected"),
         ("settings", [], "settings: an object expected"),
         ("settings.Limits.Keepalive", None, "setting Limits.Keepalive is missing"),
-        ("settings.Classes.0.Slo", "soon", "setting Classes.0.Slo is no number: soon"),
+        ("settings.Classes.0.Slo", "soon", "setting Classes.0.Slo is not a number: soon"),
         (
             "settings.Classes.0.RunsIn",
             ["est"],
-            "setting Classes.0.RunsIn says est, which is no place of Failure",
+            "setting Classes.0.RunsIn: est is not in FailureDomains",
         ),
-        ("settings.Telemetry.How", "loudly", "setting Telemetry.How says loudly"),
+        ("settings.Telemetry.How", "loudly", "setting Telemetry.How has an unknown value: loudly"),
     ],
 )
 def test_a_fault_names_its_key(tmp_path, path, value, said):
--- a/thistlelever/cli/common.py
+++ b/thistlelever/cli/common.py
@@ -63,7 +63,9 @@
 def read_operator_file(path: str) -> Operator:
     """The operator file, checked as far as it can be without starting anything; raises `ConfigError`."""
     if find_spec("msgspec") is None:
-        raise ConfigError("operator file: wants the extra 'operator' (pip install 'thistlelever[operator]')")
+        raise ConfigError(
+            "operator file: requires the extra 'operator' (pip install 'thistlelever[operator]')"
+        )
     from thistlelever.ground import operator as operator_file
 
     operator = operator_file.load(path)
--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -51,14 +51,14 @@
 
 
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
-    """A table that the catalogue names to those who ask; it bounds nobody."""
+    """A table that catalog requests list; queries are not limited to the tables given."""
 
     schema: Name
     name: Name
 
 
 class Flight(Struct, frozen=True, forbid_unknown_fields=True):
-    """Arrow Flight SQL: a door for clients where `listen` is given, and engines that speak it."""
+    """Arrow Flight SQL: an endpoint for clients if `listen` is given, and engines that are called by it."""
 
     listen: Address | None = None
     kinds: tuple[Name, ...] = ()
@@ -82,8 +82,8 @@
 
 
 class Share(Struct, frozen=True, forbid_unknown_fields=True):
-    """Of the threads that all engines carry for this front: what a node is sure of, and the most it may
-    have, as shares; core-seconds that it may have at once after it was idle; its weight beside others."""
+    """A share of the threads that all engines run for this front: the guaranteed and the maximum fraction,
+    the core-seconds that may be used at once after an idle time, and the weight among siblings."""
 
     guarantee: Fraction = 0.0
     ceiling: Fraction = 1.0
@@ -92,7 +92,7 @@
 
 
 class Team(Share, frozen=True, forbid_unknown_fields=True):
-    """A team is named as customers are in the settings; its service groups may have shares of their own."""
+    """A team, under the name of a tenant in the settings; `groups` has shares for its query classes."""
 
     groups: dict[Name, Share] = {}
 
@@ -104,7 +104,7 @@
 
 
 class Budgets(Struct, frozen=True, forbid_unknown_fields=True):
-    """Team budgets: what stands before the decisions. Teams that no broker names share `other`."""
+    """Team budgets, applied before the dispatch decisions. Teams that no broker lists share `other`."""
 
     brokers: dict[Name, Broker] = {}
     other: Share = Share()
@@ -114,7 +114,7 @@
 
 
 class Membership(Struct, frozen=True, forbid_unknown_fields=True):
-    """Which fronts of the tier are alive, by datagrams to `peers` of the configuration."""
+    """Failure detection among the fronts of a tier, by datagrams to `peers` of the configuration."""
 
     tier: Name
     period_s: Annotated[float, Meta(ge=0.02, le=10)] = 0.1
@@ -123,8 +123,9 @@
 
 
 class Takeover(Struct, frozen=True, forbid_unknown_fields=True):
-    """Work in hand that survives the loss of its front; wants `membership`. Groups that `demand` protection
-    are refused where a batch of theirs can't be protected; others go on as a front alone would."""
+    """Open batches are taken over when their front is lost; requires `membership`. Query classes listed in
+    `demand`, by default the non-idempotent ones, are refused while a batch can't be protected; others run
+    unprotected."""
 
     places: Annotated[int, Meta(ge=2, le=7)] = 3
     lease_s: Annotated[float, Meta(ge=0.2, le=10)] = 1.0
@@ -136,7 +137,7 @@
 
 
 class State(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a next life is to know, kept on disk; and how far a remembered list is trusted at a start."""
+    """State kept on disk across restarts, and how far a stored engine list is trusted at a start."""
 
     path: Annotated[str, Meta(min_length=1, max_length=4_096)]
     every_s: Annotated[float, Meta(ge=0.01, le=60)] = 0.2
@@ -146,8 +147,8 @@
 
 
 class Distribution(Struct, frozen=True, forbid_unknown_fields=True):
-    """The engine list from distributors, as much of it as this front needs, in place of DNS discovery.
-    `zone_rank` is this front's place among those of its zone, -1 for unknown."""
+    """The engine list from distributors, limited to what this front needs, in place of DNS discovery.
+    `zone_rank` is this front's index among the fronts of its zone, -1 if unknown."""
 
     distributors: Annotated[tuple[Address, ...], Meta(min_length=1, max_length=64)]
     heartbeat_s: Annotated[float, Meta(ge=0.1, le=30)] = 2.0
@@ -157,13 +158,13 @@
 
 
 class Admin(Struct, frozen=True, forbid_unknown_fields=True):
-    """A local socket for questions about a living front, open to its own user alone."""
+    """A Unix socket for requests about the running front, accessible to its own user only."""
 
     socket: Annotated[str, Meta(min_length=1, max_length=100)]
 
 
 class Operator(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The operator file."""
 
     flight: Flight | None = None
     budgets: Budgets | None = None
@@ -203,7 +204,7 @@
         missing = [name for name in modules if getattr(operator, section) and not is_installed(name)]
         if missing:
             raise ConfigError(
-                f"operator file: {section}: wants the extra {section!r} (pip install "
+                f"operator file: {section}: requires the extra {section!r} (pip install "
                 f"'thistlelever[{section}]'); {missing[0]} is not installed"
             )
     if operator.flight and not (operator.flight.listen or operator.flight.kinds or operator.flight.engines):
@@ -216,7 +217,7 @@
 def describe_error(error: msgspec.ValidationError) -> str:
     """Return the text of a validation error as `KEY.PATH: reason`."""
     what, _, path = str(error).partition(" - at ")
-    key = path.strip("`").replace("$.", "").replace("$", "") or "the whole"
+    key = path.strip("`").replace("$.", "").replace("$", "") or "top level"
     return f"{key}: {what}"
 
 
--- a/thistlelever/ground/settings.py
+++ b/thistlelever/ground/settings.py
@@ -55,7 +55,7 @@
         except ValueError:
             value = nan
         if not isfinite(value):
-            raise ConfigError(f"setting {path} is no number: {text}")
+            raise ConfigError(f"setting {path} is not a number: {text}")
         return value
 
     def integer(self, path: str) -> int:
@@ -74,7 +74,7 @@
         """Return the value that `known` has for the setting's text."""
         text = self.text(path)
         if text not in known:
-            raise ConfigError(f"setting {path} says {text}")
+            raise ConfigError(f"setting {path} has an unknown value: {text}")
         return known[text]
 
     def items(self, path: str) -> list[str]:
@@ -91,7 +91,7 @@
             return known.index(item)
         if item.isdigit() and int(item) < len(known):
             return int(item)
-        raise ConfigError(f"setting {path} says {item}, which is no place of {names}")
+        raise ConfigError(f"setting {path}: {item} is not in {names}")
 
     def indexes(self, path: str, names: str) -> frozenset[int] | None:
         """Return the indexes of a list's items as `index` does; None where the setting is missing."""
