--- a/thistlelever/ground/config.py
+++ b/thistlelever/ground/config.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
 import orjson
@@ -156,7 +156,7 @@
     listen = root.get("listen") or ConfigNode(environ.get("BALANCER_LISTEN"), "listen")
     seed = root.require("seed")
     try:
-        chance = int(seed.string(), 16)
+        seed_value = int(seed.string(), 16)
     except ValueError:
         raise seed.expected("hex digits") from None
     limits = root.get("limits") or ConfigNode({}, "limits")
@@ -168,7 +168,7 @@
     return Config(
         name=name.string(),
         listen=listen.address(),
-        seed=chance,
+        seed=seed_value,
         sockets=sockets.integer(64) if sockets else DEFAULT_SOCKETS,
         memory_mb=memory.number(1.0) if memory else DEFAULT_MEMORY_MB,
         cores=cores.number() if cores else DEFAULT_CORES,
@@ -193,7 +193,8 @@
     Raises `ConfigError` for an event that is malformed or names an unknown zone or kind.
     """
     entries: dict[str, Entry] = {}
-    places = {zone: z for z, zone in enumerate(zones)}, {kind: k for k, kind in enumerate(kinds)}
+    zone_indexes = {zone: z for z, zone in enumerate(zones)}
+    kind_indexes = {kind: k for k, kind in enumerate(kinds)}
     for event in events:
         hosts = event.require("hosts")
         reset = hosts.get("reset")
@@ -208,9 +209,9 @@
             cell, weight, started = (instance.get(key) for key in ("cell", "weight", "startedAtMs"))
             engine = it.Engine(
                 name.encode(),
-                instance.require("zone").choice(places[0]),
+                instance.require("zone").choice(zone_indexes),
                 cell.integer() if cell else 0,
-                instance.require("machineType").choice(places[1]),
+                instance.require("machineType").choice(kind_indexes),
                 state,
                 started.number() / 1e3 if started else 0.0,
                 weight.number() if weight else 1.0,
@@ -225,28 +226,29 @@
     A list of objects is written with indexes in the path and its length as `PATH.count`; other lists are
     joined by commas.
     """
-    found: dict[str, str] = {}
-
-    def word(value) -> str:
-        if type(value) is bool:
-            return "true" if value else "false"
-        # Same escape as in the text form of the settings, where a comma separates the items of a list.
-        return str(value).replace(" ", "_").replace(",", "_")
-
-    def walk(path: str, value) -> None:
-        if type(value) is dict:
-            for key, inner in value.items():
-                walk(f"{path}.{key}" if path else key, inner)
-        elif type(value) is list and any(type(item) is dict for item in value):
-            found[f"{path}.count"] = str(len(value))
-            for place, item in enumerate(value):
-                walk(f"{path}.{place}", item)
-        elif type(value) is list:
-            found[path] = ",".join(map(word, value))
-        elif value is not None:
-            found[path] = word(value)
-
     if type(settings.value) is not dict:
         raise settings.expected("an object")
-    walk("", settings.value)
-    return found
+    return dict(flatten("", settings.value))
+
+
+def flatten(path: str, value) -> Iterator[tuple[str, str]]:
+    """Yield the paths and texts of a JSON value and all values in it; nulls are left out."""
+    if type(value) is dict:
+        for key, inner in value.items():
+            yield from flatten(f"{path}.{key}" if path else key, inner)
+    elif type(value) is list and any(type(item) is dict for item in value):
+        yield f"{path}.count", str(len(value))
+        for index, item in enumerate(value):
+            yield from flatten(f"{path}.{index}", item)
+    elif type(value) is list:
+        yield path, ",".join(map(setting_text, value))
+    elif value is not None:
+        yield path, setting_text(value)
+
+
+def setting_text(value) -> str:
+    """Return a JSON scalar as a setting has it; spaces and commas become underscores."""
+    if type(value) is bool:
+        return "true" if value else "false"
+    # Same escape as in the text form of the settings, where a comma separates the items of a list.
+    return str(value).replace(" ", "_").replace(",", "_")
