--- a/thistlelever/ground/settings.py
+++ b/thistlelever/ground/settings.py
@@ -1,7 +1,7 @@
 """Parses the platform's settings into a `Settings`.
 
 The settings come as text with one `path=value` a line (`thistlelever.wirehost`) or as part of the front's
-configuration (`ground/config.py`). Their names are used in this module only.
+configuration (`ground/config.py`). No package outside `ground` reads a setting by its name.
 """
 
 from __future__ import annotations
@@ -116,7 +116,7 @@
 
 
 def assemble(reader: SettingsReader) -> it.Settings:
-    """Build the `Settings`; lists of numbers raise ValueError or OverflowError for a bad item."""
+    """Build the `Settings`; a bad item in a list of numbers raises ValueError or OverflowError."""
     groups = range(reader.integer("Classes.count"))
     widths = [int(float(w)) for w in reader.items("FamilyInfo.WidthByClass")]
     holds = [w == "true" for w in reader.items("FamilyInfo.HoldsTables")]
