--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -16,7 +16,7 @@
 import click
 
 from rigs.verdict import Chance, close
-from thistlelever.budgets.waits import SHORT, Waits
+from thistlelever.budgets.wait_estimator import SHORT, WaitEstimator
 from thistlelever.ground import papers
 from thistlelever.ground.operator import Operator, read
 from thistlelever.lifecycle.run import Office
@@ -159,9 +159,9 @@
         begun = asyncio.get_running_loop().time()
         while self.section:
             await asyncio.sleep(0.1)
-            judge = self.office.courses.gate.judge
+            fair_queue = self.office.courses.gate.fair_queue
             out = Counter()
-            for held in judge.running.values():
+            for held in fair_queue.running.values():
                 out[held.entry.team] += held.entry.width
             self.shares.append((asyncio.get_running_loop().time() - begun, dict(out)))
 
@@ -234,16 +234,16 @@
 
 async def run(seed, seconds, plot):
     chance = Chance(seed)
-    recorded, learn = [], Waits.learn
+    recorded, learn = [], WaitEstimator.learn
 
     def recording(self, path, told, raw, naive, was):
         recorded.append((path[1], told, was, naive))
         learn(self, path, told, raw, naive, was)
 
     alone = await Day(chance, seconds / 2, [VICTIM], SECTION).play()
-    Waits.learn = recording
+    WaitEstimator.learn = recording
     flooded = await Day(chance, seconds, list(TEAMS), SECTION).play()
-    Waits.learn = learn
+    WaitEstimator.learn = learn
     without = await Day(chance, seconds, list(TEAMS), None).play()
     waited = [r for r in recorded if r[2] >= SHORT]
     errors = {
@@ -251,7 +251,7 @@
         for name, place in (("", 1), ("naive_", 3))
         for share in (50, 90, 99)
     }
-    judge = flooded.office.courses.gate.judge
+    fair_queue = flooded.office.courses.gate.fair_queue
     shares = {
         "alone": alone.in_time(VICTIM),
         "with_budgets": flooded.in_time(VICTIM),
@@ -267,7 +267,7 @@
             broken.append(f"{name}: one final answer")
         broken += [f"{name}: {n}" for n in day.office.tally.counts if n.startswith("broken")]
         broken += [f"{name}: {event}" for event, _ in day.failures]
-    if not judge.conserved() or judge.batches:
+    if not fair_queue.conserved() or fair_queue.batches:
         broken.append("something is still held")
     figures = {
         "seconds": seconds,
@@ -282,8 +282,8 @@
         },
         "ends_with": {name: dict(ends) for name, ends in flooded.ends.items()},
         "ends_without": {name: dict(ends) for name, ends in without.ends.items()},
-        "counts": judge.counts,
-        "thrown_away_core_s": round(judge.thrown_away, 3),
+        "counts": fair_queue.counts,
+        "thrown_away_core_s": round(fair_queue.thrown_away, 3),
     }
     if plot:
         picture(Path(plot), seed, flooded, recorded)
@@ -316,7 +316,9 @@
     right.plot([0, most], [0, most], "k-", lw=0.8)
     right.plot([0, most], [0, 1.2 * most], "k:", lw=0.8)
     right.plot([0, most], [0, 0.8 * most], "k:", lw=0.8)
-    right.set(xlabel="seconds waited", ylabel="seconds told", title="Waits, told and actual; dotted: 20%")
+    right.set(
+        xlabel="seconds waited", ylabel="seconds told", title="WaitEstimator, told and actual; dotted: 20%"
+    )
     right.legend()
     figure.tight_layout()
     figure.savefig(folder / f"budgets-{seed}.png", dpi=90)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,5 +1,5 @@
-"""The judge of budgets: nothing lost or counted twice, guarantees, order, the ageing bound, and that lying
-does not pay. Times here are told, not waited for."""
+"""The fair queue of budgets: nothing lost or counted twice, guarantees, order, the ageing bound, and that
+lying does not pay. Times here are told, not waited for."""
 
 from collections import Counter, defaultdict
 from time import process_time
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from thistlelever.budgets.fair import Node
+from thistlelever.budgets.node import Node
 from thistlelever.budgets.forecast import Forecast
-from thistlelever.budgets.judge import Entry, Judge, Terms
-from thistlelever.budgets.plan import Branch, Plan, Share, PlanError
+from thistlelever.budgets.fair_queue import BatchSpec, FairQueue, QueuePolicy
+from thistlelever.budgets.plan import PlanNode, Plan, Share, PlanError
 from thistlelever.budgets.preemption import WASTE_WINDOW
 from thistlelever.ground.orders import Preempt, Refuse, Release
 
-TERMS = Terms(cancels=True, waste=0.05, longest_return=1.0, depth=1.0)
+TERMS = QueuePolicy(cancels=True, waste=0.05, longest_return=1.0, depth=1.0)
 
 
 def tree(**brokers):
     return Plan(
         {
-            name: Branch(share, {team: Branch(of, {}) for team, of in teams.items()})
+            name: PlanNode(share, {team: PlanNode(of, {}) for team, of in teams.items()})
             for name, (share, teams) in brokers.items()
         },
         Share(weight=0.5),
@@ -36,10 +36,10 @@
 
 
 class Yard:
-    """Engines of so many threads behind a judge: what is released runs for its true work over its width."""
+    """Engines of so many threads behind a fair queue: what is released runs for its work over its width."""
 
     def __init__(self, plan=PLAN, terms=TERMS, threads=8.0, slow=1.0):
-        self.judge, self.now, self.number = Judge(plan, terms, 7, threads), 0.0, 0
+        self.fair_queue, self.now, self.number = FairQueue(plan, terms, 7, threads), 0.0, 0
         self.slow, self.running, self.entries, self.truth = slow, [], {}, {}
         self.released, self.refused, self.work = {}, {}, Counter()
         self.preempted, self.order, self.taken = [], defaultdict(list), {}
@@ -59,13 +59,13 @@
         at_once=False,
     ):
         self.number += 1
-        entry = self.entries[self.number] = Entry(
+        entry = self.entries[self.number] = BatchSpec(
             self.number, team, group, utility, work, width, self.now + limit, self.now + goal, key, again
         )
         self.truth[self.number], self.taken[self.number] = true or work, self.now
-        self.does(self.judge.submit(self.now, entry))
+        self.does(self.fair_queue.submit(self.now, entry))
         if at_once:
-            self.does(self.judge.tick(self.now))
+            self.does(self.fair_queue.tick(self.now))
         return self.number
 
     def does(self, actions):
@@ -77,7 +77,7 @@
                     assert number not in self.released and number not in self.refused
                     self.released[number] = self.now
                     self.order[entry.key].append(number)
-                    self.judge.began(number)
+                    self.fair_queue.began(number)
                     self.running.append((self.now + self.truth[number] * self.slow / entry.width, number))
                 case Refuse():
                     assert number not in self.released and number not in self.refused
@@ -85,7 +85,7 @@
                 case Preempt():
                     self.preempted.append(number)
                     self.running = [(at, n) for at, n in self.running if n != number]
-                    self.does(self.judge.ended(self.now, number, 0.0))
+                    self.does(self.fair_queue.ended(self.now, number, 0.0))
 
     def passes(self, until, step=0.01):
         while self.now < until - 1e-9:
@@ -93,9 +93,9 @@
             for at, number in sorted(r for r in self.running if r[0] <= self.now):
                 self.running.remove((at, number))
                 self.work[self.entries[number].team] += self.truth[number]
-                self.does(self.judge.ended(self.now, number, self.truth[number]))
-            self.does(self.judge.tick(self.now))
-        assert self.judge.conserved(), self.judge.counts
+                self.does(self.fair_queue.ended(self.now, number, self.truth[number]))
+            self.does(self.fair_queue.tick(self.now))
+        assert self.fair_queue.conserved(), self.fair_queue.counts
 
     def waits(self, numbers):
         return [self.released[n] - self.taken[n] for n in numbers if n in self.released]
@@ -112,7 +112,7 @@
     yard.passes(1.0)
     flood(yard, "a", 40)
     yard.passes(1.0 + 0.11)
-    threads = yard.judge.root.children["rosso"].threads
+    threads = yard.fair_queue.root.children["rosso"].threads
     assert threads >= 0.3 * 8
 
 
@@ -151,7 +151,7 @@
     flood(yard, "d", 100, limit=60.0)
     for _ in range(40):
         yard.passes(yard.now + 0.05)
-        assert yard.judge.root.children["verde"].threads <= 0.25 * 8
+        assert yard.fair_queue.root.children["verde"].threads <= 0.25 * 8
 
 
 def test_one_huge_batch_beside_thousands_of_tiny_ones():
@@ -186,12 +186,12 @@
 def test_what_is_held_goes_or_is_refused_by_a_known_moment():
     yard = Yard(threads=1.0)
     numbers = [yard.submit("abcd"[n % 4], 0.2, limit=1.0 + n % 7 / 5) for n in range(50)]
-    bounds = {n: yard.judge.batches[n].must_go_by() for n in numbers if n in yard.judge.batches}
+    bounds = {n: yard.fair_queue.batches[n].must_go_by() for n in numbers if n in yard.fair_queue.batches}
     yard.passes(4.0)
     for number in numbers:
         went = yard.released[number] if number in yard.released else yard.refused[number][0]
         assert went <= bounds.get(number, 0.0) + 0.011
-    assert not yard.judge.batches
+    assert not yard.fair_queue.batches
 
 
 def test_the_aged_are_not_passed_by_for_ever():
@@ -241,7 +241,7 @@
     for _ in range(100):
         yard.submit("a", 0.2, utility=1.0, goal=0.3)
         yard.passes(yard.now + 0.05)
-    assert yard.judge.thrown_away <= TERMS.waste * 4.0 * WASTE_WINDOW
+    assert yard.fair_queue.thrown_away <= TERMS.waste * 4.0 * WASTE_WINDOW
 
 
 def test_no_preemption_of_what_runs_where_engines_do_not_cancel():
@@ -257,12 +257,12 @@
     yard = Yard(threads=2.0)
     numbers = flood(yard, "a", 10, limit=60.0) + flood(yard, "c", 2, limit=60.0)
     zero = tree(rosso=(Share(0.5), {"a": Share(0.0, 0.0), "b": Share()}), verde=(Share(), {"c": Share()}))
-    yard.does(yard.judge.renew(yard.now, zero, TERMS))
+    yard.does(yard.fair_queue.renew(yard.now, zero, TERMS))
     out = [n for n in numbers if n in yard.released]
     assert {yard.refused[n][1] for n in numbers[:10] if n not in out} == {"its budget is zero"}
     assert yard.submit("a") in yard.refused
     yard.passes(3.0)
-    assert not yard.judge.batches and yard.judge.root.threads == 0
+    assert not yard.fair_queue.batches and yard.fair_queue.root.threads == 0
 
 
 def test_a_team_renamed_and_moved_while_it_waits():
@@ -270,11 +270,11 @@
     numbers = flood(yard, "a", 30, limit=60.0) + flood(yard, "nobody", 5, limit=60.0)
     yard.passes(0.3)
     moved = tree(blu=(Share(), {"a": Share(0.5)}), rosso=(Share(), {"b": Share()}))
-    yard.does(yard.judge.renew(yard.now, moved, TERMS))
-    assert yard.judge.conserved() and "blu" in yard.judge.root.children
-    assert yard.judge.root.threads == len(yard.running)
+    yard.does(yard.fair_queue.renew(yard.now, moved, TERMS))
+    assert yard.fair_queue.conserved() and "blu" in yard.fair_queue.root.children
+    assert yard.fair_queue.root.threads == len(yard.running)
     yard.passes(10.0)
-    assert set(numbers) == set(yard.released) and not yard.judge.batches
+    assert set(numbers) == set(yard.released) and not yard.fair_queue.batches
 
 
 def test_half_of_the_engines_gone():
@@ -284,11 +284,11 @@
         flood(yard, "a", 3, work=0.05, limit=60.0)
         flood(yard, "c", 8, work=0.05, limit=60.0)
         yard.passes(yard.now + 0.05)
-    yard.does(yard.judge.capacity_is(yard.now, 4.0))
+    yard.does(yard.fair_queue.capacity_is(yard.now, 4.0))
     yard.passes(yard.now + 3.0)
-    assert yard.judge.root.threads <= 4.0
+    assert yard.fair_queue.root.threads <= 4.0
     number = yard.submit("c", 0.05, limit=600.0)
-    told = yard.judge.batches[number].told
+    told = yard.fair_queue.batches[number].told
     yard.passes(yard.now + 60.0)
     assert abs(yard.waits([number])[0] - told) <= 0.35 * told
 
@@ -303,7 +303,7 @@
             asked.append(yard.submit("c", 0.1, limit=100.0))
         yard.passes(yard.now + 0.05)
     yard.passes(yard.now + 30)
-    found = yard.judge.waits.percentiles()
+    found = yard.fair_queue.waits.percentiles()
     assert found["p90"] <= 0.35 and found["p50"] <= 0.2 and found["p90"] < found["naive_p90"], found
 
 
@@ -316,16 +316,16 @@
 def test_a_decision_costs_near_the_same_with_thousands_of_teams():
     # Hard case 7. Counted in CPU, as a ratio in one run, with room for the machine's moods.
     def cost(teams):
-        judge = Judge(Plan({}, Share()), TERMS, 1, 50.0)
+        fair_queue = FairQueue(Plan({}, Share()), TERMS, 1, 50.0)
         for n in range(teams):
-            judge.submit(0.0, Entry(n, f"t{n}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
-        judge.tick(0.0)
+            fair_queue.submit(0.0, BatchSpec(n, f"t{n}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
+        fair_queue.tick(0.0)
         begun, at = process_time(), 0.0
         for n in range(3_000):
             at += 0.001
-            number = next(iter(judge.running))
-            judge.submit(at, Entry(teams + n, f"t{n % teams}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
-            judge.ended(at, number, 0.01)
+            number = next(iter(fair_queue.running))
+            fair_queue.submit(at, BatchSpec(teams + n, f"t{n % teams}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
+            fair_queue.ended(at, number, 0.01)
         return process_time() - begun
 
     assert cost(10_000) <= 6 * cost(100)
@@ -337,7 +337,7 @@
         yard.submit(f"t{n}", 0.01)
     yard.passes(2.0)
     yard.passes(120.0, step=1.0)
-    assert len(yard.judge.tree.nodes()) <= 2 and not yard.judge.estimates.cost
+    assert len(yard.fair_queue.tree.nodes()) <= 2 and not yard.fair_queue.estimates.cost
 
 
 @pytest.mark.parametrize(
@@ -392,34 +392,34 @@
     @rule(seconds=st.floats(0.01, 1))
     def passes(self, seconds):
         self.yard.passes(self.yard.now + seconds, step=seconds / 4)
-        for held in self.yard.judge.batches.values():
+        for held in self.yard.fair_queue.batches.values():
             # The ageing bound: past its moment nothing is held.
             assert held.out or held.must_go_by() > self.yard.now
 
     @rule(place=st.integers(0, 30))
     def leaves(self, place):
-        held = [n for n, h in self.yard.judge.batches.items() if not h.out]
+        held = [n for n, h in self.yard.fair_queue.batches.items() if not h.out]
         if held:
             number = held[place % len(held)]
-            self.yard.does(self.yard.judge.left(self.yard.now, number))
-            assert number not in self.yard.judge.batches
+            self.yard.does(self.yard.fair_queue.left(self.yard.now, number))
+            assert number not in self.yard.fair_queue.batches
 
     @rule(threads=st.sampled_from([0.0, 1.0, 4.0, 8.0]))
     def engines(self, threads):
-        self.yard.does(self.yard.judge.capacity_is(self.yard.now, threads))
+        self.yard.does(self.yard.fair_queue.capacity_is(self.yard.now, threads))
 
     @rule(place=st.integers(0, 3))
     def renew(self, place):
-        self.yard.does(self.yard.judge.renew(self.yard.now, self.PLANS[place], TERMS))
+        self.yard.does(self.yard.fair_queue.renew(self.yard.now, self.PLANS[place], TERMS))
 
     @invariant()
     def conserved(self):
-        judge = self.yard.judge
-        assert judge.conserved(), judge.counts
-        leaves = [node for node in judge.tree.nodes() if node.parent and not node.children]
-        assert sum(len(leaf.queue) for leaf in leaves) == judge.root.held
-        assert abs(judge.root.threads - sum(h.entry.width for h in judge.running.values())) < 1e-6
-        assert judge.thrown_away <= 1e9
+        fair_queue = self.yard.fair_queue
+        assert fair_queue.conserved(), fair_queue.counts
+        leaves = [node for node in fair_queue.tree.nodes() if node.parent and not node.children]
+        assert sum(len(leaf.queue) for leaf in leaves) == fair_queue.root.held
+        assert abs(fair_queue.root.threads - sum(h.entry.width for h in fair_queue.running.values())) < 1e-6
+        assert fair_queue.thrown_away <= 1e9
 
     @invariant()
     def in_order(self):
@@ -429,8 +429,8 @@
     @invariant()
     def room_is_used(self):
         # Work-conserving: with nothing out, something held and no ceiling at zero, something goes.
-        judge = self.yard.judge
-        assert judge.running or not judge.root.held
+        fair_queue = self.yard.fair_queue
+        assert fair_queue.running or not fair_queue.root.held
 
 
 TestBudgets = Budgets.TestCase
--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -148,7 +148,7 @@
                 shown = front.office.inquiry.show
 
                 def guarantees():
-                    brokers = gate.judge.tree.plan.brokers
+                    brokers = gate.fair_queue.tree.plan.brokers
                     return {name: branch.share.guarantee for name, branch in brokers.items()}
 
                 assert guarantees() == {"zeta": 0.125}
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from thistlelever.budgets.judge import Terms
+from thistlelever.budgets.fair_queue import QueuePolicy
 from thistlelever.budgets.plan import Plan, Share
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import interface as it
@@ -78,7 +78,7 @@
     manifest = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     roll, plan = Roll(), Plan({}, Share(weight=1.0))
     roll.update(2, [entry(b"a"), entry(b"b")], 0.0)
-    gate = Gate(manifest, plan, Terms(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
+    gate = Gate(manifest, plan, QueuePolicy(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
     assert gate.threads() == 64.0
     roll.update(2, [entry(b"a"), entry(b"b", standing=it.Standing.DRAINING)], 1.0)
     assert gate.threads() == 32.0
--- a/thistlelever/budgets/__init__.py
+++ b/thistlelever/budgets/__init__.py
@@ -1,6 +1,6 @@
-"""Team budgets and honest waits: which batch may go on to the decisions, and what a client is told of its
-wait.
+"""Hierarchical fair queueing of batches by team, and estimates of how long a batch will wait.
 
-Stands before the decisions, which go on deciding on engines, further dispatches and refusals. Judges without
-I/O and without a clock: times and facts are handed in, actions come out. `judge.Judge` is its one face.
+Runs before the admission decisions, which still choose engines, further dispatches and refusals. Does no I/O
+and reads no clock: times and facts are arguments, commands are results. The entry point is
+`fair_queue.FairQueue`.
 """
--- a/thistlelever/budgets/estimates.py
+++ b/thistlelever/budgets/estimates.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from thistlelever.budgets.fair import Node
-from thistlelever.budgets.forecast import MOST_LEAVES, Forecast, Inflow
-from thistlelever.budgets.waits import Waits
+from thistlelever.budgets.node import Node
+from thistlelever.budgets.forecast import MOST_LEAVES, Forecast, ArrivalRate
+from thistlelever.budgets.wait_estimator import WaitEstimator
 
 # A correction of a leaf's costs follows its samples at this pace, and never past this factor.
 COST_PACE, MAX_COST_FACTOR = 0.125, 16.0
@@ -21,9 +21,9 @@
 
     def __init__(self) -> None:
         """Nothing was sent to any leaf yet."""
-        self.waits = Waits()
+        self.waits = WaitEstimator()
         # What each leaf was sent lately, and what is foreseen from that and from what is held.
-        self.inflow: dict[Node, Inflow] = {}
+        self.inflow: dict[Node, ArrivalRate] = {}
         self.forecasts: dict[Node, Forecast] = {}
         self.pruned_at = float("-inf")
         # A leaf's true costs over those told.
@@ -47,7 +47,7 @@
     def sent(self, leaf: Node, charge: float, now: float) -> None:
         """The leaf was sent a query."""
         if leaf not in self.inflow:
-            self.inflow[leaf] = Inflow(now)
+            self.inflow[leaf] = ArrivalRate(now)
         self.inflow[leaf].sent(charge, now)
 
     def wait(self, leaf: Node, ahead: float, pace: float, now: float) -> float:
--- a/thistlelever/budgets/judge.py
+++ b/thistlelever/budgets/fair_queue.py
@@ -1,7 +1,7 @@
 """The judge: holds batches until their budget's turn, says how long that will be, and gives up in time.
 
-    judge = Judge(plan, terms, seed)
-    actions = judge.submit(now, entry)      # and ended, left, began, capacity_is, tick, renew
+    fair_queue = FairQueue(plan, terms, seed)
+    actions = fair_queue.submit(now, entry)      # and ended, left, began, capacity_is, tick, renew
 
 Every call answers with what is to be done now: `Release` (tell the decisions), `Refuse` (push back, with the
 time to come back), `Preempt` (give up what is out). What is held is released, refused or left, once;
@@ -15,14 +15,14 @@
 from zlib import crc32
 
 from thistlelever.budgets.estimates import Estimates
-from thistlelever.budgets.fair import Node
-from thistlelever.budgets.held import Entry, Held, Terms
+from thistlelever.budgets.node import Node
+from thistlelever.budgets.queued_batch import BatchSpec, QueuedBatch, QueuePolicy
 from thistlelever.budgets.key_order import KeyOrder
 from thistlelever.budgets.plan import Plan
 from thistlelever.budgets.preemption import Preemption
 from thistlelever.budgets.throughput import Throughput
 from thistlelever.budgets.tree import BudgetTree, upwards
-from thistlelever.budgets.waits import Waits
+from thistlelever.budgets.wait_estimator import WaitEstimator
 from thistlelever.ground.orders import Order, Preempt, Refuse, Release
 
 # Each so many releases the longest held of all that has waited half of its time goes first, whoever's it is.
@@ -40,17 +40,17 @@
 )
 
 
-class Judge:
+class FairQueue:
     """All budgets of one front. It knows what it was told and nothing else."""
 
-    def __init__(self, plan: Plan, terms: Terms, seed: int, capacity: float = 0.0) -> None:
+    def __init__(self, plan: Plan, terms: QueuePolicy, seed: int, capacity: float = 0.0) -> None:
         """Nothing is held; `capacity` is in threads."""
         self.terms, self.seed, self.draws = terms, seed, 0
         self.capacity = capacity
         self.estimates, self.key_order, self.preemption = Estimates(), KeyOrder(), Preemption()
         self.tree = BudgetTree(plan, self.estimates.forget)
-        self.batches: dict[int, Held] = {}
-        self.running: dict[int, Held] = {}
+        self.batches: dict[int, QueuedBatch] = {}
+        self.running: dict[int, QueuedBatch] = {}
         self.throughput = Throughput()
         self.changed_at = float("-inf")
         # By when each must go, and from when it counts as aged.
@@ -66,7 +66,7 @@
         return self.tree.root
 
     @property
-    def waits(self) -> Waits:
+    def waits(self) -> WaitEstimator:
         """Estimates of waits, and how true they were."""
         return self.estimates.waits
 
@@ -77,7 +77,7 @@
 
     # What it is told.
 
-    def submit(self, now: float, entry: Entry) -> list[Order]:
+    def submit(self, now: float, entry: BatchSpec) -> list[Order]:
         """A batch has come. It is refused at once where it would wait past what its client does; else it is
         held, and goes with the next `tick`: what comes in one moment is weighed together."""
         self.counts["submitted"] += 1
@@ -97,13 +97,13 @@
         heappush(self.ageing, ((now + held.must_go_by()) / 2, entry.number))
         return []
 
-    def refuse_at_once(self, now: float, entry: Entry, leaf: Node, after: float, why: str) -> list[Order]:
+    def refuse_at_once(self, now: float, entry: BatchSpec, leaf: Node, after: float, why: str) -> list[Order]:
         """The batch is not held at all."""
         self.counts["refused"] += 1
         self.tree.spare(leaf, now)
         return [Refuse(entry.number, after, why)]
 
-    def estimate(self, now: float, entry: Entry, leaf: Node) -> Held:
+    def estimate(self, now: float, entry: BatchSpec, leaf: Node) -> QueuedBatch:
         """The batch as it would be held, with the wait that it is told."""
         charge = self.estimates.charge(leaf, entry.work)
         ahead = leaf.backlog if not entry.again else leaf.backlog / 2
@@ -115,7 +115,7 @@
         naive = self.root.backlog / pace
         # Who was pushed back before has waited already: it stands where it would have stood by then.
         due = now - (min(told, self.terms.longest_return) if entry.again else 0.0)
-        held = Held(entry, leaf, now, due, charge, told, raw, naive)
+        held = QueuedBatch(entry, leaf, now, due, charge, told, raw, naive)
         # Aged, it goes in another turn, however long its leaf's is.
         half = (held.must_go_by() - now) / 2
         usual = self.root.backlog / max(self.root.held, 1)
@@ -205,7 +205,7 @@
                 heappush(self.deadlines, (held.must_go_by(), held.entry.number))
         return self.tick(now)
 
-    def renew(self, now: float, plan: Plan, terms: Terms) -> list[Order]:
+    def renew(self, now: float, plan: Plan, terms: QueuePolicy) -> list[Order]:
         """Another tree: what is held and out moves into it, each once; what its leaf owed it owes there."""
         owed = {
             leaf.path()[1:]: max(leaf.finish - leaf.parent.time, 0.0)
@@ -257,7 +257,7 @@
             self.next_of_key(held)
         return actions
 
-    def next(self, now: float) -> Held | None:
+    def next(self, now: float) -> QueuedBatch | None:
         """Whose turn it is: each `AGED_EVERY` releases the aged one that must go first, else by the tree."""
         if not self.root.held:
             return None
@@ -287,7 +287,7 @@
         """Whether this front may have so many threads more out. One batch always may."""
         return not self.root.threads or self.root.threads + width <= self.capacity * self.terms.depth
 
-    def hold(self, held: Held) -> None:
+    def hold(self, held: QueuedBatch) -> None:
         """It takes part in its leaf's turns from now on."""
         leaf = held.leaf
         held.waiting = True
@@ -305,7 +305,7 @@
             if node.held == 1:
                 node.waits(self.capacity)
 
-    def unhold(self, held: Held) -> None:
+    def unhold(self, held: QueuedBatch) -> None:
         """It takes part in no turns any more."""
         if not held.waiting:
             return
@@ -321,7 +321,7 @@
         if not self.root.held:
             self.held_width = 0.0
 
-    def drop(self, held: Held, how: str, now: float) -> None:
+    def drop(self, held: QueuedBatch, how: str, now: float) -> None:
         """It is held no more, and was not released."""
         self.counts[how] += 1
         del self.batches[held.entry.number]
@@ -329,12 +329,12 @@
         self.next_of_key(held)
         self.tree.spare(held.leaf, now)
 
-    def next_of_key(self, held: Held) -> None:
+    def next_of_key(self, held: QueuedBatch) -> None:
         """It is released or gone; the next of its key is held in its turn, so that they keep their order."""
         if following := self.key_order.remove(held):
             self.hold(following)
 
-    def release_threads(self, held: Held, owed: float, now: float) -> None:
+    def release_threads(self, held: QueuedBatch, owed: float, now: float) -> None:
         """What was out has ended: its threads are free, and what was charged short is owed."""
         for node in upwards(held.leaf):
             node.threads -= held.entry.width
--- a/thistlelever/budgets/forecast.py
+++ b/thistlelever/budgets/forecast.py
@@ -11,7 +11,7 @@
 
 from math import exp
 
-from thistlelever.budgets.fair import Node
+from thistlelever.budgets.node import Node
 
 # How fast what a leaf is sent is forgotten; how far is looked; and with how many leaves it pays to look.
 INFLOW_OVER, HORIZON, MOST_LEAVES = 5.0, 30.0, 48
@@ -20,7 +20,7 @@
 BEGUN = 0.5
 
 
-class Inflow:
+class ArrivalRate:
     """Work sent to a leaf lately, in core-seconds a second."""
 
     __slots__ = ("at", "first", "rate")
@@ -49,7 +49,7 @@
         self,
         asking: Node,
         leaves: list[Node],
-        inflow: dict[Node, Inflow],
+        inflow: dict[Node, ArrivalRate],
         drain: float,
         now: float,
     ) -> None:
--- a/thistlelever/budgets/key_order.py
+++ b/thistlelever/budgets/key_order.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistlelever.budgets.held import Held
+from thistlelever.budgets.queued_batch import QueuedBatch
 
 
 class KeyOrder:
@@ -10,9 +10,9 @@
 
     def __init__(self) -> None:
         """No key has any."""
-        self.lines: dict[int, list[Held]] = {}
+        self.lines: dict[int, list[QueuedBatch]] = {}
 
-    def add(self, held: Held) -> bool:
+    def add(self, held: QueuedBatch) -> bool:
         """The query comes behind those of its key; whether it is the first of them."""
         if not held.entry.key:
             return True
@@ -20,11 +20,11 @@
         line.append(held)
         return len(line) == 1
 
-    def is_first(self, held: Held) -> bool:
+    def is_first(self, held: QueuedBatch) -> bool:
         """Whether nothing of its key stands before it."""
         return not held.entry.key or self.lines[held.entry.key][0] is held
 
-    def remove(self, held: Held) -> Held | None:
+    def remove(self, held: QueuedBatch) -> QueuedBatch | None:
         """It stands in its key's line no more; the query that is first now because of that, if any."""
         line = self.lines.get(held.entry.key) if held.entry.key else None
         if not line or held not in line:
--- a/thistlelever/budgets/fair.py
+++ b/thistlelever/budgets/node.py
@@ -14,9 +14,13 @@
 from collections import deque
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
+from typing import TYPE_CHECKING
 
 from thistlelever.budgets.plan import Share
 
+if TYPE_CHECKING:
+    from thistlelever.budgets.queued_batch import QueuedBatch
+
 # The pace of a virtual time, or of what a leaf releases, is taken over so long, and over so many turns at
 # most.
 PACE_OVER, PACE_TURNS = 2.0, 512
@@ -42,7 +46,7 @@
         # The number of its valid place in the parent's turns, 0 for none; the last number given here.
         self.turn, self.pushed = 0, 0
         # Of a leaf: what it holds, by when it is due.
-        self.queue: list[tuple[float, int, object]] = []
+        self.queue: list[QueuedBatch] = []
         # When the virtual time was what, lately; of a leaf, how much it had released.
         self.released, self.served_at = 0.0, float("-inf")
         self.marks: deque[tuple[float, float]] = deque(maxlen=PACE_TURNS)
--- a/thistlelever/budgets/plan.py
+++ b/thistlelever/budgets/plan.py
@@ -20,17 +20,17 @@
     weight: float = 1.0
 
 
-class Branch(NamedTuple):
+class PlanNode(NamedTuple):
     """A node with those below it by name."""
 
     share: Share
-    below: dict[str, Branch]
+    below: dict[str, PlanNode]
 
 
 class Plan:
     """Where each team stands. A team that no broker names is one of `other`, each for itself below it."""
 
-    def __init__(self, brokers: dict[str, Branch], other: Share) -> None:
+    def __init__(self, brokers: dict[str, PlanNode], other: Share) -> None:
         """The tree of these brokers and their teams; `PlanError` where it can't be kept."""
         self.brokers, self.other = brokers, other
         self.broker_of: dict[str, str] = {}
@@ -39,7 +39,7 @@
                 if team in self.broker_of:
                     raise PlanError(f"{name}.{team}: also a team of {self.broker_of[team]}")
                 self.broker_of[team] = name
-        sound("", Branch(Share(1.0), brokers | {OTHER: Branch(other, {})}))
+        sound("", PlanNode(Share(1.0), brokers | {OTHER: PlanNode(other, {})}))
 
     def path(self, team: str, group: str) -> tuple[str, str, str]:
         """Where a team's service group stands: broker, team, group."""
@@ -62,7 +62,7 @@
 OTHER = "other"
 
 
-def sound(path: str, branch: Branch) -> None:
+def sound(path: str, branch: PlanNode) -> None:
     """Risk: guarantees that add up to more than there is are promises that can't all be kept, and which is
     broken would hang on who comes first."""
     share, name = branch.share, path or "the platform"
--- a/thistlelever/budgets/preemption.py
+++ b/thistlelever/budgets/preemption.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from thistlelever.budgets.held import Held, Terms
+from thistlelever.budgets.queued_batch import QueuedBatch, QueuePolicy
 from thistlelever.budgets.tree import over, upwards
 
 # Pre-emption may throw away its share of what all engines carry, over so many seconds.
 WASTE_WINDOW = 10.0
 
 
-def next_end(running: Iterable[Held], now: float) -> float:
+def next_end(running: Iterable[QueuedBatch], now: float) -> float:
     """In how long the next of what is out ends, as far as its cost tells.
 
     What lasts longer than that is taken to last half as long again as it has.
@@ -31,7 +31,9 @@
         self.wasted: list[tuple[float, float]] = []
         self.thrown_away = 0.0
 
-    def is_needed(self, wanting: Held, running: Iterable[Held], capacity: float, now: float) -> bool:
+    def is_needed(
+        self, wanting: QueuedBatch, running: Iterable[QueuedBatch], capacity: float, now: float
+    ) -> bool:
         """Whether a query below its guarantee would miss its goal by waiting, and not by running."""
         entry = wanting.entry
         if not any(node.parent and node.under(capacity) for node in upwards(wanting.leaf)):
@@ -40,14 +42,19 @@
         return now + run + next_end(running, now) > entry.goal_at and now + run <= entry.limit_at
 
     def choose(
-        self, wanting: Held, running: Iterable[Held], terms: Terms, capacity: float, now: float
-    ) -> Held | None:
+        self,
+        wanting: QueuedBatch,
+        running: Iterable[QueuedBatch],
+        terms: QueuePolicy,
+        capacity: float,
+        now: float,
+    ) -> QueuedBatch | None:
         """Of those that hold more than their guarantee the least worthy, least far one, if that pays."""
         entry = wanting.entry
         run = wanting.charge / entry.width
         self.wasted = [(at, work) for at, work in self.wasted if at > now - WASTE_WINDOW]
         left = terms.waste * capacity * WASTE_WINDOW - sum(work for _, work in self.wasted)
-        best: tuple[tuple[float, float, int], Held] | None = None
+        best: tuple[tuple[float, float, int], QueuedBatch] | None = None
         for held in running:
             if held.given_up or held.entry.utility >= entry.utility or not over(held.leaf, capacity):
                 continue
@@ -60,7 +67,7 @@
                 best = rank, held
         return best[1] if best else None
 
-    def give_up(self, held: Held, now: float) -> None:
+    def give_up(self, held: QueuedBatch, now: float) -> None:
         """The query is given up; what it has done is thrown away."""
         held.given_up = True
         if done := held.done(now):
--- a/thistlelever/budgets/held.py
+++ b/thistlelever/budgets/queued_batch.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from thistlelever.budgets.fair import Node
+from thistlelever.budgets.node import Node
 
 # Held no longer than until its run, and half as much again, would pass its time limit.
 RUN, LEAST_RUN = 1.5, 0.02
 
 
-class Entry(NamedTuple):
+class BatchSpec(NamedTuple):
     """A batch as the judge knows it. Work in core-seconds, width in threads; `key` is 0 where order does not
     matter; `again` says that its client was pushed back before."""
 
@@ -27,7 +27,7 @@
     again: bool = False
 
 
-class Terms(NamedTuple):
+class QueuePolicy(NamedTuple):
     """What holds for the whole tree: whether engines cancel, the share of work that pre-emption may throw
     away, the longest time to come back, and how many times its threads this front may have out."""
 
@@ -38,10 +38,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class QueuedBatch:
     """One batch that is held or out."""
 
-    entry: Entry
+    entry: BatchSpec
     leaf: Node
     since: float
     due: float
@@ -57,7 +57,7 @@
     # Whether it was told a wait in which it ages.
     slow: bool = False
 
-    def __lt__(self, other: Held) -> bool:
+    def __lt__(self, other: QueuedBatch) -> bool:
         """In its leaf's queue the one that is due first comes first."""
         return (self.due, self.entry.number) < (other.due, other.entry.number)
 
--- a/thistlelever/budgets/tree.py
+++ b/thistlelever/budgets/tree.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from thistlelever.budgets.fair import Node
+from thistlelever.budgets.node import Node
 from thistlelever.budgets.plan import Plan
 
 # Seconds after which what is idle and owes nothing is forgotten.
--- a/thistlelever/budgets/waits.py
+++ b/thistlelever/budgets/wait_estimator.py
@@ -6,7 +6,7 @@
 from collections import deque
 from math import exp, log
 
-from thistlelever.budgets.fair import Node
+from thistlelever.budgets.node import Node
 
 # Of a wait shorter than this no estimate is judged: it is over before anyone could act on it.
 SHORT = 0.1
@@ -15,7 +15,7 @@
 KEPT = 512
 
 
-class Waits:
+class WaitEstimator:
     """Estimates by a leaf's place and pace, corrected by each leaf's own errors, and the errors
     themselves."""
 
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from thistlelever.budgets import views
-from thistlelever.budgets.judge import Terms
-from thistlelever.budgets.plan import Branch, Plan, Share, PlanError
+from thistlelever.budgets.fair_queue import QueuePolicy
+from thistlelever.budgets.plan import PlanNode, Plan, Share, PlanError
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import clock
 from thistlelever.ground.manifest import Unreadable
@@ -18,9 +18,9 @@
 def plan(section: Budgets) -> Plan:
     """The tree that a section describes; `Unreadable` with the path of what can't be kept."""
 
-    def branch(node, below: str | None = None, further: str | None = None) -> Branch:
+    def branch(node, below: str | None = None, further: str | None = None) -> PlanNode:
         inner = getattr(node, below) if below else {}
-        return Branch(
+        return PlanNode(
             Share(node.guarantee, node.ceiling, node.burst, node.weight),
             {name: branch(child, further) for name, child in inner.items()},
         )
@@ -49,10 +49,10 @@
             parts.log,
         )
 
-    def terms(self, section: Budgets) -> Terms:
+    def terms(self, section: Budgets) -> QueuePolicy:
         manifest = self.parts.papers.manifest
         longest = manifest.longest_return if manifest.names_return else 0.0
-        return Terms(manifest.cancel, section.waste, longest, section.depth)
+        return QueuePolicy(manifest.cancel, section.waste, longest, section.depth)
 
     async def open(self) -> dict:
         return {}
@@ -63,7 +63,7 @@
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
-            "budgets.show": lambda: views.show(self.gate.judge, clock.now()),
+            "budgets.show": lambda: views.show(self.gate.fair_queue, clock.now()),
             "budgets.explain": self.explained,
         }
 
@@ -71,7 +71,7 @@
         """By the client's id of the batch, or the front's number of it."""
         found = self.parts.batches.by_txn.get(batch)
         number = found.number if found else int(batch) if batch.isdigit() and len(batch) < 16 else 0
-        return views.explain(self.gate.judge, number, clock.now())
+        return views.explain(self.gate.fair_queue, number, clock.now())
 
     def stopping(self) -> None:
         """The courses tell the gate themselves."""
