--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -16,7 +16,7 @@
 import click
 
 from rigs.verdict import Chance, close
-from thistlelever.budgets.wait_estimator import SHORT, WaitEstimator
+from thistlelever.budgets.wait_estimator import MIN_SCORED_WAIT, WaitEstimator
 from thistlelever.ground import papers
 from thistlelever.ground.operator import Operator, read
 from thistlelever.lifecycle.run import Office
@@ -161,8 +161,8 @@
             await asyncio.sleep(0.1)
             fair_queue = self.office.courses.gate.fair_queue
             out = Counter()
-            for held in fair_queue.running.values():
-                out[held.entry.team] += held.entry.width
+            for batch in fair_queue.running.values():
+                out[batch.spec.team] += batch.spec.width
             self.shares.append((asyncio.get_running_loop().time() - begun, dict(out)))
 
     async def team(self, name):
@@ -234,18 +234,18 @@
 
 async def run(seed, seconds, plot):
     chance = Chance(seed)
-    recorded, learn = [], WaitEstimator.learn
+    recorded, record = [], WaitEstimator.record
 
-    def recording(self, path, told, raw, naive, was):
-        recorded.append((path[1], told, was, naive))
-        learn(self, path, told, raw, naive, was)
+    def recording(self, path, estimated, uncorrected, naive, actual):
+        recorded.append((path[1], estimated, actual, naive))
+        record(self, path, estimated, uncorrected, naive, actual)
 
     alone = await Day(chance, seconds / 2, [VICTIM], SECTION).play()
-    WaitEstimator.learn = recording
+    WaitEstimator.record = recording
     flooded = await Day(chance, seconds, list(TEAMS), SECTION).play()
-    WaitEstimator.learn = learn
+    WaitEstimator.record = record
     without = await Day(chance, seconds, list(TEAMS), None).play()
-    waited = [r for r in recorded if r[2] >= SHORT]
+    waited = [r for r in recorded if r[2] >= MIN_SCORED_WAIT]
     errors = {
         f"{name}p{share}": percentile([abs(r[place] - r[2]) / r[2] for r in waited], share)
         for name, place in (("", 1), ("naive_", 3))
@@ -267,7 +267,7 @@
             broken.append(f"{name}: one final answer")
         broken += [f"{name}: {n}" for n in day.office.tally.counts if n.startswith("broken")]
         broken += [f"{name}: {event}" for event, _ in day.failures]
-    if not fair_queue.conserved() or fair_queue.batches:
+    if not fair_queue.is_conserved() or fair_queue.batches:
         broken.append("something is still held")
     figures = {
         "seconds": seconds,
@@ -283,7 +283,7 @@
         "ends_with": {name: dict(ends) for name, ends in flooded.ends.items()},
         "ends_without": {name: dict(ends) for name, ends in without.ends.items()},
         "counts": fair_queue.counts,
-        "thrown_away_core_s": round(fair_queue.thrown_away, 3),
+        "thrown_away_core_s": round(fair_queue.wasted_work, 3),
     }
     if plot:
         picture(Path(plot), seed, flooded, recorded)
@@ -309,7 +309,7 @@
     left.set(xlabel="seconds", ylabel="threads out", title="Threads by team (stand-in engines)")
     left.legend(loc="lower right")
     for name in TEAMS:
-        points = [(was, told) for team, told, was, _ in recorded if team == name and was >= SHORT]
+        points = [(was, told) for team, told, was, _ in recorded if team == name and was >= MIN_SCORED_WAIT]
         if points:
             right.scatter(*zip(*points, strict=True), s=4, label=name)
     most = max((was for _, _, was, _ in recorded), default=1.0)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -430,7 +430,7 @@
 
     async def do_held_back(self, count):
         """So many batches are held by their budgets by now."""
-        await self.look_until(lambda: self.office.courses.gate.fair_queue.root.held == int(count))
+        await self.look_until(lambda: self.office.courses.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Just one of them has an answer, and it says that it may have run."""
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -16,7 +16,7 @@
 from thistlelever.budgets.preemption import WASTE_WINDOW
 from thistlelever.ground.orders import Preempt, Refuse, Release
 
-TERMS = QueuePolicy(cancels=True, waste=0.05, longest_return=1.0, depth=1.0)
+POLICY = QueuePolicy(can_cancel=True, max_waste=0.05, max_retry_delay=1.0, overcommit=1.0)
 
 
 def tree(**brokers):
@@ -38,9 +38,9 @@
 class Yard:
     """Engines of so many threads behind a fair queue: what is released runs for its work over its width."""
 
-    def __init__(self, plan=PLAN, terms=TERMS, threads=8.0, slow=1.0):
-        self.fair_queue, self.now, self.number = FairQueue(plan, terms, 7, threads), 0.0, 0
-        self.slow, self.running, self.entries, self.truth = slow, [], {}, {}
+    def __init__(self, plan=PLAN, policy=POLICY, threads=8.0, slow=1.0):
+        self.fair_queue, self.now, self.number = FairQueue(plan, policy, 7, threads), 0.0, 0
+        self.slow, self.running, self.specs, self.truth = slow, [], {}, {}
         self.released, self.refused, self.work = {}, {}, Counter()
         self.preempted, self.order, self.taken = [], defaultdict(list), {}
 
@@ -48,22 +48,31 @@
         self,
         team,
         work=0.1,
-        group="lookup",
+        query_class="lookup",
         width=1.0,
         limit=5.0,
-        utility=1.0,
+        value=1.0,
         key=0,
         true=None,
-        goal=2.0,
-        again=False,
+        objective=2.0,
+        retried=False,
         at_once=False,
     ):
         self.number += 1
-        entry = self.entries[self.number] = BatchSpec(
-            self.number, team, group, utility, work, width, self.now + limit, self.now + goal, key, again
+        spec = self.specs[self.number] = BatchSpec(
+            self.number,
+            team,
+            query_class,
+            value,
+            work,
+            width,
+            self.now + limit,
+            self.now + objective,
+            key,
+            retried,
         )
         self.truth[self.number], self.taken[self.number] = true or work, self.now
-        self.does(self.fair_queue.submit(self.now, entry))
+        self.does(self.fair_queue.submit(self.now, spec))
         if at_once:
             self.does(self.fair_queue.tick(self.now))
         return self.number
@@ -71,31 +80,31 @@
     def does(self, actions):
         for action in actions:
             number = action.number
-            entry = self.entries[number]
+            spec = self.specs[number]
             match action:
                 case Release():
                     assert number not in self.released and number not in self.refused
                     self.released[number] = self.now
-                    self.order[entry.key].append(number)
-                    self.fair_queue.began(number)
-                    self.running.append((self.now + self.truth[number] * self.slow / entry.width, number))
+                    self.order[spec.key].append(number)
+                    self.fair_queue.dispatch_started(number)
+                    self.running.append((self.now + self.truth[number] * self.slow / spec.width, number))
                 case Refuse():
                     assert number not in self.released and number not in self.refused
                     self.refused[number] = self.now, action.why, action.after
                 case Preempt():
                     self.preempted.append(number)
                     self.running = [(at, n) for at, n in self.running if n != number]
-                    self.does(self.fair_queue.ended(self.now, number, 0.0))
+                    self.does(self.fair_queue.completed(self.now, number, 0.0))
 
     def passes(self, until, step=0.01):
         while self.now < until - 1e-9:
             self.now = min(self.now + step, until)
             for at, number in sorted(r for r in self.running if r[0] <= self.now):
                 self.running.remove((at, number))
-                self.work[self.entries[number].team] += self.truth[number]
-                self.does(self.fair_queue.ended(self.now, number, self.truth[number]))
+                self.work[self.specs[number].team] += self.truth[number]
+                self.does(self.fair_queue.completed(self.now, number, self.truth[number]))
             self.does(self.fair_queue.tick(self.now))
-        assert self.fair_queue.conserved(), self.fair_queue.counts
+        assert self.fair_queue.is_conserved(), self.fair_queue.counts
 
     def waits(self, numbers):
         return [self.released[n] - self.taken[n] for n in numbers if n in self.released]
@@ -112,7 +121,7 @@
     yard.passes(1.0)
     flood(yard, "a", 40)
     yard.passes(1.0 + 0.11)
-    threads = yard.fair_queue.root.children["rosso"].threads
+    threads = yard.fair_queue.root.children["rosso"].threads_in_use
     assert threads >= 0.3 * 8
 
 
@@ -129,7 +138,7 @@
     alone, flooded = Yard(), Yard()
     for yard in (alone, flooded):
         if yard is flooded:
-            flood(yard, "d", 300, limit=60.0, utility=0.1, goal=50.0)
+            flood(yard, "d", 300, limit=60.0, value=0.1, objective=50.0)
         mine = []
         for _ in range(60):
             mine.append(yard.submit("a", 0.05))
@@ -151,7 +160,7 @@
     flood(yard, "d", 100, limit=60.0)
     for _ in range(40):
         yard.passes(yard.now + 0.05)
-        assert yard.fair_queue.root.children["verde"].threads <= 0.25 * 8
+        assert yard.fair_queue.root.children["verde"].threads_in_use <= 0.25 * 8
 
 
 def test_one_huge_batch_beside_thousands_of_tiny_ones():
@@ -186,7 +195,9 @@
 def test_what_is_held_goes_or_is_refused_by_a_known_moment():
     yard = Yard(threads=1.0)
     numbers = [yard.submit("abcd"[n % 4], 0.2, limit=1.0 + n % 7 / 5) for n in range(50)]
-    bounds = {n: yard.fair_queue.batches[n].must_go_by() for n in numbers if n in yard.fair_queue.batches}
+    bounds = {
+        n: yard.fair_queue.batches[n].release_deadline() for n in numbers if n in yard.fair_queue.batches
+    }
     yard.passes(4.0)
     for number in numbers:
         went = yard.released[number] if number in yard.released else yard.refused[number][0]
@@ -209,12 +220,12 @@
     flood(yard, "a", 100, limit=60.0)
     number = yard.submit("a", limit=1.0)
     when, why, after = yard.refused[number]
-    assert when == yard.now and "time limit" in why and 0 < after <= TERMS.longest_return
+    assert when == yard.now and "time limit" in why and 0 < after <= POLICY.max_retry_delay
 
 
 def test_times_to_come_back_are_spread():
     # Hard case 6.
-    yard = Yard(threads=1.0, terms=TERMS._replace(longest_return=100.0))
+    yard = Yard(threads=1.0, policy=POLICY._replace(max_retry_delay=100.0))
     flood(yard, "a", 100, limit=60.0)
     after = [yard.refused[yard.submit("a", limit=1.0)][2] for _ in range(50)]
     assert max(after) > 1.3 * min(after) and len({round(a, 3) for a in after}) > 25
@@ -223,7 +234,7 @@
 def test_who_comes_back_is_not_last_again():
     yard = Yard(threads=1.0)
     flood(yard, "a", 20, limit=60.0)
-    again, new = yard.submit("a", limit=60.0, again=True), yard.submit("a", limit=60.0)
+    again, new = yard.submit("a", limit=60.0, retried=True), yard.submit("a", limit=60.0)
     yard.passes(6.0)
     assert yard.released[again] < yard.released[new] - 0.3
 
@@ -231,23 +242,23 @@
 def test_preemption_takes_the_least_worthy_and_is_bounded():
     # Hard case 2: the carrier's part is in test_gate.
     yard = Yard(threads=4.0)
-    low = [yard.submit("d", 3.0, "report", limit=60.0, utility=0.1) for _ in range(1)]
-    low += [yard.submit("b", 3.0, "report", limit=60.0, utility=0.2) for _ in range(3)]
+    low = [yard.submit("d", 3.0, "report", limit=60.0, value=0.1) for _ in range(1)]
+    low += [yard.submit("b", 3.0, "report", limit=60.0, value=0.2) for _ in range(3)]
     yard.passes(0.05)
-    first = yard.submit("a", 0.2, utility=1.0, goal=0.5)
+    first = yard.submit("a", 0.2, value=1.0, objective=0.5)
     yard.passes(0.2)
     assert yard.preempted == [low[1]] or yard.preempted == [low[0]], yard.preempted
     assert first in yard.released
     for _ in range(100):
-        yard.submit("a", 0.2, utility=1.0, goal=0.3)
+        yard.submit("a", 0.2, value=1.0, objective=0.3)
         yard.passes(yard.now + 0.05)
-    assert yard.fair_queue.thrown_away <= TERMS.waste * 4.0 * WASTE_WINDOW
+    assert yard.fair_queue.wasted_work <= POLICY.max_waste * 4.0 * WASTE_WINDOW
 
 
 def test_no_preemption_of_what_runs_where_engines_do_not_cancel():
-    yard = Yard(threads=4.0, terms=TERMS._replace(cancels=False))
-    flood(yard, "d", 4, work=3.0, limit=60.0, utility=0.1)
-    yard.submit("a", 0.2, utility=1.0, goal=0.5)
+    yard = Yard(threads=4.0, policy=POLICY._replace(can_cancel=False))
+    flood(yard, "d", 4, work=3.0, limit=60.0, value=0.1)
+    yard.submit("a", 0.2, value=1.0, objective=0.5)
     yard.passes(1.0)
     assert not yard.preempted
 
@@ -257,12 +268,12 @@
     yard = Yard(threads=2.0)
     numbers = flood(yard, "a", 10, limit=60.0) + flood(yard, "c", 2, limit=60.0)
     zero = tree(rosso=(Share(0.5), {"a": Share(0.0, 0.0), "b": Share()}), verde=(Share(), {"c": Share()}))
-    yard.does(yard.fair_queue.renew(yard.now, zero, TERMS))
+    yard.does(yard.fair_queue.reconfigure(yard.now, zero, POLICY))
     out = [n for n in numbers if n in yard.released]
     assert {yard.refused[n][1] for n in numbers[:10] if n not in out} == {"its budget is zero"}
     assert yard.submit("a") in yard.refused
     yard.passes(3.0)
-    assert not yard.fair_queue.batches and yard.fair_queue.root.threads == 0
+    assert not yard.fair_queue.batches and yard.fair_queue.root.threads_in_use == 0
 
 
 def test_a_team_renamed_and_moved_while_it_waits():
@@ -270,9 +281,9 @@
     numbers = flood(yard, "a", 30, limit=60.0) + flood(yard, "nobody", 5, limit=60.0)
     yard.passes(0.3)
     moved = tree(blu=(Share(), {"a": Share(0.5)}), rosso=(Share(), {"b": Share()}))
-    yard.does(yard.fair_queue.renew(yard.now, moved, TERMS))
-    assert yard.fair_queue.conserved() and "blu" in yard.fair_queue.root.children
-    assert yard.fair_queue.root.threads == len(yard.running)
+    yard.does(yard.fair_queue.reconfigure(yard.now, moved, POLICY))
+    assert yard.fair_queue.is_conserved() and "blu" in yard.fair_queue.root.children
+    assert yard.fair_queue.root.threads_in_use == len(yard.running)
     yard.passes(10.0)
     assert set(numbers) == set(yard.released) and not yard.fair_queue.batches
 
@@ -284,11 +295,11 @@
         flood(yard, "a", 3, work=0.05, limit=60.0)
         flood(yard, "c", 8, work=0.05, limit=60.0)
         yard.passes(yard.now + 0.05)
-    yard.does(yard.fair_queue.capacity_is(yard.now, 4.0))
+    yard.does(yard.fair_queue.set_capacity(yard.now, 4.0))
     yard.passes(yard.now + 3.0)
-    assert yard.fair_queue.root.threads <= 4.0
+    assert yard.fair_queue.root.threads_in_use <= 4.0
     number = yard.submit("c", 0.05, limit=600.0)
-    told = yard.fair_queue.batches[number].told
+    told = yard.fair_queue.batches[number].estimated_wait
     yard.passes(yard.now + 60.0)
     assert abs(yard.waits([number])[0] - told) <= 0.35 * told
 
@@ -303,7 +314,7 @@
             asked.append(yard.submit("c", 0.1, limit=100.0))
         yard.passes(yard.now + 0.05)
     yard.passes(yard.now + 30)
-    found = yard.fair_queue.waits.percentiles()
+    found = yard.fair_queue.wait_estimator.percentiles()
     assert found["p90"] <= 0.35 and found["p50"] <= 0.2 and found["p90"] < found["naive_p90"], found
 
 
@@ -316,7 +327,7 @@
 def test_a_decision_costs_near_the_same_with_thousands_of_teams():
     # Hard case 7. Counted in CPU, as a ratio in one run, with room for the machine's moods.
     def cost(teams):
-        fair_queue = FairQueue(Plan({}, Share()), TERMS, 1, 50.0)
+        fair_queue = FairQueue(Plan({}, Share()), POLICY, 1, 50.0)
         for n in range(teams):
             fair_queue.submit(0.0, BatchSpec(n, f"t{n}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
         fair_queue.tick(0.0)
@@ -325,7 +336,7 @@
             at += 0.001
             number = next(iter(fair_queue.running))
             fair_queue.submit(at, BatchSpec(teams + n, f"t{n % teams}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
-            fair_queue.ended(at, number, 0.01)
+            fair_queue.completed(at, number, 0.01)
         return process_time() - begun
 
     assert cost(10_000) <= 6 * cost(100)
@@ -337,7 +348,7 @@
         yard.submit(f"t{n}", 0.01)
     yard.passes(2.0)
     yard.passes(120.0, step=1.0)
-    assert len(yard.fair_queue.tree.nodes()) <= 2 and not yard.fair_queue.estimates.cost
+    assert len(yard.fair_queue.tree.nodes()) <= 2 and not yard.fair_queue.estimates.cost_factors
 
 
 @pytest.mark.parametrize(
@@ -382,44 +393,47 @@
         width=st.sampled_from([1.0, 2.0]),
         limit=st.floats(0.05, 5),
         key=st.integers(0, 3),
-        again=st.booleans(),
+        retried=st.booleans(),
         lie=st.sampled_from([0.1, 1, 10]),
-        utility=st.sampled_from([0.1, 0.5, 1.0]),
+        value=st.sampled_from([0.1, 0.5, 1.0]),
     )
-    def submit(self, team, work, width, limit, key, again, lie, utility):
-        self.yard.submit(team, work, "g", width, limit, utility, key, work * lie, limit / 2, again, True)
+    def submit(self, team, work, width, limit, key, retried, lie, value):
+        self.yard.submit(team, work, "g", width, limit, value, key, work * lie, limit / 2, retried, True)
 
     @rule(seconds=st.floats(0.01, 1))
     def passes(self, seconds):
         self.yard.passes(self.yard.now + seconds, step=seconds / 4)
         for held in self.yard.fair_queue.batches.values():
             # The ageing bound: past its moment nothing is held.
-            assert held.out or held.must_go_by() > self.yard.now
+            assert held.is_released or held.release_deadline() > self.yard.now
 
     @rule(place=st.integers(0, 30))
     def leaves(self, place):
-        held = [n for n, h in self.yard.fair_queue.batches.items() if not h.out]
+        held = [n for n, h in self.yard.fair_queue.batches.items() if not h.is_released]
         if held:
             number = held[place % len(held)]
-            self.yard.does(self.yard.fair_queue.left(self.yard.now, number))
+            self.yard.does(self.yard.fair_queue.client_left(self.yard.now, number))
             assert number not in self.yard.fair_queue.batches
 
     @rule(threads=st.sampled_from([0.0, 1.0, 4.0, 8.0]))
     def engines(self, threads):
-        self.yard.does(self.yard.fair_queue.capacity_is(self.yard.now, threads))
+        self.yard.does(self.yard.fair_queue.set_capacity(self.yard.now, threads))
 
     @rule(place=st.integers(0, 3))
     def renew(self, place):
-        self.yard.does(self.yard.fair_queue.renew(self.yard.now, self.PLANS[place], TERMS))
+        self.yard.does(self.yard.fair_queue.reconfigure(self.yard.now, self.PLANS[place], POLICY))
 
     @invariant()
     def conserved(self):
         fair_queue = self.yard.fair_queue
-        assert fair_queue.conserved(), fair_queue.counts
+        assert fair_queue.is_conserved(), fair_queue.counts
         leaves = [node for node in fair_queue.tree.nodes() if node.parent and not node.children]
-        assert sum(len(leaf.queue) for leaf in leaves) == fair_queue.root.held
-        assert abs(fair_queue.root.threads - sum(h.entry.width for h in fair_queue.running.values())) < 1e-6
-        assert fair_queue.thrown_away <= 1e9
+        assert sum(len(leaf.queue) for leaf in leaves) == fair_queue.root.queued
+        assert (
+            abs(fair_queue.root.threads_in_use - sum(h.spec.width for h in fair_queue.running.values()))
+            < 1e-6
+        )
+        assert fair_queue.wasted_work <= 1e9
 
     @invariant()
     def in_order(self):
@@ -430,7 +444,7 @@
     def room_is_used(self):
         # Work-conserving: with nothing out, something held and no ceiling at zero, something goes.
         fair_queue = self.yard.fair_queue
-        assert fair_queue.running or not fair_queue.root.held
+        assert fair_queue.running or not fair_queue.root.queued
 
 
 TestBudgets = Budgets.TestCase
--- a/thistlelever/budgets/key_order.py
+++ b/thistlelever/budgets/key_order.py
@@ -10,32 +10,32 @@
 
     def __init__(self) -> None:
         """No key has any."""
-        self.lines: dict[int, list[QueuedBatch]] = {}
+        self.queues: dict[int, list[QueuedBatch]] = {}
 
-    def add(self, held: QueuedBatch) -> bool:
+    def add(self, batch: QueuedBatch) -> bool:
         """The query comes behind those of its key; whether it is the first of them."""
-        if not held.entry.key:
+        if not batch.spec.key:
             return True
-        line = self.lines.setdefault(held.entry.key, [])
-        line.append(held)
-        return len(line) == 1
+        queue = self.queues.setdefault(batch.spec.key, [])
+        queue.append(batch)
+        return len(queue) == 1
 
-    def is_first(self, held: QueuedBatch) -> bool:
+    def is_head(self, batch: QueuedBatch) -> bool:
         """Whether nothing of its key stands before it."""
-        return not held.entry.key or self.lines[held.entry.key][0] is held
+        return not batch.spec.key or self.queues[batch.spec.key][0] is batch
 
-    def remove(self, held: QueuedBatch) -> QueuedBatch | None:
-        """It stands in its key's line no more; the query that is first now because of that, if any."""
-        line = self.lines.get(held.entry.key) if held.entry.key else None
-        if not line or held not in line:
+    def remove(self, batch: QueuedBatch) -> QueuedBatch | None:
+        """It stands in its key's queue no more; the query that is first now because of that, if any."""
+        queue = self.queues.get(batch.spec.key) if batch.spec.key else None
+        if not queue or batch not in queue:
             return None
-        was_first = line[0] is held
-        line.remove(held)
-        if not line:
-            del self.lines[held.entry.key]
+        was_head = queue[0] is batch
+        queue.remove(batch)
+        if not queue:
+            del self.queues[batch.spec.key]
             return None
-        return line[0] if was_first else None
+        return queue[0] if was_head else None
 
-    def behind_first(self) -> int:
+    def count_blocked(self) -> int:
         """How many queries wait for another of their key."""
-        return sum(len(line) - 1 for line in self.lines.values())
+        return sum(len(queue) - 1 for queue in self.queues.values())
--- a/thistlelever/budgets/plan.py
+++ b/thistlelever/budgets/plan.py
@@ -24,7 +24,7 @@
     """A node with those below it by name."""
 
     share: Share
-    below: dict[str, PlanNode]
+    children: dict[str, PlanNode]
 
 
 class Plan:
@@ -35,26 +35,26 @@
         self.brokers, self.other = brokers, other
         self.broker_of: dict[str, str] = {}
         for name, broker in brokers.items():
-            for team in broker.below:
+            for team in broker.children:
                 if team in self.broker_of:
                     raise PlanError(f"{name}.{team}: also a team of {self.broker_of[team]}")
                 self.broker_of[team] = name
-        sound("", PlanNode(Share(1.0), brokers | {OTHER: PlanNode(other, {})}))
+        validate("", PlanNode(Share(1.0), brokers | {OTHER: PlanNode(other, {})}))
 
-    def path(self, team: str, group: str) -> tuple[str, str, str]:
+    def path(self, team: str, query_class: str) -> tuple[str, str, str]:
         """Where a team's service group stands: broker, team, group."""
-        return self.broker_of.get(team, OTHER), team, group
+        return self.broker_of.get(team, OTHER), team, query_class
 
     def share(self, path: Iterable[str]) -> Share:
         """The share at a path of names; the plain one where nothing is planned."""
-        below, share = self.brokers, Share()
+        children, share = self.brokers, Share()
         for depth, name in enumerate(path):
             if depth == 0 and name == OTHER:
-                below, share = {}, self.other
-            elif name in below:
-                below, share = below[name].below, below[name].share
+                children, share = {}, self.other
+            elif name in children:
+                children, share = children[name].children, children[name].share
             else:
-                below, share = {}, Share()
+                children, share = {}, Share()
         return share
 
 
@@ -62,10 +62,10 @@
 OTHER = "other"
 
 
-def sound(path: str, branch: PlanNode) -> None:
+def validate(path: str, node: PlanNode) -> None:
     """Risk: guarantees that add up to more than there is are promises that can't all be kept, and which is
     broken would hang on who comes first."""
-    share, name = branch.share, path or "the platform"
+    share, name = node.share, path or "the platform"
     if not 0 <= share.guarantee <= share.ceiling <= 1:
         raise PlanError(
             f"{name}: a guarantee from 0 up to its ceiling, and that up to 1 expected; "
@@ -73,9 +73,11 @@
         )
     if share.weight <= 0 or share.burst < 0:
         raise PlanError(f"{name}: a weight above 0 and a burst from 0 up expected")
-    promised = sum(below.share.guarantee for below in branch.below.values())
-    whole = share.guarantee if share.guarantee else 1.0 if not path else share.ceiling
-    if promised > whole + 1e-9:
-        raise PlanError(f"{name}: the guarantees below it are {promised:g} together, more than its {whole:g}")
-    for key, below in branch.below.items():
-        sound(f"{path}.{key}" if path else key, below)
+    promised = sum(child.share.guarantee for child in node.children.values())
+    available = share.guarantee if share.guarantee else 1.0 if not path else share.ceiling
+    if promised > available + 1e-9:
+        raise PlanError(
+            f"{name}: the guarantees below it are {promised:g} together, more than its {available:g}"
+        )
+    for key, child in node.children.items():
+        validate(f"{path}.{key}" if path else key, child)
--- a/thistlelever/budgets/queued_batch.py
+++ b/thistlelever/budgets/queued_batch.py
@@ -8,7 +8,7 @@
 from thistlelever.budgets.node import Node
 
 # Held no longer than until its run, and half as much again, would pass its time limit.
-RUN, LEAST_RUN = 1.5, 0.02
+RUN_TIME_MARGIN, MIN_RUN_TIME = 1.5, 0.02
 
 
 class BatchSpec(NamedTuple):
@@ -17,55 +17,55 @@
 
     number: int
     team: str
-    group: str
-    utility: float
+    query_class: str
+    value: float
     work: float
     width: float
-    limit_at: float
-    goal_at: float
+    deadline: float
+    objective_at: float
     key: int
-    again: bool = False
+    retried: bool = False
 
 
 class QueuePolicy(NamedTuple):
     """What holds for the whole tree: whether engines cancel, the share of work that pre-emption may throw
     away, the longest time to come back, and how many times its threads this front may have out."""
 
-    cancels: bool
-    waste: float
-    longest_return: float
-    depth: float
+    can_cancel: bool
+    max_waste: float
+    max_retry_delay: float
+    overcommit: float
 
 
 @dataclass(slots=True, eq=False)
 class QueuedBatch:
     """One batch that is held or out."""
 
-    entry: BatchSpec
+    spec: BatchSpec
     leaf: Node
-    since: float
-    due: float
+    queued_at: float
+    order_at: float
     charge: float
-    told: float
-    raw: float
-    naive: float
-    waiting: bool = False
-    out: bool = False
-    released: float = 0.0
-    began: bool = False
-    given_up: bool = False
+    estimated_wait: float
+    uncorrected_wait: float
+    naive_wait: float
+    schedulable: bool = False
+    is_released: bool = False
+    released_at: float = 0.0
+    dispatched: bool = False
+    preempted: bool = False
     # Whether it was told a wait in which it ages.
-    slow: bool = False
+    ages: bool = False
 
     def __lt__(self, other: QueuedBatch) -> bool:
         """In its leaf's queue the one that is due first comes first."""
-        return (self.due, self.entry.number) < (other.due, other.entry.number)
+        return (self.order_at, self.spec.number) < (other.order_at, other.spec.number)
 
-    def done(self, now: float) -> float:
+    def work_done(self, now: float) -> float:
         """The work, in thread-seconds, that it has done so far as far as its time tells."""
-        return (now - self.released) * self.entry.width if self.began else 0.0
+        return (now - self.released_at) * self.spec.width if self.dispatched else 0.0
 
-    def must_go_by(self) -> float:
+    def release_deadline(self) -> float:
         """The last moment at which it is released: past it, it is refused."""
-        run = max(self.charge / self.entry.width, LEAST_RUN)
-        return max(self.entry.limit_at - RUN * run, self.since)
+        run_time = max(self.charge / self.spec.width, MIN_RUN_TIME)
+        return max(self.spec.deadline - RUN_TIME_MARGIN * run_time, self.queued_at)
--- a/thistlelever/budgets/throughput.py
+++ b/thistlelever/budgets/throughput.py
@@ -6,9 +6,9 @@
 
 # So long all threads, or fewer for longer, must have been at work before their yield is believed, which is
 # then taken over so long.
-MIN_OBSERVED, WINDOW = 0.25, 8.0
+MIN_OBSERVATION, WINDOW = 0.25, 8.0
 # A thread is taken to end at most so much, and all threads together at least so much.
-MAX_YIELD, MIN_PACE = 2.0, 0.1
+MAX_WORK_PER_THREAD_SECOND, MIN_RATE = 2.0, 0.1
 
 
 class Throughput:
@@ -16,23 +16,23 @@
 
     def __init__(self) -> None:
         """Nothing has ended yet: a thread is taken to end one core-second in a second."""
-        self.ended: deque[tuple[float, float, float]] = deque()
-        self.work = self.time = 0.0
-        self.yields = 1.0
+        self.completed: deque[tuple[float, float, float]] = deque()
+        self.work = self.thread_seconds = 0.0
+        self.work_per_thread_second = 1.0
 
     def add(self, now: float, charge: float, thread_seconds: float) -> None:
         """Something has ended."""
-        self.ended.append((now, charge, thread_seconds))
+        self.completed.append((now, charge, thread_seconds))
         self.work += charge
-        self.time += thread_seconds
+        self.thread_seconds += thread_seconds
 
-    def pace(self, now: float, capacity: float) -> float:
+    def rate(self, now: float, capacity: float) -> float:
         """Core-seconds, as they are charged, that so many threads would end in a second: what those that were
         out lately have ended, for each second that one was."""
-        while self.ended and self.ended[0][0] < now - WINDOW:
-            _, charge, lasted = self.ended.popleft()
+        while self.completed and self.completed[0][0] < now - WINDOW:
+            _, charge, thread_seconds = self.completed.popleft()
             self.work -= charge
-            self.time -= lasted
-        if self.time >= MIN_OBSERVED * max(capacity, 1.0):
-            self.yields = min(self.work / self.time, MAX_YIELD)
-        return max(capacity * self.yields, MIN_PACE)
+            self.thread_seconds -= thread_seconds
+        if self.thread_seconds >= MIN_OBSERVATION * max(capacity, 1.0):
+            self.work_per_thread_second = min(self.work / self.thread_seconds, MAX_WORK_PER_THREAD_SECOND)
+        return max(capacity * self.work_per_thread_second, MIN_RATE)
--- a/thistlelever/budgets/tree.py
+++ b/thistlelever/budgets/tree.py
@@ -8,70 +8,75 @@
 from thistlelever.budgets.plan import Plan
 
 # Seconds after which what is idle and owes nothing is forgotten.
-FORGET_AFTER = 30.0
+IDLE_LIFETIME = 30.0
 
 
 class BudgetTree:
     """The nodes of one plan; the leaves are service groups of teams."""
 
-    def __init__(self, plan: Plan, on_forgotten: Callable[[Node], None]) -> None:
-        """Only the root is there; `on_forgotten` is told each node that is forgotten."""
-        self.plan, self.on_forgotten = plan, on_forgotten
+    def __init__(self, plan: Plan, on_removed: Callable[[Node], None]) -> None:
+        """Only the root is there; `on_removed` is told each node that is forgotten."""
+        self.plan, self.on_removed = plan, on_removed
         self.root = Node("", None, plan.share(()))
         # Nodes with nothing held or out, and since when.
-        self.idle: dict[Node, float] = {}
+        self.idle_since: dict[Node, float] = {}
 
-    def leaf(self, team: str, group: str) -> Node:
+    def leaf(self, team: str, query_class: str) -> Node:
         """The leaf of a team's service group, with the nodes above it, made as they are needed."""
         node = self.root
-        path = self.plan.path(team, group)
+        path = self.plan.path(team, query_class)
         for depth, name in enumerate(path):
             child = node.children.get(name)
             if child is None:
                 child = node.children[name] = Node(name, node, self.plan.share(path[: depth + 1]))
-                child.finish = child.start = node.time
+                child.finish_tag = child.start_tag = node.virtual_time
             node = child
         return node
 
     def nodes(self) -> list[Node]:
         """All nodes, the root first."""
-        found, waiting = [], [self.root]
-        while waiting:
-            node = waiting.pop()
+        found, pending = [], [self.root]
+        while pending:
+            node = pending.pop()
             found.append(node)
-            waiting += node.children.values()
+            pending += node.children.values()
         return found
 
-    def spare(self, leaf: Node, now: float) -> None:
+    def mark_idle(self, leaf: Node, now: float) -> None:
         """Something of the leaf has ended: nodes on the way up that are idle now may be forgotten later."""
-        for node in upwards(leaf):
-            if not node.held and not node.threads:
-                node.rests()
+        for node in path_to_root(leaf):
+            if not node.queued and not node.threads_in_use:
+                node.end_busy_period()
                 if node.parent:
-                    self.idle.setdefault(node, now)
+                    self.idle_since.setdefault(node, now)
 
-    def forget_idle(self, now: float) -> None:
+    def remove_idle(self, now: float) -> None:
         """Drop nodes that have been idle for long."""
-        while self.idle and now - self.idle[next(iter(self.idle))] >= FORGET_AFTER:
-            self.forget(next(iter(self.idle)), now)
+        while self.idle_since and now - self.idle_since[next(iter(self.idle_since))] >= IDLE_LIFETIME:
+            self.remove(next(iter(self.idle_since)), now)
 
-    def forget(self, node: Node, now: float) -> None:
+    def remove(self, node: Node, now: float) -> None:
         """Idle for long. Risk: forgotten with a debt, it would start anew without it."""
-        since = self.idle.pop(node)
-        if node.held or node.threads or node.children or node.parent.children.get(node.name) is not node:
+        since = self.idle_since.pop(node)
+        if (
+            node.queued
+            or node.threads_in_use
+            or node.children
+            or node.parent.children.get(node.name) is not node
+        ):
             # One with others below it comes up again with the last of them.
             return
-        if node.finish > node.parent.time:
+        if node.finish_tag > node.parent.virtual_time:
             # It owes still: looked at again later.
-            self.idle[node] = now
+            self.idle_since[node] = now
             return
         del node.parent.children[node.name]
-        self.on_forgotten(node)
-        if node.parent.parent and not node.parent.children and not node.parent.threads:
-            self.idle[node.parent] = since
+        self.on_removed(node)
+        if node.parent.parent and not node.parent.children and not node.parent.threads_in_use:
+            self.idle_since[node.parent] = since
 
 
-def upwards(leaf: Node) -> Iterator[Node]:
+def path_to_root(leaf: Node) -> Iterator[Node]:
     """The leaf and all above it."""
     node: Node | None = leaf
     while node is not None:
@@ -79,6 +84,8 @@
         node = node.parent
 
 
-def over(leaf: Node, capacity: float) -> bool:
+def is_above_guarantee(leaf: Node, capacity: float) -> bool:
     """Whether a node on the way up holds more than it is guaranteed."""
-    return any(node.parent and node.threads > node.share.guarantee * capacity for node in upwards(leaf))
+    return any(
+        node.parent and node.threads_in_use > node.share.guarantee * capacity for node in path_to_root(leaf)
+    )
--- a/thistlelever/budgets/views.py
+++ b/thistlelever/budgets/views.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from thistlelever.budgets.node import Node
+from thistlelever.budgets.queued_batch import QueuedBatch
 from thistlelever.budgets.fair_queue import FairQueue
-from thistlelever.budgets.tree import upwards
+from thistlelever.budgets.tree import path_to_root
 
 
 def show(fair_queue: FairQueue, now: float) -> dict:
@@ -12,67 +13,67 @@
     seconds."""
     return {
         "threads": round(fair_queue.capacity, 2),
-        "out": round(fair_queue.root.threads, 2),
-        "held": fair_queue.root.held,
+        "out": round(fair_queue.root.threads_in_use, 2),
+        "held": fair_queue.root.queued,
         "backlog_core_s": round(fair_queue.root.backlog, 3),
-        "pace_core_s": round(fair_queue.pace(now), 3),
+        "pace_core_s": round(fair_queue.service_rate(now), 3),
         "counts": fair_queue.counts,
-        "thrown_away_core_s": round(fair_queue.thrown_away, 3),
-        "estimate_errors": fair_queue.waits.percentiles(),
+        "thrown_away_core_s": round(fair_queue.wasted_work, 3),
+        "estimate_errors": fair_queue.wait_estimator.percentiles(),
         "nodes": [
-            line(node, fair_queue, now)
+            describe_node(node, fair_queue, now)
             for node in fair_queue.tree.nodes()
-            if node.parent and (node.held or node.threads)
+            if node.parent and (node.queued or node.threads_in_use)
         ],
     }
 
 
-def line(node: Node, fair_queue: FairQueue, now: float) -> dict:
+def describe_node(node: Node, fair_queue: FairQueue, now: float) -> dict:
     """One node, in threads, core-seconds and seconds."""
-    promised = node.share.guarantee * fair_queue.capacity
-    oldest = min((held.since for held in node.queue), default=None)
+    guarantee = node.share.guarantee * fair_queue.capacity
+    oldest = min((batch.queued_at for batch in node.queue), default=None)
     return {
         "path": ".".join(node.path()),
-        "held": node.held,
+        "held": node.queued,
         "backlog_core_s": round(node.backlog, 3),
-        "out": round(node.threads, 2),
-        "guarantee": round(promised, 2),
+        "out": round(node.threads_in_use, 2),
+        "guarantee": round(guarantee, 2),
         "ceiling": round(node.share.ceiling * fair_queue.capacity, 2),
-        "lends": round(max(promised - node.threads, 0.0), 2) if not node.held else 0.0,
-        "borrows": round(max(node.threads - promised, 0.0), 2),
+        "lends": round(max(guarantee - node.threads_in_use, 0.0), 2) if not node.queued else 0.0,
+        "borrows": round(max(node.threads_in_use - guarantee, 0.0), 2),
         "oldest_s": round(now - oldest, 3) if oldest is not None else 0.0,
     }
 
 
 def explain(fair_queue: FairQueue, number: int, now: float) -> dict:
     """Why a batch waits, or that it does not."""
-    held = fair_queue.batches.get(number)
-    if held is None:
+    batch = fair_queue.batches.get(number)
+    if batch is None:
         return {"batch": number, "state": "not here: answered, or never taken"}
-    said = {
+    described = {
         "batch": number,
-        "path": ".".join(held.leaf.path()),
-        "charge_core_s": round(held.charge, 4),
-        "told_wait_s": round(held.told, 3),
-        "waits_since_s": round(now - held.since, 3),
+        "path": ".".join(batch.leaf.path()),
+        "charge_core_s": round(batch.charge, 4),
+        "told_wait_s": round(batch.estimated_wait, 3),
+        "waits_since_s": round(now - batch.queued_at, 3),
     }
-    if held.out:
-        return said | {"state": "released", "waited_s": round(held.released - held.since, 3)}
-    return said | {
+    if batch.is_released:
+        return described | {"state": "released", "waited_s": round(batch.released_at - batch.queued_at, 3)}
+    return described | {
         "state": "held",
-        "must_go_within_s": round(held.must_go_by() - now, 3),
-        "because": because(fair_queue, held),
+        "must_go_within_s": round(batch.release_deadline() - now, 3),
+        "because": wait_reason(fair_queue, batch),
     }
 
 
-def because(fair_queue: FairQueue, held) -> str:
+def wait_reason(fair_queue: FairQueue, batch: QueuedBatch) -> str:
     """What a held batch waits for."""
-    if not held.waiting:
+    if not batch.schedulable:
         return "a batch of the same key goes first"
-    for node in upwards(held.leaf):
-        if node.share.ceiling < 1 and node.full(fair_queue.capacity, held.entry.width):
+    for node in path_to_root(batch.leaf):
+        if node.share.ceiling < 1 and node.is_at_ceiling(fair_queue.capacity, batch.spec.width):
             return f"{'.'.join(node.path())} is at its ceiling"
-    ahead = held.leaf.queue.index(held)
-    if not fair_queue.room(held.entry.width):
+    ahead = batch.leaf.queue.index(batch)
+    if not fair_queue.has_capacity(batch.spec.width):
         return f"all threads are taken; {ahead} before it in its own queue"
     return f"others' turn; {ahead} before it in its own queue"
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/gate.py
@@ -28,7 +28,7 @@
         self,
         manifest: it.Manifest,
         plan: Plan,
-        terms: QueuePolicy,
+        policy: QueuePolicy,
         threads_a_core: float,
         seed: int,
         batches: Batches,
@@ -43,7 +43,7 @@
         self.revision, self.found = -1, 0.0
         self.batches, self.roll, self.tally, self.log = batches, roll, tally, log
         self.usual = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
-        self.fair_queue = FairQueue(plan, terms, seed, self.threads())
+        self.fair_queue = FairQueue(plan, policy, seed, self.threads())
         self.due: asyncio.TimerHandle | asyncio.Handle | None = None
         self.soon = False
 
@@ -68,22 +68,22 @@
         self.look_soon()
 
     def began(self, batch: Batch) -> None:
-        self.fair_queue.began(batch.number)
+        self.fair_queue.dispatch_started(batch.number)
 
     def ended(self, batch: Batch, true_work: float) -> None:
-        self.carry(self.fair_queue.ended(clock.now(), batch.number, true_work))
+        self.carry(self.fair_queue.completed(clock.now(), batch.number, true_work))
         self.look_soon()
 
     def left(self, batch: Batch) -> None:
-        self.carry(self.fair_queue.left(clock.now(), batch.number))
+        self.carry(self.fair_queue.client_left(clock.now(), batch.number))
 
     def too_late(self, batch: Batch) -> None:
-        self.fair_queue.too_late(batch.number)
+        self.fair_queue.preempted_too_late(batch.number)
 
-    def renew(self, plan: Plan, terms: QueuePolicy, threads_a_core: float) -> None:
+    def renew(self, plan: Plan, policy: QueuePolicy, threads_a_core: float) -> None:
         """Another tree, at once: what is held moves into it."""
         self.threads_a_core, self.revision = threads_a_core, -1
-        self.carry(self.fair_queue.renew(clock.now(), plan, terms))
+        self.carry(self.fair_queue.reconfigure(clock.now(), plan, policy))
         self.look_soon()
 
     def counted(self, fronts: int) -> None:
@@ -92,7 +92,7 @@
         self.look_soon()
 
     def stop(self, at: float) -> None:
-        self.carry(self.fair_queue.stops(clock.now(), at))
+        self.carry(self.fair_queue.shut_down(clock.now(), at))
 
     def look_soon(self) -> None:
         """What comes in one turn of the loop is weighed together."""
@@ -104,11 +104,11 @@
 
     def look(self) -> None:
         self.soon, now = False, clock.now()
-        self.carry(self.fair_queue.capacity_is(now, self.threads()))
+        self.carry(self.fair_queue.set_capacity(now, self.threads()))
         self.carry(self.fair_queue.tick(now))
-        self.tally.must(self.fair_queue.conserved(), "budgets lose or double nothing")
-        if self.fair_queue.root.held:
-            at = min(max(self.fair_queue.next_at(), now), now + LOOK)
+        self.tally.must(self.fair_queue.is_conserved(), "budgets lose or double nothing")
+        if self.fair_queue.root.queued:
+            at = min(max(self.fair_queue.next_event_at(), now), now + LOOK)
             self.due = asyncio.get_running_loop().call_at(clock.on_loop(at), self.look)
 
     def threads(self) -> float:
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -40,7 +40,7 @@
         self.gate = parts.courses.gate = Gate(
             papers.manifest,
             plan(section),
-            self.terms(section),
+            self.policy(section),
             section.threads_a_core,
             papers.seed,
             parts.batches,
@@ -49,7 +49,7 @@
             parts.log,
         )
 
-    def terms(self, section: Budgets) -> QueuePolicy:
+    def policy(self, section: Budgets) -> QueuePolicy:
         manifest = self.parts.papers.manifest
         longest = manifest.longest_return if manifest.names_return else 0.0
         return QueuePolicy(manifest.cancel, section.waste, longest, section.depth)
@@ -59,7 +59,7 @@
 
     def renew(self, operator: Operator, papers: Papers) -> None:
         if section := operator.budgets:
-            self.gate.renew(plan(section), self.terms(section), section.threads_a_core)
+            self.gate.renew(plan(section), self.policy(section), section.threads_a_core)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
