--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -35,14 +35,14 @@
 )
 
 
-class Yard:
+class SimulatedPool:
     """Engines of so many threads behind a fair queue: what is released runs for its work over its width."""
 
-    def __init__(self, plan=PLAN, policy=POLICY, threads=8.0, slow=1.0):
+    def __init__(self, plan=PLAN, policy=POLICY, threads=8.0, slowdown=1.0):
         self.fair_queue, self.now, self.number = FairQueue(plan, policy, 7, threads), 0.0, 0
-        self.slow, self.running, self.specs, self.truth = slow, [], {}, {}
+        self.slowdown, self.running, self.specs, self.true_work = slowdown, [], {}, {}
         self.released, self.refused, self.work = {}, {}, Counter()
-        self.preempted, self.order, self.taken = [], defaultdict(list), {}
+        self.preempted, self.released_by_key, self.submitted_at = [], defaultdict(list), {}
 
     def submit(
         self,
@@ -53,10 +53,10 @@
         limit=5.0,
         value=1.0,
         key=0,
-        true=None,
+        true_work=None,
         objective=2.0,
         retried=False,
-        at_once=False,
+        tick=False,
     ):
         self.number += 1
         spec = self.specs[self.number] = BatchSpec(
@@ -71,13 +71,13 @@
             key,
             retried,
         )
-        self.truth[self.number], self.taken[self.number] = true or work, self.now
-        self.does(self.fair_queue.submit(self.now, spec))
-        if at_once:
-            self.does(self.fair_queue.tick(self.now))
+        self.true_work[self.number], self.submitted_at[self.number] = true_work or work, self.now
+        self.apply(self.fair_queue.submit(self.now, spec))
+        if tick:
+            self.apply(self.fair_queue.tick(self.now))
         return self.number
 
-    def does(self, actions):
+    def apply(self, actions):
         for action in actions:
             number = action.number
             spec = self.specs[number]
@@ -85,236 +85,240 @@
                 case Release():
                     assert number not in self.released and number not in self.refused
                     self.released[number] = self.now
-                    self.order[spec.key].append(number)
+                    self.released_by_key[spec.key].append(number)
                     self.fair_queue.dispatch_started(number)
-                    self.running.append((self.now + self.truth[number] * self.slow / spec.width, number))
+                    self.running.append(
+                        (self.now + self.true_work[number] * self.slowdown / spec.width, number)
+                    )
                 case Refuse():
                     assert number not in self.released and number not in self.refused
                     self.refused[number] = self.now, action.why, action.after
                 case Preempt():
                     self.preempted.append(number)
                     self.running = [(at, n) for at, n in self.running if n != number]
-                    self.does(self.fair_queue.completed(self.now, number, 0.0))
+                    self.apply(self.fair_queue.completed(self.now, number, 0.0))
 
-    def passes(self, until, step=0.01):
+    def advance(self, until, step=0.01):
         while self.now < until - 1e-9:
             self.now = min(self.now + step, until)
             for at, number in sorted(r for r in self.running if r[0] <= self.now):
                 self.running.remove((at, number))
-                self.work[self.specs[number].team] += self.truth[number]
-                self.does(self.fair_queue.completed(self.now, number, self.truth[number]))
-            self.does(self.fair_queue.tick(self.now))
+                self.work[self.specs[number].team] += self.true_work[number]
+                self.apply(self.fair_queue.completed(self.now, number, self.true_work[number]))
+            self.apply(self.fair_queue.tick(self.now))
         assert self.fair_queue.is_conserved(), self.fair_queue.counts
 
     def waits(self, numbers):
-        return [self.released[n] - self.taken[n] for n in numbers if n in self.released]
+        return [self.released[n] - self.submitted_at[n] for n in numbers if n in self.released]
 
 
-def flood(yard, team, count, **facts):
-    return [yard.submit(team, **facts) for _ in range(count)]
+def flood(pool, team, count, **options):
+    return [pool.submit(team, **options) for _ in range(count)]
 
 
 def test_a_team_bursting_from_zero_gets_its_guarantee_within_one_run():
     # Hard case 1. Lent threads come back as what holds them ends: the longest run of what is out.
-    yard = Yard()
-    flood(yard, "c", 400)
-    yard.passes(1.0)
-    flood(yard, "a", 40)
-    yard.passes(1.0 + 0.11)
-    threads = yard.fair_queue.root.children["rosso"].threads_in_use
+    pool = SimulatedPool()
+    flood(pool, "c", 400)
+    pool.advance(1.0)
+    flood(pool, "a", 40)
+    pool.advance(1.0 + 0.11)
+    threads = pool.fair_queue.root.children["rosso"].threads_in_use
     assert threads >= 0.3 * 8
 
 
 def test_ten_teams_bursting_in_one_tick_share_by_weight():
-    yard = Yard(tree(**{f"x{n}": (Share(0.1), {f"t{n}": Share(0.1)}) for n in range(10)}), threads=20.0)
+    pool = SimulatedPool(
+        tree(**{f"x{n}": (Share(0.1), {f"t{n}": Share(0.1)}) for n in range(10)}), threads=20.0
+    )
     for n in range(10):
-        flood(yard, f"t{n}", 200, limit=60.0)
-    yard.passes(4.0)
-    work = [yard.work[f"t{n}"] for n in range(10)]
+        flood(pool, f"t{n}", 200, limit=60.0)
+    pool.advance(4.0)
+    work = [pool.work[f"t{n}"] for n in range(10)]
     assert max(work) - min(work) <= 0.15 * max(work), work
 
 
 def test_a_flood_does_not_slow_one_within_its_guarantee():
-    alone, flooded = Yard(), Yard()
-    for yard in (alone, flooded):
-        if yard is flooded:
-            flood(yard, "d", 300, limit=60.0, value=0.1, objective=50.0)
+    alone, flooded = SimulatedPool(), SimulatedPool()
+    for pool in (alone, flooded):
+        if pool is flooded:
+            flood(pool, "d", 300, limit=60.0, value=0.1, objective=50.0)
         mine = []
         for _ in range(60):
-            mine.append(yard.submit("a", 0.05))
-            yard.passes(yard.now + 0.05)
-        yard.passes(yard.now + 2.0)
-        yard.mine = max(yard.waits(mine))
+            mine.append(pool.submit("a", 0.05))
+            pool.advance(pool.now + 0.05)
+        pool.advance(pool.now + 2.0)
+        pool.mine = max(pool.waits(mine))
     assert flooded.mine <= alone.mine + 0.11, (alone.mine, flooded.mine)
 
 
 def test_unused_share_is_lent():
-    yard = Yard()
-    flood(yard, "a", 400, limit=60.0)
-    yard.passes(2.0)
-    assert yard.work["a"] >= 0.9 * 8 * 2.0 * 0.95
+    pool = SimulatedPool()
+    flood(pool, "a", 400, limit=60.0)
+    pool.advance(2.0)
+    assert pool.work["a"] >= 0.9 * 8 * 2.0 * 0.95
 
 
 def test_a_ceiling_holds():
-    yard = Yard()
-    flood(yard, "d", 100, limit=60.0)
+    pool = SimulatedPool()
+    flood(pool, "d", 100, limit=60.0)
     for _ in range(40):
-        yard.passes(yard.now + 0.05)
-        assert yard.fair_queue.root.children["verde"].threads_in_use <= 0.25 * 8
+        pool.advance(pool.now + 0.05)
+        assert pool.fair_queue.root.children["verde"].threads_in_use <= 0.25 * 8
 
 
 def test_one_huge_batch_beside_thousands_of_tiny_ones():
     # Hard case 3. Neither the huge one's threads nor the tiny ones' number decides: work does.
-    yard = Yard(tree(x=(Share(), {"huge": Share(), "tiny": Share()})), threads=4.0)
-    huge = [yard.submit("huge", 4.0, width=2.0, limit=100.0) for _ in range(8)]
-    flood(yard, "tiny", 3000, work=0.01, limit=100.0)
-    yard.passes(8.0)
-    assert yard.waits(huge[:2]) and yard.work["tiny"] >= 0.35 * 4 * 8
+    pool = SimulatedPool(tree(x=(Share(), {"huge": Share(), "tiny": Share()})), threads=4.0)
+    huge = [pool.submit("huge", 4.0, width=2.0, limit=100.0) for _ in range(8)]
+    flood(pool, "tiny", 3000, work=0.01, limit=100.0)
+    pool.advance(8.0)
+    assert pool.waits(huge[:2]) and pool.work["tiny"] >= 0.35 * 4 * 8
 
 
 @pytest.mark.parametrize("factor", [0.1, 10.0])
 def test_lying_about_costs_does_not_pay(factor):
-    yard = Yard(tree(x=(Share(), {"liar": Share(), "honest": Share()})), threads=4.0)
+    pool = SimulatedPool(tree(x=(Share(), {"liar": Share(), "honest": Share()})), threads=4.0)
     for _ in range(60):
-        flood(yard, "liar", 8, work=0.05 * factor, true=0.05, limit=100.0)
-        flood(yard, "honest", 8, work=0.05, limit=100.0)
-        yard.passes(yard.now + 0.1)
+        flood(pool, "liar", 8, work=0.05 * factor, true_work=0.05, limit=100.0)
+        flood(pool, "honest", 8, work=0.05, limit=100.0)
+        pool.advance(pool.now + 0.1)
     # A start that nobody knew better of, and no more than that.
-    assert yard.work["liar"] <= 1.05 * yard.work["honest"] + 1.0, yard.work
+    assert pool.work["liar"] <= 1.05 * pool.work["honest"] + 1.0, pool.work
 
 
 def test_order_by_key_survives():
-    yard = Yard()
-    keys = [yard.submit("abcd"[n % 4], 0.05 + n % 3 / 10, key=1 + n % 5, limit=60.0) for n in range(60)]
-    yard.passes(20.0)
+    pool = SimulatedPool()
+    keys = [pool.submit("abcd"[n % 4], 0.05 + n % 3 / 10, key=1 + n % 5, limit=60.0) for n in range(60)]
+    pool.advance(20.0)
     for key in range(1, 6):
-        assert yard.order[key] == sorted(yard.order[key])
-    assert len(yard.released) == len(keys)
+        assert pool.released_by_key[key] == sorted(pool.released_by_key[key])
+    assert len(pool.released) == len(keys)
 
 
 def test_what_is_held_goes_or_is_refused_by_a_known_moment():
-    yard = Yard(threads=1.0)
-    numbers = [yard.submit("abcd"[n % 4], 0.2, limit=1.0 + n % 7 / 5) for n in range(50)]
+    pool = SimulatedPool(threads=1.0)
+    numbers = [pool.submit("abcd"[n % 4], 0.2, limit=1.0 + n % 7 / 5) for n in range(50)]
     bounds = {
-        n: yard.fair_queue.batches[n].release_deadline() for n in numbers if n in yard.fair_queue.batches
+        n: pool.fair_queue.batches[n].release_deadline() for n in numbers if n in pool.fair_queue.batches
     }
-    yard.passes(4.0)
+    pool.advance(4.0)
     for number in numbers:
-        went = yard.released[number] if number in yard.released else yard.refused[number][0]
-        assert went <= bounds.get(number, 0.0) + 0.011
-    assert not yard.fair_queue.batches
+        left_at = pool.released[number] if number in pool.released else pool.refused[number][0]
+        assert left_at <= bounds.get(number, 0.0) + 0.011
+    assert not pool.fair_queue.batches
 
 
 def test_the_aged_are_not_passed_by_for_ever():
     plan = tree(x=(Share(), {"great": Share(weight=1000.0), "small": Share(weight=0.001)}))
-    yard = Yard(plan, threads=2.0)
-    small = flood(yard, "small", 3, limit=6.0)
+    pool = SimulatedPool(plan, threads=2.0)
+    small = flood(pool, "small", 3, limit=6.0)
     for _ in range(60):
-        flood(yard, "great", 3, limit=100.0)
-        yard.passes(yard.now + 0.1)
-    assert all(number in yard.released for number in small)
+        flood(pool, "great", 3, limit=100.0)
+        pool.advance(pool.now + 0.1)
+    assert all(number in pool.released for number in small)
 
 
 def test_an_honest_no_comes_at_once():
-    yard = Yard(threads=1.0)
-    flood(yard, "a", 100, limit=60.0)
-    number = yard.submit("a", limit=1.0)
-    when, why, after = yard.refused[number]
-    assert when == yard.now and "time limit" in why and 0 < after <= POLICY.max_retry_delay
+    pool = SimulatedPool(threads=1.0)
+    flood(pool, "a", 100, limit=60.0)
+    number = pool.submit("a", limit=1.0)
+    refused_at, why, after = pool.refused[number]
+    assert refused_at == pool.now and "time limit" in why and 0 < after <= POLICY.max_retry_delay
 
 
 def test_times_to_come_back_are_spread():
     # Hard case 6.
-    yard = Yard(threads=1.0, policy=POLICY._replace(max_retry_delay=100.0))
-    flood(yard, "a", 100, limit=60.0)
-    after = [yard.refused[yard.submit("a", limit=1.0)][2] for _ in range(50)]
+    pool = SimulatedPool(threads=1.0, policy=POLICY._replace(max_retry_delay=100.0))
+    flood(pool, "a", 100, limit=60.0)
+    after = [pool.refused[pool.submit("a", limit=1.0)][2] for _ in range(50)]
     assert max(after) > 1.3 * min(after) and len({round(a, 3) for a in after}) > 25
 
 
 def test_who_comes_back_is_not_last_again():
-    yard = Yard(threads=1.0)
-    flood(yard, "a", 20, limit=60.0)
-    again, new = yard.submit("a", limit=60.0, retried=True), yard.submit("a", limit=60.0)
-    yard.passes(6.0)
-    assert yard.released[again] < yard.released[new] - 0.3
+    pool = SimulatedPool(threads=1.0)
+    flood(pool, "a", 20, limit=60.0)
+    again, new = pool.submit("a", limit=60.0, retried=True), pool.submit("a", limit=60.0)
+    pool.advance(6.0)
+    assert pool.released[again] < pool.released[new] - 0.3
 
 
 def test_preemption_takes_the_least_worthy_and_is_bounded():
     # Hard case 2: the carrier's part is in test_gate.
-    yard = Yard(threads=4.0)
-    low = [yard.submit("d", 3.0, "report", limit=60.0, value=0.1) for _ in range(1)]
-    low += [yard.submit("b", 3.0, "report", limit=60.0, value=0.2) for _ in range(3)]
-    yard.passes(0.05)
-    first = yard.submit("a", 0.2, value=1.0, objective=0.5)
-    yard.passes(0.2)
-    assert yard.preempted == [low[1]] or yard.preempted == [low[0]], yard.preempted
-    assert first in yard.released
+    pool = SimulatedPool(threads=4.0)
+    low = [pool.submit("d", 3.0, "report", limit=60.0, value=0.1) for _ in range(1)]
+    low += [pool.submit("b", 3.0, "report", limit=60.0, value=0.2) for _ in range(3)]
+    pool.advance(0.05)
+    first = pool.submit("a", 0.2, value=1.0, objective=0.5)
+    pool.advance(0.2)
+    assert pool.preempted == [low[1]] or pool.preempted == [low[0]], pool.preempted
+    assert first in pool.released
     for _ in range(100):
-        yard.submit("a", 0.2, value=1.0, objective=0.3)
-        yard.passes(yard.now + 0.05)
-    assert yard.fair_queue.wasted_work <= POLICY.max_waste * 4.0 * WASTE_WINDOW
+        pool.submit("a", 0.2, value=1.0, objective=0.3)
+        pool.advance(pool.now + 0.05)
+    assert pool.fair_queue.wasted_work <= POLICY.max_waste * 4.0 * WASTE_WINDOW
 
 
 def test_no_preemption_of_what_runs_where_engines_do_not_cancel():
-    yard = Yard(threads=4.0, policy=POLICY._replace(can_cancel=False))
-    flood(yard, "d", 4, work=3.0, limit=60.0, value=0.1)
-    yard.submit("a", 0.2, value=1.0, objective=0.5)
-    yard.passes(1.0)
-    assert not yard.preempted
+    pool = SimulatedPool(threads=4.0, policy=POLICY._replace(can_cancel=False))
+    flood(pool, "d", 4, work=3.0, limit=60.0, value=0.1)
+    pool.submit("a", 0.2, value=1.0, objective=0.5)
+    pool.advance(1.0)
+    assert not pool.preempted
 
 
 def test_a_budget_cut_to_zero_with_batches_held_and_out():
     # Hard case 4.
-    yard = Yard(threads=2.0)
-    numbers = flood(yard, "a", 10, limit=60.0) + flood(yard, "c", 2, limit=60.0)
+    pool = SimulatedPool(threads=2.0)
+    numbers = flood(pool, "a", 10, limit=60.0) + flood(pool, "c", 2, limit=60.0)
     zero = tree(rosso=(Share(0.5), {"a": Share(0.0, 0.0), "b": Share()}), verde=(Share(), {"c": Share()}))
-    yard.does(yard.fair_queue.reconfigure(yard.now, zero, POLICY))
-    out = [n for n in numbers if n in yard.released]
-    assert {yard.refused[n][1] for n in numbers[:10] if n not in out} == {"its budget is zero"}
-    assert yard.submit("a") in yard.refused
-    yard.passes(3.0)
-    assert not yard.fair_queue.batches and yard.fair_queue.root.threads_in_use == 0
+    pool.apply(pool.fair_queue.reconfigure(pool.now, zero, POLICY))
+    out = [n for n in numbers if n in pool.released]
+    assert {pool.refused[n][1] for n in numbers[:10] if n not in out} == {"its budget is zero"}
+    assert pool.submit("a") in pool.refused
+    pool.advance(3.0)
+    assert not pool.fair_queue.batches and pool.fair_queue.root.threads_in_use == 0
 
 
 def test_a_team_renamed_and_moved_while_it_waits():
-    yard = Yard(threads=2.0)
-    numbers = flood(yard, "a", 30, limit=60.0) + flood(yard, "nobody", 5, limit=60.0)
-    yard.passes(0.3)
+    pool = SimulatedPool(threads=2.0)
+    numbers = flood(pool, "a", 30, limit=60.0) + flood(pool, "nobody", 5, limit=60.0)
+    pool.advance(0.3)
     moved = tree(blu=(Share(), {"a": Share(0.5)}), rosso=(Share(), {"b": Share()}))
-    yard.does(yard.fair_queue.reconfigure(yard.now, moved, POLICY))
-    assert yard.fair_queue.is_conserved() and "blu" in yard.fair_queue.root.children
-    assert yard.fair_queue.root.threads_in_use == len(yard.running)
-    yard.passes(10.0)
-    assert set(numbers) == set(yard.released) and not yard.fair_queue.batches
+    pool.apply(pool.fair_queue.reconfigure(pool.now, moved, POLICY))
+    assert pool.fair_queue.is_conserved() and "blu" in pool.fair_queue.root.children
+    assert pool.fair_queue.root.threads_in_use == len(pool.running)
+    pool.advance(10.0)
+    assert set(numbers) == set(pool.released) and not pool.fair_queue.batches
 
 
 def test_half_of_the_engines_gone():
     # Hard case 5: guarantees shrink in proportion, and estimates follow.
-    yard = Yard()
+    pool = SimulatedPool()
     for _ in range(100):
-        flood(yard, "a", 3, work=0.05, limit=60.0)
-        flood(yard, "c", 8, work=0.05, limit=60.0)
-        yard.passes(yard.now + 0.05)
-    yard.does(yard.fair_queue.set_capacity(yard.now, 4.0))
-    yard.passes(yard.now + 3.0)
-    assert yard.fair_queue.root.threads_in_use <= 4.0
-    number = yard.submit("c", 0.05, limit=600.0)
-    told = yard.fair_queue.batches[number].estimated_wait
-    yard.passes(yard.now + 60.0)
-    assert abs(yard.waits([number])[0] - told) <= 0.35 * told
+        flood(pool, "a", 3, work=0.05, limit=60.0)
+        flood(pool, "c", 8, work=0.05, limit=60.0)
+        pool.advance(pool.now + 0.05)
+    pool.apply(pool.fair_queue.set_capacity(pool.now, 4.0))
+    pool.advance(pool.now + 3.0)
+    assert pool.fair_queue.root.threads_in_use <= 4.0
+    number = pool.submit("c", 0.05, limit=600.0)
+    estimated = pool.fair_queue.batches[number].estimated_wait
+    pool.advance(pool.now + 60.0)
+    assert abs(pool.waits([number])[0] - estimated) <= 0.35 * estimated
 
 
 def test_estimates_come_true():
-    yard = Yard(threads=4.0)
-    asked = []
+    pool = SimulatedPool(threads=4.0)
+    numbers = []
     for tick in range(400):
         for _ in range(2 if tick % 50 < 40 else 0):
-            asked.append(yard.submit("a", 0.1, limit=100.0))
+            numbers.append(pool.submit("a", 0.1, limit=100.0))
         if tick % 2 == 0:
-            asked.append(yard.submit("c", 0.1, limit=100.0))
-        yard.passes(yard.now + 0.05)
-    yard.passes(yard.now + 30)
-    found = yard.fair_queue.wait_estimator.percentiles()
+            numbers.append(pool.submit("c", 0.1, limit=100.0))
+        pool.advance(pool.now + 0.05)
+    pool.advance(pool.now + 30)
+    found = pool.fair_queue.wait_estimator.percentiles()
     assert found["p90"] <= 0.35 and found["p50"] <= 0.2 and found["p90"] < found["naive_p90"], found
 
 
@@ -331,28 +335,28 @@
         for n in range(teams):
             fair_queue.submit(0.0, BatchSpec(n, f"t{n}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
         fair_queue.tick(0.0)
-        begun, at = process_time(), 0.0
+        started, at = process_time(), 0.0
         for n in range(3_000):
             at += 0.001
             number = next(iter(fair_queue.running))
             fair_queue.submit(at, BatchSpec(teams + n, f"t{n % teams}", "g", 1.0, 0.01, 1.0, 1e6, 1e6, 0))
             fair_queue.completed(at, number, 0.01)
-        return process_time() - begun
+        return process_time() - started
 
     assert cost(10_000) <= 6 * cost(100)
 
 
 def test_idle_teams_are_forgotten():
-    yard = Yard(Plan({}, Share()))
+    pool = SimulatedPool(Plan({}, Share()))
     for n in range(500):
-        yard.submit(f"t{n}", 0.01)
-    yard.passes(2.0)
-    yard.passes(120.0, step=1.0)
-    assert len(yard.fair_queue.tree.nodes()) <= 2 and not yard.fair_queue.estimates.cost_factors
+        pool.submit(f"t{n}", 0.01)
+    pool.advance(2.0)
+    pool.advance(120.0, step=1.0)
+    assert len(pool.fair_queue.tree.nodes()) <= 2 and not pool.fair_queue.estimates.cost_factors
 
 
 @pytest.mark.parametrize(
-    "plan, words",
+    "plan, message",
     [
         (
             lambda: tree(x=(Share(0.7), {}), y=(Share(0.4), {})),
@@ -367,13 +371,13 @@
         (lambda: tree(x=(Share(), {"a": Share()}), y=(Share(), {"a": Share()})), "y.a: also a team of x"),
     ],
 )
-def test_a_tree_that_can_not_be_kept(plan, words):
-    with pytest.raises(PlanError) as why:
+def test_a_tree_that_can_not_be_kept(plan, message):
+    with pytest.raises(PlanError) as error:
         plan()
-    assert words in str(why.value)
+    assert message in str(error.value)
 
 
-class Budgets(RuleBasedStateMachine):
+class FairQueueMachine(RuleBasedStateMachine):
     """Batches of all teams come, end, leave; engines come and go; trees change; time goes on."""
 
     PLANS = (
@@ -385,7 +389,7 @@
 
     def __init__(self):
         super().__init__()
-        self.yard = Yard(threads=4.0)
+        self.pool = SimulatedPool(threads=4.0)
 
     @rule(
         team=st.sampled_from("abcdef"),
@@ -394,58 +398,63 @@
         limit=st.floats(0.05, 5),
         key=st.integers(0, 3),
         retried=st.booleans(),
-        lie=st.sampled_from([0.1, 1, 10]),
+        cost_factor=st.sampled_from([0.1, 1, 10]),
         value=st.sampled_from([0.1, 0.5, 1.0]),
     )
-    def submit(self, team, work, width, limit, key, retried, lie, value):
-        self.yard.submit(team, work, "g", width, limit, value, key, work * lie, limit / 2, retried, True)
+    def submit(self, team, work, width, limit, key, retried, cost_factor, value):
+        self.pool.submit(
+            team, work, "g", width, limit, value, key, work * cost_factor, limit / 2, retried, True
+        )
 
     @rule(seconds=st.floats(0.01, 1))
-    def passes(self, seconds):
-        self.yard.passes(self.yard.now + seconds, step=seconds / 4)
-        for held in self.yard.fair_queue.batches.values():
+    def advance(self, seconds):
+        self.pool.advance(self.pool.now + seconds, step=seconds / 4)
+        for batch in self.pool.fair_queue.batches.values():
             # The ageing bound: past its moment nothing is held.
-            assert held.is_released or held.release_deadline() > self.yard.now
+            assert batch.is_released or batch.release_deadline() > self.pool.now
 
     @rule(place=st.integers(0, 30))
     def leaves(self, place):
-        held = [n for n, h in self.yard.fair_queue.batches.items() if not h.is_released]
+        held = [n for n, batch in self.pool.fair_queue.batches.items() if not batch.is_released]
         if held:
             number = held[place % len(held)]
-            self.yard.does(self.yard.fair_queue.client_left(self.yard.now, number))
-            assert number not in self.yard.fair_queue.batches
+            self.pool.apply(self.pool.fair_queue.client_left(self.pool.now, number))
+            assert number not in self.pool.fair_queue.batches
 
     @rule(threads=st.sampled_from([0.0, 1.0, 4.0, 8.0]))
     def engines(self, threads):
-        self.yard.does(self.yard.fair_queue.set_capacity(self.yard.now, threads))
+        self.pool.apply(self.pool.fair_queue.set_capacity(self.pool.now, threads))
 
     @rule(place=st.integers(0, 3))
     def renew(self, place):
-        self.yard.does(self.yard.fair_queue.reconfigure(self.yard.now, self.PLANS[place], POLICY))
+        self.pool.apply(self.pool.fair_queue.reconfigure(self.pool.now, self.PLANS[place], POLICY))
 
     @invariant()
     def conserved(self):
-        fair_queue = self.yard.fair_queue
+        fair_queue = self.pool.fair_queue
         assert fair_queue.is_conserved(), fair_queue.counts
         leaves = [node for node in fair_queue.tree.nodes() if node.parent and not node.children]
         assert sum(len(leaf.queue) for leaf in leaves) == fair_queue.root.queued
         assert (
-            abs(fair_queue.root.threads_in_use - sum(h.spec.width for h in fair_queue.running.values()))
+            abs(
+                fair_queue.root.threads_in_use
+                - sum(batch.spec.width for batch in fair_queue.running.values())
+            )
             < 1e-6
         )
         assert fair_queue.wasted_work <= 1e9
 
     @invariant()
     def in_order(self):
-        for key, numbers in self.yard.order.items():
+        for key, numbers in self.pool.released_by_key.items():
             assert not key or numbers == sorted(numbers)
 
     @invariant()
     def room_is_used(self):
         # Work-conserving: with nothing out, something held and no ceiling at zero, something goes.
-        fair_queue = self.yard.fair_queue
+        fair_queue = self.pool.fair_queue
         assert fair_queue.running or not fair_queue.root.queued
 
 
-TestBudgets = Budgets.TestCase
+TestBudgets = FairQueueMachine.TestCase
 TestBudgets.settings = settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
