--- a/thistlelever/budgets/estimates.py
+++ b/thistlelever/budgets/estimates.py
@@ -1,4 +1,5 @@
-"""What each leaf's queries cost, and how long they will wait, from what the leaf was sent lately."""
+"""Estimates, for each leaf, what its batches cost and how long they wait, from recent arrivals and
+completions."""
 
 from __future__ import annotations
 
@@ -6,38 +7,39 @@
 from thistlelever.budgets.forecast import MAX_LEAVES, ArrivalRate, Forecast
 from thistlelever.budgets.wait_estimator import WaitEstimator
 
-# A correction of a leaf's costs follows its samples at this pace, and never past this factor.
+# The weight of one sample in the correction of a leaf's costs, and the largest correction, as a factor.
 COST_LEARNING_RATE, MAX_COST_FACTOR = 0.125, 16.0
-# The least work that a query is charged, in core-seconds.
+# The least work that a batch is charged, in core-seconds.
 MIN_WORK = 1e-3
-# A forecast serves for so many seconds.
+# Seconds for which a forecast is reused.
 FORECAST_LIFETIME = 0.02
-# What was sent nothing of late is dropped this often, in seconds; nothing is below this rate of work.
+# Seconds between two removals of inactive leaves; the rate, in core-seconds a second, below which one is
+# inactive.
 PRUNE_INTERVAL, MIN_RATE = 0.4, 1e-3
 
 
 class Estimates:
-    """Costs, inflow and forecasts of all leaves."""
+    """Cost corrections, arrival rates and forecasts of all leaves."""
 
     def __init__(self) -> None:
-        """Nothing was sent to any leaf yet."""
+        """Nothing has arrived for any leaf yet."""
         self.wait_estimator = WaitEstimator()
-        # What each leaf was sent lately, and what is foreseen from that and from what is held.
+        # The active leaves.
         self.arrivals: dict[Node, ArrivalRate] = {}
         self.forecasts: dict[Node, Forecast] = {}
         self.pruned_at = float("-inf")
-        # A leaf's true costs over those told.
+        # By the path of a leaf: actual cost over its clients' estimates.
         self.cost_factors: dict[tuple[str, ...], float] = {}
 
     def charge(self, leaf: Node, work: float) -> float:
-        """What a query of the leaf is charged, where its client told so much work."""
+        """The core-seconds that a batch of the leaf is charged, given its client's estimate of its work."""
         return max(work, MIN_WORK) * self.cost_factors.get(leaf.path(), 1.0)
 
     def learn_cost(self, leaf: Node, estimated: float, actual: float) -> None:
-        """A query has ended and truly cost so much.
+        """A batch has completed: correct the leaf's later charges by its actual cost, in core-seconds.
 
-        Against what was told, not against what was charged: a factor that is corrected by charges which an
-        older one made swings without end.
+        The actual cost is compared with the client's estimate, not with the charge: a factor corrected by
+        charges that an older factor produced would oscillate.
         """
         ratio = min(max(actual / max(estimated, MIN_WORK), 1 / MAX_COST_FACTOR), MAX_COST_FACTOR)
         path = leaf.path()
@@ -45,16 +47,17 @@
         self.cost_factors[path] = old * (ratio / old) ** COST_LEARNING_RATE
 
     def record_arrival(self, leaf: Node, charge: float, now: float) -> None:
-        """The leaf was sent a query."""
+        """A batch charged `charge` core-seconds has arrived for the leaf."""
         if leaf not in self.arrivals:
             self.arrivals[leaf] = ArrivalRate(now)
         self.arrivals[leaf].add(charge, now)
 
     def estimate_wait(self, leaf: Node, ahead: float, total_rate: float, now: float) -> float:
-        """How long until the leaf's turn for what comes behind so much of its own.
+        """Seconds until a batch of the leaf is released that has `ahead` core-seconds before it in its
+        leaf; `total_rate` is in core-seconds a second.
 
-        With few leaves at work all of them are looked at, a moment's view serving all that come in it; with
-        many their pace so far tells.
+        With up to `MAX_LEAVES` active leaves it comes from a forecast, which serves all batches of the leaf
+        for `FORECAST_LIFETIME`; with more, from the leaf's recent rate.
         """
         if len(self.arrivals) > MAX_LEAVES:
             return self.wait_estimator.estimate(leaf, ahead, total_rate, now)
@@ -66,22 +69,24 @@
         return forecast.wait(ahead)
 
     def prune(self, now: float) -> None:
-        """What has been sent nothing of late takes nothing from the others."""
+        """Drop the leaves with nothing queued and no recent arrivals, which take no capacity from others."""
         if now <= self.pruned_at + PRUNE_INTERVAL:
             return
         self.pruned_at = now
         self.arrivals = {
             leaf: rate for leaf, rate in self.arrivals.items() if leaf.queued or rate.current(now) > MIN_RATE
         }
-        self.forecasts = {leaf: found for leaf, found in self.forecasts.items() if leaf in self.arrivals}
+        self.forecasts = {
+            leaf: forecast for leaf, forecast in self.forecasts.items() if leaf in self.arrivals
+        }
 
     def clear(self) -> None:
-        """Another tree: its leaves were sent nothing yet."""
+        """The tree was replaced: its leaves have no arrivals yet."""
         self.arrivals.clear()
         self.forecasts.clear()
 
     def forget(self, leaf: Node) -> None:
-        """The leaf was idle for long: nothing is remembered of it."""
+        """The leaf was removed from the tree: drop all that is known of it."""
         self.arrivals.pop(leaf, None)
         self.forecasts.pop(leaf, None)
         self.cost_factors.pop(leaf.path(), None)
--- a/thistlelever/budgets/forecast.py
+++ b/thistlelever/budgets/forecast.py
@@ -1,10 +1,10 @@
-"""What each leaf will be served, from now on: the queue as a fluid, a few seconds ahead.
+"""Forecasts the service of each leaf over the next seconds, with the queues as a fluid.
 
-Leaves that hold something are served at their share; the others take what they have lately been sent. When
-one's backlog runs out the shares are worked out anew, so that a wait is told not by today's pace alone but
-by who will be done by then. Generalized processor sharing as Parekh and Gallager give it (IEEE/ACM ToN
-1993), with guarantees first and ceilings over it; the judge's own order follows it to within one batch a
-leaf.
+Leaves with a backlog are served at their share; the others take what has recently arrived for them. Each
+time a backlog runs out the shares are computed anew, so that a wait reflects which leaves will have drained
+by then, and not only the current rates. This is generalized processor sharing as in Parekh and Gallager
+(IEEE/ACM ToN 1993), with guarantees served first and ceilings applied; the order of the fair queue follows
+it to within one batch a leaf.
 """
 
 from __future__ import annotations
@@ -21,29 +21,30 @@
 
 
 class ArrivalRate:
-    """Work sent to a leaf lately, in core-seconds a second."""
+    """Work that arrives for a leaf, in core-seconds a second, as an exponentially weighted average."""
 
     __slots__ = ("first_at", "rate", "updated_at")
 
     def __init__(self, now: float) -> None:
-        """Nothing was sent yet."""
+        """Nothing has arrived yet."""
         self.rate, self.updated_at, self.first_at = 0.0, now, now
 
     def add(self, work: float, now: float) -> None:
-        """So much work was sent."""
+        """`work` core-seconds arrive at `now`."""
         self.rate = self.rate * exp((self.updated_at - now) / ARRIVAL_WINDOW) + work / ARRIVAL_WINDOW
         self.updated_at = now
 
     def current(self, now: float) -> float:
-        """Of one just begun the time before its first batch does not count, or it would seem to send
-        little."""
+        """The rate at `now`. The average is corrected for the time before the first arrival, without which a
+        leaf that has just begun would appear slower than it is."""
         observed = 1 - exp(-max(now - self.first_at, MIN_OBSERVATION) / ARRIVAL_WINDOW)
         return self.rate * exp((self.updated_at - now) / ARRIVAL_WINDOW) / observed
 
 
 class Forecast:
-    """One leaf's service as pieces of (from when, how fast), observed from one moment, if it always holds
-    something: what is asked is when the last of what it holds goes, whatever comes behind that."""
+    """The service of one leaf from one moment on, as segments of (start in seconds from now, core-seconds a
+    second), on the assumption that the leaf always has a backlog: the wait of a batch depends on what is
+    ahead of it in its leaf, whatever arrives behind it."""
 
     def __init__(
         self,
@@ -53,7 +54,9 @@
         total_rate: float,
         now: float,
     ) -> None:
-        """Looks ahead from now until the horizon, or until no backlog runs out any more."""
+        """Simulate the service of `target` among `leaves`, which share `total_rate` core-seconds a second, up
+        to `HORIZON` or until no backlog drains any more. A leaf without an entry in `arrivals` receives
+        nothing."""
         self.at = now
         self.segments: list[tuple[float, float]] = []
         weights = {leaf: effective_weight(leaf) for leaf in leaves}
@@ -87,7 +90,8 @@
                 backlog[leaf] = remaining if remaining > 1e-6 else 0.0
 
     def wait(self, ahead: float) -> float:
-        """In how long the leaf will have been served so much."""
+        """Seconds until the leaf will have been served `ahead` core-seconds; `HORIZON` where the forecast
+        ends before that."""
         for index, (begin, rate) in enumerate(self.segments):
             end = self.segments[index + 1][0] if index + 1 < len(self.segments) else float("inf")
             served = rate * (end - begin) if rate > EPSILON else 0.0
@@ -100,8 +104,8 @@
 def allocate_rates(
     leaves: list[Node], demand: dict, guaranteed: dict, weights: dict, capacity: float
 ) -> dict[Node, float]:
-    """Who gets how much: first what is guaranteed, then by weight what is left, nobody more than is
-    demand."""
+    """Divide `capacity` among the leaves, in core-seconds a second: guarantees first, the rest by weight, and
+    no leaf gets more than its demand."""
     rates = {leaf: min(demand[leaf], guaranteed[leaf]) for leaf in leaves}
     left = max(capacity - sum(rates.values()), 0.0)
     unsatisfied = [leaf for leaf in leaves if demand[leaf] > rates[leaf] + EPSILON]
@@ -127,7 +131,8 @@
 
 
 def effective_weight(leaf: Node) -> float:
-    """Its share of all, by the weights of those that hold something at each level."""
+    """The leaf's fraction of the whole by the weights of the nodes that have a backlog at each level, with
+    the leaf counted as one of them."""
     part = 1.0
     for node in nodes_below_root(leaf):
         active_weight = node.parent.active_weight + (0.0 if node.queued else node.share.weight)
@@ -136,7 +141,8 @@
 
 
 def guaranteed_share(leaf: Node) -> float:
-    """Of the lowest guarantee above it, its part beside the others that hold something there."""
+    """The fraction of the capacity guaranteed to the leaf: the lowest guarantee on its path, divided by
+    weight among the backlogged nodes below that; 0 where there is none."""
     part = 1.0
     for node in nodes_below_root(leaf):
         if node.share.guarantee > 0:
--- a/thistlelever/budgets/key_order.py
+++ b/thistlelever/budgets/key_order.py
@@ -1,4 +1,4 @@
-"""Queries of one key keep their order: only the first of them takes part in the turns."""
+"""Keeps the order of batches that share an ordering key: only the first of them is scheduled."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class KeyOrder:
-    """The queries of each key that were not released yet, in the order in which they came; key 0 has none."""
+    """The unreleased batches of each ordering key, in order of submission. Key 0 means no order."""
 
     def __init__(self) -> None:
-        """No key has any."""
+        """No key has any batch."""
         self.queues: dict[int, list[QueuedBatch]] = {}
 
     def add(self, batch: QueuedBatch) -> bool:
-        """The query comes behind those of its key; whether it is the first of them."""
+        """Append the batch to those of its key; returns whether it may be scheduled."""
         if not batch.spec.key:
             return True
         queue = self.queues.setdefault(batch.spec.key, [])
@@ -21,11 +21,12 @@
         return len(queue) == 1
 
     def is_head(self, batch: QueuedBatch) -> bool:
-        """Whether nothing of its key stands before it."""
+        """Whether no batch of its key comes before it."""
         return not batch.spec.key or self.queues[batch.spec.key][0] is batch
 
     def remove(self, batch: QueuedBatch) -> QueuedBatch | None:
-        """It stands in its key's queue no more; the query that is first now because of that, if any."""
+        """Remove the batch, if it is there; returns the batch that becomes the first of its key by that, if
+        any."""
         queue = self.queues.get(batch.spec.key) if batch.spec.key else None
         if not queue or batch not in queue:
             return None
@@ -37,5 +38,5 @@
         return queue[0] if was_head else None
 
     def count_blocked(self) -> int:
-        """How many queries wait for another of their key."""
+        """The number of batches that wait for another one of their key."""
         return sum(len(queue) - 1 for queue in self.queues.values())
--- a/thistlelever/budgets/node.py
+++ b/thistlelever/budgets/node.py
@@ -1,12 +1,13 @@
-"""Whose turn it is: hierarchical start-time fair queueing, with guarantees before turns and ceilings over
-them.
-
-Start-time fair queueing as Goyal, Vin and Cheng give it (SIGCOMM 1996): what is served gets a start tag, the
-greater of the virtual time and the finish tag of what its flow had before; the least start tag is next, and
-the virtual time is the start tag in service. Here a flow is a child of a node, at each level of the tree,
-and the length of a packet is work, in core-seconds. Departures: a child that holds less than its guarantee
-goes before all that hold theirs; one at its ceiling waits; one that was idle may start `burst` core-seconds
-before the virtual time.
+"""Nodes of the budget tree: hierarchical start-time fair queueing with guarantees and ceilings.
+
+Start-time fair queueing as in Goyal, Vin and Cheng (SIGCOMM 1996): each packet gets a start tag, the larger
+of the virtual time and the finish tag of its flow's previous packet; the smallest start tag is served next,
+and the virtual time is the start tag in service. Here a flow is a child of a node, at each level of the
+tree, and the length of a packet is work, in core-seconds.
+
+Differences from the paper: a child that holds fewer threads than its guarantee is served before all that
+have reached theirs; a child at its ceiling waits; and a child that was idle may start `burst / weight`
+before the virtual time, so that its burst of core-seconds comes ahead of its turn.
 """
 
 from __future__ import annotations
@@ -21,50 +22,53 @@
 if TYPE_CHECKING:
     from thistlelever.budgets.queued_batch import QueuedBatch
 
-# The pace of a virtual time, or of what a leaf releases, is taken over so long, and over so many turns at
-# most.
+# A rate is measured over the samples of so many seconds, and over so many samples at most.
 RATE_WINDOW, MAX_RATE_SAMPLES = 2.0, 512
-# What was seen for less than this, or in fewer turns, tells no pace.
+# A rate is unknown while its samples span fewer seconds than this, or are fewer.
 MIN_RATE_SPAN, MIN_RATE_SAMPLES = 0.25, 6
 
 
 class Node:
-    """One node of the tree while something of it is held or out. Threads count what is out, work what is
-    held."""
+    """One node of the tree, kept while anything below it is queued or released and for a while after. Queued
+    batches are counted in core-seconds of work, released ones in threads."""
 
     def __init__(self, name: str, parent: Node | None, share: Share) -> None:
-        """A node that holds nothing yet."""
+        """Create a node with nothing queued or released. `parent` is None for the root only."""
         self.name, self.parent, self.share = name, parent, share
         self.children: dict[str, Node] = {}
-        # Tags in the parent's virtual time; own virtual time for those below.
+        # Tags are in the parent's virtual time; `virtual_time` and `max_finish_tag` are the children's.
         self.start_tag, self.finish_tag, self.virtual_time, self.max_finish_tag = 0.0, 0.0, 0.0, 0.0
         self.queued, self.backlog, self.threads_in_use = 0, 0.0, 0.0
-        # The weights of those below that hold something.
+        # The sum of the weights of children that have something queued.
         self.active_weight = 0.0
+        # A heap of (at or above guarantee, start tag, entry number, child); and children at their ceiling.
         self.schedule: list[tuple[bool, float, int, Node]] = []
         self.blocked: list[Node] = []
-        # The number of its valid place in the parent's turns, 0 for none; the last number given here.
+        # The number of its valid entry in the parent's schedule, or 0; the last number given to a child.
         self.schedule_number, self.last_number = 0, 0
-        # Of a leaf: what it holds, by when it is due.
+        # Of a leaf: its queued batches, in release order.
         self.queue: list[QueuedBatch] = []
-        # When the virtual time was what, lately; of a leaf, how much it had released.
+        # Samples are (time, virtual time), of a leaf (time, core-seconds released so far).
         self.released_work, self.last_served_at = 0.0, float("-inf")
         self.rate_samples: deque[tuple[float, float]] = deque(maxlen=MAX_RATE_SAMPLES)
 
     def path(self) -> tuple[str, ...]:
-        """The names from below the root down to it."""
+        """The names of the nodes from below the root down to this one; empty for the root."""
         return (*self.parent.path(), self.name) if self.parent else ()
 
     def is_below_guarantee(self, capacity: float) -> bool:
-        """Whether it holds less than it is guaranteed."""
+        """Whether it holds fewer threads than its guarantee of `capacity` threads."""
         return self.threads_in_use < self.share.guarantee * capacity
 
     def is_at_ceiling(self, capacity: float, width: float) -> bool:
-        """At its ceiling. One batch may always be out, or one wider than the ceiling would never go."""
+        """Whether `width` threads more would exceed its ceiling of `capacity` threads. One batch may always
+        run: a batch wider than the ceiling would otherwise never be released."""
         return self.threads_in_use > 0 and self.threads_in_use + width > self.share.ceiling * capacity
 
     def reschedule(self, capacity: float) -> None:
-        """It takes its place among those beside it, anew where its tag or its standing has changed."""
+        """Enter it in the parent's schedule, in place of its earlier entry: to be called when its start tag,
+        or whether it is below its guarantee, has changed. Does nothing for the root and while nothing is
+        queued."""
         parent = self.parent
         if parent is None or not self.queued:
             return
@@ -75,31 +79,32 @@
             (not self.is_below_guarantee(capacity), self.start_tag, self.schedule_number, self),
         )
         if len(parent.schedule) > 4 * len(parent.children) + 64:
-            # A place that a later one has replaced is dropped when it is met; unmet ones would only grow.
+            # Superseded entries are dropped when they reach the top; those that never do would accumulate.
             parent.schedule = [entry for entry in parent.schedule if entry[3].schedule_number == entry[2]]
             heapify(parent.schedule)
 
     def activate(self) -> None:
-        """It was idle and holds something now: it starts at the virtual time, or where its last turn
-        ended."""
+        """It becomes backlogged: its start tag is the virtual time, less the burst, or its finish tag if that
+        is later."""
         if self.parent:
             burst_offset = self.share.burst / self.share.weight
             self.start_tag = max(self.parent.virtual_time - burst_offset, self.finish_tag)
             self.parent.active_weight += self.share.weight
 
     def deactivate(self) -> None:
-        """It holds nothing any more."""
+        """Nothing of it is queued any more: its weight no longer counts among its siblings."""
         if self.parent:
             self.parent.active_weight = max(self.parent.active_weight - self.share.weight, 0.0)
 
     def end_busy_period(self) -> None:
-        """Nothing of it is held or out: the virtual time goes on to the last finish tag, as the algorithm
-        has it at the end of a busy period, and nobody below owes anything for a share that nobody else
-        wanted."""
+        """Nothing below it is queued or released: the virtual time advances to the largest finish tag, as the
+        algorithm prescribes at the end of a busy period. No child is left in debt for capacity that nobody
+        else wanted."""
         self.virtual_time = max(self.virtual_time, self.max_finish_tag)
 
     def record_service(self, work: float, now: float) -> None:
-        """A batch of it had its turn."""
+        """A batch of `work` core-seconds below it was released at `now`: advances the parent's virtual time
+        and its own tags."""
         if self.parent:
             parent = self.parent
             parent.virtual_time = max(parent.virtual_time, self.start_tag)
@@ -113,15 +118,16 @@
             parent.max_finish_tag = max(parent.max_finish_tag, self.finish_tag)
 
     def correct_charge(self, work: float) -> None:
-        """What was charged was short of the truth by so much, or over it where negative. Risk: a team that
-        puts its costs low gets more than its share."""
+        """Charge `work` core-seconds that a finished batch cost more than it was charged; negative where it
+        cost less. Without this a team that understates its costs would get more than its share."""
         if self.parent:
             self.finish_tag = max(self.finish_tag + work / self.share.weight, 0.0)
             if self.queued:
                 self.start_tag = max(self.start_tag + work / self.share.weight, 0.0)
 
     def rate(self, now: float) -> float | None:
-        """How fast its virtual time goes, or what it releases, lately; None where it can't be told yet."""
+        """Its recent rate: of a leaf the core-seconds released a second, of an inner node the virtual time a
+        second. None where the samples of the last `RATE_WINDOW` seconds are too few."""
         while self.rate_samples and self.rate_samples[0][0] < now - RATE_WINDOW:
             self.rate_samples.popleft()
         if len(self.rate_samples) < MIN_RATE_SAMPLES:
@@ -132,7 +138,9 @@
         )
 
     def next_leaf(self, capacity: float, width_of: Callable[[Node], float]) -> Node | None:
-        """The leaf whose turn it is, below this node; None where all that holds something is at a ceiling."""
+        """The leaf below this node whose turn it is; None where everything queued is blocked at a ceiling.
+        `width_of` gives the threads of a leaf's first batch. Children found at their ceiling are set aside
+        until `unblock_children`."""
         if self.parent and not self.children:
             return self
         while self.schedule:
@@ -149,7 +157,8 @@
         return None
 
     def unblock_children(self, capacity: float) -> None:
-        """Something below has ended: what was set aside at a ceiling is looked at again."""
+        """A batch below it has ended, or the capacity has changed: children that were set aside at their
+        ceiling are scheduled again."""
         blocked, self.blocked = self.blocked, []
         for child in blocked:
             child.reschedule(capacity)
--- a/thistlelever/budgets/plan.py
+++ b/thistlelever/budgets/plan.py
@@ -1,4 +1,4 @@
-"""The tree of budgets as operators write it, checked: platform, brokers, teams, service groups."""
+"""The budget tree as operators configure it, validated: platform, brokers, teams, query classes."""
 
 from __future__ import annotations
 
@@ -6,13 +6,18 @@
 from typing import NamedTuple
 
 
+# The broker of all teams that no broker lists.
+OTHER = "other"
+
+
 class PlanError(Exception):
-    """The tree can't be kept; the path of the node at fault and why."""
+    """The configured tree is invalid. The message names the path of the node and the reason."""
 
 
 class Share(NamedTuple):
-    """What a node of the tree has. Guarantee and ceiling are shares of what all engines carry for this front;
-    the burst is work, in core-seconds, that a node which was idle may have before others' turns."""
+    """The budget of one node. Guarantee and ceiling are fractions, from 0 to 1, of the threads that all
+    engines carry for this front; the burst is work, in core-seconds, that a node which was idle may release
+    ahead of its turn; the weight is relative to its siblings."""
 
     guarantee: float = 0.0
     ceiling: float = 1.0
@@ -21,17 +26,18 @@
 
 
 class PlanNode(NamedTuple):
-    """A node with those below it by name."""
+    """A configured node with its children by name."""
 
     share: Share
     children: dict[str, PlanNode]
 
 
 class Plan:
-    """Where each team stands. A team that no broker names is one of `other`, each for itself below it."""
+    """The configured tree. A team that no broker lists is a child of `other`, with the default share."""
 
     def __init__(self, brokers: dict[str, PlanNode], other: Share) -> None:
-        """The tree of these brokers and their teams; `PlanError` where it can't be kept."""
+        """Build the tree of these brokers, whose children are teams and theirs query classes. Raises
+        `PlanError` where a team is listed twice or a share is invalid."""
         self.brokers, self.other = brokers, other
         self.broker_of: dict[str, str] = {}
         for name, broker in brokers.items():
@@ -42,11 +48,11 @@
         validate("", PlanNode(Share(1.0), brokers | {OTHER: PlanNode(other, {})}))
 
     def path(self, team: str, query_class: str) -> tuple[str, str, str]:
-        """Where a team's service group stands: broker, team, group."""
+        """The names of the nodes of a team's query class: broker, team, query class."""
         return self.broker_of.get(team, OTHER), team, query_class
 
     def share(self, path: Iterable[str]) -> Share:
-        """The share at a path of names; the plain one where nothing is planned."""
+        """The share of the node at a path of names; the default share where none is configured."""
         children, share = self.brokers, Share()
         for depth, name in enumerate(path):
             if depth == 0 and name == OTHER:
@@ -58,13 +64,9 @@
         return share
 
 
-# Where teams stand that no broker names.
-OTHER = "other"
-
-
 def validate(path: str, node: PlanNode) -> None:
-    """Risk: guarantees that add up to more than there is are promises that can't all be kept, and which is
-    broken would hang on who comes first."""
+    """Check a node and all below it; raises `PlanError`. The guarantees of siblings must fit into what their
+    parent has: of guarantees that exceed it, which ones are met would depend on the order of arrival."""
     share, name = node.share, path or "the platform"
     if not 0 <= share.guarantee <= share.ceiling <= 1:
         raise PlanError(
--- a/thistlelever/budgets/preemption.py
+++ b/thistlelever/budgets/preemption.py
@@ -1,4 +1,4 @@
-"""Which query is given up for another whose team holds less than its guarantee."""
+"""Chooses which running batch is cancelled in favour of one whose team is below its guarantee."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from thistlelever.budgets.queued_batch import QueuedBatch, QueuePolicy
 from thistlelever.budgets.tree import is_above_guarantee, path_to_root
 
-# Pre-emption may throw away its share of what all engines carry, over so many seconds.
+# Seconds over which the wasted work is bounded to a fraction of the capacity.
 WASTE_WINDOW = 10.0
 
 
 def time_to_next_completion(running: Iterable[QueuedBatch], now: float) -> float:
-    """In how long the next of what is out ends, as far as its cost tells.
+    """Seconds until the next running batch ends, by its charge; 0 where none runs.
 
-    What lasts longer than that is taken to last half as long again as it has.
+    A batch that has outlasted its charge is assumed to run for half as long again as it has.
     """
     remaining = (
         max(batch.released_at + batch.charge / batch.spec.width - now, (now - batch.released_at) / 2)
@@ -24,17 +24,18 @@
 
 
 class Preemption:
-    """Chooses what is given up, within a bound on the work that is thrown away by it."""
+    """Chooses victims, within a bound on the work that is wasted by cancelling them."""
 
     def __init__(self) -> None:
-        """Nothing was thrown away yet."""
+        """Nothing was wasted yet."""
         self.recent_waste: list[tuple[float, float]] = []
         self.total_waste = 0.0
 
     def is_needed(
         self, waiting: QueuedBatch, running: Iterable[QueuedBatch], capacity: float, now: float
     ) -> bool:
-        """Whether a query below its guarantee would miss its goal by waiting, and not by running."""
+        """Whether a queued batch, of a node below its guarantee, would miss its latency objective by waiting
+        for a completion, but would still end within its deadline if released now."""
         spec = waiting.spec
         if not any(node.parent and node.is_below_guarantee(capacity) for node in path_to_root(waiting.leaf)):
             return False
@@ -52,7 +53,13 @@
         capacity: float,
         now: float,
     ) -> QueuedBatch | None:
-        """Of those that hold more than their guarantee the least worthy, least far one, if that pays."""
+        """The running batch to cancel for the `waiting` one, or None.
+
+        Candidates have a lower value and a node that is above its guarantee; of these the one with the
+        lowest value goes, then the one that has done the least work. A dispatched batch is a candidate only
+        where engines can cancel, its work done fits into the waste bound, and its remaining work is at
+        least half of the waiting batch's.
+        """
         spec = waiting.spec
         run_time = waiting.charge / spec.width
         self.recent_waste = [(at, work) for at, work in self.recent_waste if at > now - WASTE_WINDOW]
@@ -77,7 +84,7 @@
         return best[1] if best else None
 
     def preempt(self, batch: QueuedBatch, now: float) -> None:
-        """The query is given up; what it has done is thrown away."""
+        """Mark the batch as preempted and account for its work as wasted, in thread-seconds."""
         batch.preempted = True
         if done := batch.work_done(now):
             self.recent_waste.append((now, done))
--- a/thistlelever/budgets/throughput.py
+++ b/thistlelever/budgets/throughput.py
@@ -1,34 +1,34 @@
-"""How much work all threads end in a second, seen from what has ended lately."""
+"""Measures how much work the threads complete a second, from recently completed batches."""
 
 from __future__ import annotations
 
 from collections import deque
 
-# So long all threads, or fewer for longer, must have been at work before their yield is believed, which is
-# then taken over so long.
+# Seconds for which all threads, or fewer of them for longer, must have been occupied before the measurement
+# replaces the assumption; and the seconds over which it is taken.
 MIN_OBSERVATION, WINDOW = 0.25, 8.0
-# A thread is taken to end at most so much, and all threads together at least so much.
+# Bounds of the estimate: core-seconds per thread-second, and core-seconds a second of all threads together.
 MAX_WORK_PER_THREAD_SECOND, MIN_RATE = 2.0, 0.1
 
 
 class Throughput:
-    """What has ended lately: its charge, and the thread-seconds that it took."""
+    """Recently completed batches: the charge of each, and the thread-seconds that it occupied."""
 
     def __init__(self) -> None:
-        """Nothing has ended yet: a thread is taken to end one core-second in a second."""
+        """Nothing has completed: a thread is assumed to complete one core-second a second."""
         self.completed: deque[tuple[float, float, float]] = deque()
         self.work = self.thread_seconds = 0.0
         self.work_per_thread_second = 1.0
 
     def add(self, now: float, charge: float, thread_seconds: float) -> None:
-        """Something has ended."""
+        """A batch charged `charge` core-seconds has completed at `now`, after so many thread-seconds."""
         self.completed.append((now, charge, thread_seconds))
         self.work += charge
         self.thread_seconds += thread_seconds
 
     def rate(self, now: float, capacity: float) -> float:
-        """Core-seconds, as they are charged, that so many threads would end in a second: what those that were
-        out lately have ended, for each second that one was."""
+        """The core-seconds a second, as charged, that `capacity` threads complete: the charges of the last
+        `WINDOW` seconds for each thread-second occupied."""
         while self.completed and self.completed[0][0] < now - WINDOW:
             _, charge, thread_seconds = self.completed.popleft()
             self.work -= charge
--- a/thistlelever/budgets/tree.py
+++ b/thistlelever/budgets/tree.py
@@ -1,4 +1,4 @@
-"""The tree of budgets: nodes made as they are needed, and forgotten once they are idle for long."""
+"""The runtime tree of budgets: nodes are created on demand and removed after they have been idle."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from thistlelever.budgets.node import Node
 from thistlelever.budgets.plan import Plan
 
-# Seconds after which what is idle and owes nothing is forgotten.
+# Seconds after which an idle node without debt is removed.
 IDLE_LIFETIME = 30.0
 
 
 class BudgetTree:
-    """The nodes of one plan; the leaves are service groups of teams."""
+    """The nodes of one plan. Its leaves are the query classes of teams."""
 
     def __init__(self, plan: Plan, on_removed: Callable[[Node], None]) -> None:
-        """Only the root is there; `on_removed` is told each node that is forgotten."""
+        """Create the root only. `on_removed` is called with each node that is removed."""
         self.plan, self.on_removed = plan, on_removed
         self.root = Node("", None, plan.share(()))
-        # Nodes with nothing held or out, and since when.
+        # Nodes with nothing queued or released, and since when, the earliest first.
         self.idle_since: dict[Node, float] = {}
 
     def leaf(self, team: str, query_class: str) -> Node:
-        """The leaf of a team's service group, with the nodes above it, made as they are needed."""
+        """The leaf of a team's query class; it and the nodes above it are created where missing."""
         node = self.root
         path = self.plan.path(team, query_class)
         for depth, name in enumerate(path):
@@ -43,7 +43,8 @@
         return found
 
     def mark_idle(self, leaf: Node, now: float) -> None:
-        """Something of the leaf has ended: nodes on the way up that are idle now may be forgotten later."""
+        """Something of the leaf has ended: ends the busy period of each node from it to the root that is idle
+        at `now`, and makes the node a candidate for removal."""
         for node in path_to_root(leaf):
             if not node.queued and not node.threads_in_use:
                 node.end_busy_period()
@@ -51,12 +52,13 @@
                     self.idle_since.setdefault(node, now)
 
     def remove_idle(self, now: float) -> None:
-        """Drop nodes that have been idle for long."""
+        """Remove the nodes that have been idle for `IDLE_LIFETIME` seconds."""
         while self.idle_since and now - self.idle_since[next(iter(self.idle_since))] >= IDLE_LIFETIME:
             self.remove(next(iter(self.idle_since)), now)
 
     def remove(self, node: Node, now: float) -> None:
-        """Idle for long. Risk: forgotten with a debt, it would start anew without it."""
+        """Remove a node that has been idle for long, unless it is in use again. A node whose finish tag is
+        ahead of the virtual time stays: removed with that debt, the team would start again without it."""
         since = self.idle_since.pop(node)
         if (
             node.queued
@@ -64,10 +66,10 @@
             or node.children
             or node.parent.children.get(node.name) is not node
         ):
-            # One with others below it comes up again with the last of them.
+            # A node with children becomes a candidate again with the last of them.
             return
         if node.finish_tag > node.parent.virtual_time:
-            # It owes still: looked at again later.
+            # It is still in debt: a candidate again after another lifetime.
             self.idle_since[node] = now
             return
         del node.parent.children[node.name]
@@ -77,7 +79,7 @@
 
 
 def path_to_root(leaf: Node) -> Iterator[Node]:
-    """The leaf and all above it."""
+    """The leaf and each node above it, the root last."""
     node: Node | None = leaf
     while node is not None:
         yield node
@@ -85,7 +87,8 @@
 
 
 def is_above_guarantee(leaf: Node, capacity: float) -> bool:
-    """Whether a node on the way up holds more than it is guaranteed."""
+    """Whether the leaf, or a node between it and the root, holds more threads than its guarantee of
+    `capacity` threads."""
     return any(
         node.parent and node.threads_in_use > node.share.guarantee * capacity for node in path_to_root(leaf)
     )
--- a/thistlelever/budgets/views.py
+++ b/thistlelever/budgets/views.py
@@ -1,4 +1,4 @@
-"""What people ask of the fair_queue at night: who holds what, who lends, who waits, and why."""
+"""Views for operators: the state of the budget tree, and why a batch waits."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def show(fair_queue: FairQueue, now: float) -> dict:
-    """All nodes that hold or have out anything, with what they are promised; threads, core-seconds,
-    seconds."""
+    """The totals and all nodes with something queued or released, in threads, core-seconds and seconds. Keys
+    are printed by the command `budgets show` and read by scripts."""
     return {
         "threads": round(fair_queue.capacity, 2),
         "out": round(fair_queue.root.threads_in_use, 2),
@@ -29,7 +29,7 @@
 
 
 def describe_node(node: Node, fair_queue: FairQueue, now: float) -> dict:
-    """One node, in threads, core-seconds and seconds."""
+    """The row of one node, in threads, core-seconds and seconds."""
     guarantee = node.share.guarantee * fair_queue.capacity
     oldest = min((batch.queued_at for batch in node.queue), default=None)
     return {
@@ -46,7 +46,7 @@
 
 
 def explain(fair_queue: FairQueue, number: int, now: float) -> dict:
-    """Why a batch waits, or that it does not."""
+    """The state of the batch with this number, and the reason why it waits, if it does."""
     batch = fair_queue.batches.get(number)
     if batch is None:
         return {"batch": number, "state": "not here: answered, or never taken"}
@@ -67,7 +67,7 @@
 
 
 def wait_reason(fair_queue: FairQueue, batch: QueuedBatch) -> str:
-    """What a held batch waits for."""
+    """What a queued batch waits for, in words."""
     if not batch.schedulable:
         return "a batch of the same key goes first"
     for node in path_to_root(batch.leaf):
--- a/thistlelever/budgets/wait_estimator.py
+++ b/thistlelever/budgets/wait_estimator.py
@@ -1,4 +1,4 @@
-"""How long a batch will wait, told as it is taken, and how true that was."""
+"""Estimates how long a batch waits, when it is submitted, and measures how accurate that was."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 
 from thistlelever.budgets.node import Node
 
-# Of a wait shorter than this no estimate is judged: it is over before anyone could act on it.
+# Seconds; the estimate of a shorter wait is not scored: nobody could act on it before the wait is over.
 MIN_SCORED_WAIT = 0.1
-# How fast what is seen corrects what is told; a correction beyond this factor is none.
+# The weight of one wait in the correction, and the largest correction, as a factor.
 LEARNING_RATE, MAX_CORRECTION = 0.02, 1.3
-MAX_ERRORS = 512
-MAX_CORRECTED_LEAVES = 20_000
+# Errors kept for the percentiles; leaves beyond which all corrections are dropped.
+MAX_ERRORS, MAX_CORRECTED_LEAVES = 512, 20_000
 
 
 class WaitEstimator:
-    """Estimates by a leaf's place and pace, corrected by each leaf's own errors, and the errors
-    themselves."""
+    """Estimates from a leaf's position and rate, a correction for each leaf learnt from its errors, and the
+    errors themselves, as fractions of the actual wait."""
 
     def __init__(self) -> None:
-        """No wait was seen yet."""
+        """No wait was observed yet."""
         self.corrections: dict[tuple[str, ...], float] = {}
         self.errors: deque[float] = deque(maxlen=MAX_ERRORS)
         self.naive_errors: deque[float] = deque(maxlen=MAX_ERRORS)
 
     def estimate(self, leaf: Node, ahead: float, total_rate: float, now: float) -> float:
-        """Seconds, not yet corrected, until a batch is released that has `ahead` core-seconds before it in
+        """Seconds, without correction, until a batch is released that has `ahead` core-seconds before it in
         its leaf.
 
-        Where the leaf has released batches under a backlog for long enough, its own pace tells. Before that
-        its turn comes when the parent's virtual time reaches the leaf's tag and the work before it; how fast
-        that goes is seen, and where it is not yet, the parent's own pace by its share of weights tells.
-        `total_rate` is how many core-seconds end in a second on all that this front has.
+        Where the leaf has released batches under a backlog for long enough, its own rate is used. Before
+        that, its turn comes when the parent's virtual time reaches the leaf's tag plus the work before it;
+        the rate of that virtual time is measured, and where it can't be yet, it is derived from the
+        parent's own rate and the weights. `total_rate` is how many core-seconds a second all threads of
+        this front complete.
         """
         own_rate = leaf.rate(now) if leaf.queued else None
         if own_rate:
@@ -46,7 +47,7 @@
         return distance / max(self.virtual_time_rate(leaf.parent, total_rate, now), 1e-9)
 
     def virtual_time_rate(self, node: Node, total_rate: float, now: float) -> float:
-        """How fast a node's virtual time goes."""
+        """How much the virtual time of a node advances a second."""
         observed = node.rate(now)
         if observed:
             return observed
@@ -58,13 +59,16 @@
     def record(
         self, path: tuple[str, ...], estimated: float, uncorrected: float, naive: float, actual: float
     ) -> None:
-        """What was told of a wait, what it would have been uncorrected, and what it was."""
+        """A batch of the leaf at `path` was released after `actual` seconds: `estimated` is what was
+        estimated when it was submitted, `uncorrected` the same without the correction (0: don't learn from
+        it), `naive` the estimate of a single first-in, first-out queue. Waits below `MIN_SCORED_WAIT` are
+        ignored."""
         if actual < MIN_SCORED_WAIT:
             return
         self.errors.append(abs(estimated - actual) / actual)
         self.naive_errors.append(abs(naive - actual) / actual)
         if uncorrected > 0:
-            # Against the uncorrected one, as what is told now was corrected by a factor long past.
+            # Compared with the uncorrected estimate: the corrected one used an outdated factor.
             ratio = min(max(actual / uncorrected, 1 / MAX_CORRECTION), MAX_CORRECTION)
             old = self.corrections.get(path, 1.0)
             self.corrections[path] = exp(log(old) + LEARNING_RATE * log(ratio / old))
@@ -72,13 +76,14 @@
                 self.corrections.clear()
 
     def percentiles(self) -> dict[str, float]:
-        """Of the errors, as shares of the waits: the 50th, 90th, 99th, and of the naive estimate's."""
-        found = {}
+        """The 50th, 90th and 99th percentile of the errors, as `p50` and so on, and of the naive estimate's
+        as `naive_p50` and so on."""
+        percentiles = {}
         for name, errors in (("", self.errors), ("naive_", self.naive_errors)):
             ordered: list[float] = []
             for error in errors:
                 insort(ordered, error)
             for share in (50, 90, 99):
                 index = min(len(ordered) * share // 100, len(ordered) - 1)
-                found[f"{name}p{share}"] = round(ordered[index], 3) if ordered else 0.0
-        return found
+                percentiles[f"{name}p{share}"] = round(ordered[index], 3) if ordered else 0.0
+        return percentiles
