--- a/thistlelever/budgets/fair_queue.py
+++ b/thistlelever/budgets/fair_queue.py
@@ -1,11 +1,14 @@
-"""The judge: holds batches until their budget's turn, says how long that will be, and gives up in time.
+"""The fair queue of team budgets: queues batches until their turn, estimates how long that will take, and
+refuses those that could not finish in time.
 
-    fair_queue = FairQueue(plan, policy, seed)
-    actions = fair_queue.submit(now, spec)      # and ended, left, began, set_capacity, tick, renew
+    fair_queue = FairQueue(plan, policy, seed, capacity)
+    commands = fair_queue.submit(now, spec)
 
-Every call answers with what is to be done now: `Release` (tell the decisions), `Refuse` (push back, with the
-time to come back), `Preempt` (give up what is out). What is held is released, refused or left, once;
-`conserved` says so.
+`submit`, `completed`, `client_left`, `set_capacity`, `tick`, `shut_down` and `reconfigure` return the
+commands to carry out now: `Release` (pass the batch to the admission decisions), `Refuse` (push it back,
+with a retry delay in seconds and the reason) and `Preempt` (cancel a released batch, with a retry delay).
+Every submitted batch is released, refused or left by its client exactly once; `is_conserved` checks that.
+Times (`now`) are seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,25 +18,27 @@
 from zlib import crc32
 
 from thistlelever.budgets.estimates import Estimates
-from thistlelever.budgets.node import Node
-from thistlelever.budgets.queued_batch import BatchSpec, QueuedBatch, QueuePolicy
 from thistlelever.budgets.key_order import KeyOrder
+from thistlelever.budgets.node import Node
 from thistlelever.budgets.plan import Plan
 from thistlelever.budgets.preemption import Preemption
+from thistlelever.budgets.queued_batch import BatchSpec, QueuedBatch, QueuePolicy
 from thistlelever.budgets.throughput import Throughput
 from thistlelever.budgets.tree import BudgetTree, path_to_root
 from thistlelever.budgets.wait_estimator import WaitEstimator
 from thistlelever.ground.orders import Order, Preempt, Refuse, Release
 
-# Each so many releases the longest held of all that has waited half of its time goes first, whoever's it is.
+# One in so many releases goes to the aged batch with the earliest release deadline, whatever its team. A
+# batch is aged once it has waited for half of the time until its release deadline.
 AGED_RELEASE_INTERVAL = 8
-# A leaf that is served more often than this does not starve, however long what it was flooded with must wait:
-# ageing is for the others.
+# Seconds; a leaf that was served within this time does not starve, however long the batches that flood it
+# must wait, and its batches are not released by age.
 STARVATION_WAIT = 0.5
-# The time to come back is spread by so much, so that those pushed back together do not come back together.
+# The largest random extension of a retry delay, as a fraction of it: clients that are pushed back together
+# must not retry together.
 RETRY_JITTER = 0.5
 
-# What is counted of batches.
+# Events of batches that are counted; `budgets show` prints them.
 COUNTERS = (
     *("submitted", "released", "refused", "left"),
     *("preempted", "ended", "moved", "too late to preempt"),
@@ -41,10 +46,10 @@
 
 
 class FairQueue:
-    """All budgets of one front. It knows what it was told and nothing else."""
+    """The budgets of one front: its queued and released batches, and the tree that orders them."""
 
     def __init__(self, plan: Plan, policy: QueuePolicy, seed: int, capacity: float = 0.0) -> None:
-        """Nothing is held; `capacity` is in threads."""
+        """Create an empty queue. `seed` determines the spread of retry delays; `capacity` is in threads."""
         self.policy, self.seed, self.draws = policy, seed, 0
         self.capacity = capacity
         self.estimates, self.key_order, self.preemption = Estimates(), KeyOrder(), Preemption()
@@ -53,7 +58,8 @@
         self.running: dict[int, QueuedBatch] = {}
         self.throughput = Throughput()
         self.capacity_changed_at = float("-inf")
-        # By when each must go, and from when it counts as aged.
+        # Heaps of (time, batch number): release deadlines, when batches become aged, and release deadlines of
+        # aged batches. Entries of batches that are gone are skipped.
         self.release_deadlines: list[tuple[float, int]] = []
         self.pending_aged: list[tuple[float, int]] = []
         self.aged: list[tuple[float, int]] = []
@@ -62,32 +68,33 @@
 
     @property
     def root(self) -> Node:
-        """The node of all budgets."""
+        """The root of the budget tree."""
         return self.tree.root
 
     @property
     def wait_estimator(self) -> WaitEstimator:
-        """Estimates of waits, and how true they were."""
+        """Estimates of waits, and their errors."""
         return self.estimates.wait_estimator
 
     @property
     def wasted_work(self) -> float:
-        """Thread-seconds of work that pre-emption has thrown away."""
+        """The work wasted by pre-emption, in thread-seconds."""
         return self.preemption.total_waste
 
-    # What it is told.
-
     def submit(self, now: float, spec: BatchSpec) -> list[Order]:
-        """A batch has come. It is refused at once where it would wait past what its client does; else it is
-        batch, and goes with the next `tick`: what comes in one moment is weighed together."""
+        """Submit a batch. It is refused at once where its budget is zero or its estimated wait exceeds its
+        release deadline; otherwise it is queued, and released by the next `tick` at the earliest, so that
+        batches that arrive at the same moment are ordered among each other."""
         self.counts["submitted"] += 1
         leaf = self.tree.leaf(spec.team, spec.query_class)
         if any(node.share.ceiling <= 0 for node in path_to_root(leaf)):
             return self.refuse(now, spec, leaf, self.policy.max_retry_delay, "its budget is zero")
         batch = self.prepare(now, spec, leaf)
-        late = now + batch.estimated_wait - batch.release_deadline()
+        excess = now + batch.estimated_wait - batch.release_deadline()
         if now + batch.estimated_wait > batch.release_deadline():
-            return self.refuse(now, spec, leaf, self.retry_delay(late), "the wait would pass its time limit")
+            return self.refuse(
+                now, spec, leaf, self.retry_delay(excess), "the wait would pass its time limit"
+            )
         self.batches[spec.number] = batch
         if self.key_order.add(batch):
             self.enqueue(batch)
@@ -96,45 +103,46 @@
         return []
 
     def refuse(self, now: float, spec: BatchSpec, leaf: Node, after: float, why: str) -> list[Order]:
-        """The batch is not held at all."""
+        """Refuse a batch that was not queued, with a retry delay of `after` seconds."""
         self.counts["refused"] += 1
         self.tree.mark_idle(leaf, now)
         return [Refuse(spec.number, after, why)]
 
     def prepare(self, now: float, spec: BatchSpec, leaf: Node) -> QueuedBatch:
-        """The batch as it would be held, with the wait that it is told."""
+        """The batch as it would be queued, with its charge and its estimated wait."""
         charge = self.estimates.charge(leaf, spec.work)
         ahead = leaf.backlog if not spec.retried else leaf.backlog / 2
         rate = self.service_rate(now)
-        free = (
+        is_immediate = (
             self.root.threads_in_use + self.queued_width + spec.width
             <= self.capacity * self.policy.overcommit
         )
         self.estimates.record_arrival(leaf, charge, now)
-        uncorrected = 0.0 if free else self.estimates.estimate_wait(leaf, ahead, rate, now)
+        uncorrected = 0.0 if is_immediate else self.estimates.estimate_wait(leaf, ahead, rate, now)
         estimated = uncorrected * self.wait_estimator.corrections.get(leaf.path(), 1.0)
         naive = self.root.backlog / rate
-        # Who was pushed back before has waited already: it stands where it would have stood by then.
+        # A retried batch has already waited: it gets the place that it would have had if it had been queued.
         order_at = now - (min(estimated, self.policy.max_retry_delay) if spec.retried else 0.0)
         batch = QueuedBatch(spec, leaf, now, order_at, charge, estimated, uncorrected, naive)
-        # Aged, it goes in another turn, however long its leaf's is.
-        half = (batch.release_deadline() - now) / 2
-        usual = self.root.backlog / max(self.root.queued, 1)
-        aged = half + (self.aging_count + 1) * AGED_RELEASE_INTERVAL * usual / rate
+        # A batch that waits for long enough is released by age, however long its leaf's queue is.
+        half_time = (batch.release_deadline() - now) / 2
+        mean_charge = self.root.backlog / max(self.root.queued, 1)
+        wait_by_age = half_time + (self.aging_count + 1) * AGED_RELEASE_INTERVAL * mean_charge / rate
         if (
-            estimated > half
-            and self.estimates.estimate_wait(leaf, max(charge, usual), rate, now) > STARVATION_WAIT
+            estimated > half_time
+            and self.estimates.estimate_wait(leaf, max(charge, mean_charge), rate, now) > STARVATION_WAIT
         ):
-            batch.ages, batch.estimated_wait = True, min(estimated, aged)
+            batch.ages, batch.estimated_wait = True, min(estimated, wait_by_age)
         return batch
 
     def dispatch_started(self, number: int) -> None:
-        """A dispatch of it is out: from now on giving it up throws work away."""
+        """The batch has its first dispatch: from now on pre-empting it wastes work."""
         if batch := self.batches.get(number):
             batch.dispatched = True
 
-    def completed(self, now: float, number: int, true_work: float) -> list[Order]:
-        """Its answer is given and nothing of it is out; what it truly cost, 0 where nobody says."""
+    def completed(self, now: float, number: int, actual_work: float) -> list[Order]:
+        """The batch has its answer and no dispatch is open. `actual_work` is its cost in core-seconds, 0
+        where the engine did not report it: then its thread-seconds count."""
         batch = self.batches.pop(number, None)
         if batch is None:
             return []
@@ -144,17 +152,17 @@
         if not batch.is_released:
             self.dequeue(batch)
             return self.release_ready(now)
-        took = now - batch.released_at
-        actual_work = true_work or (took * batch.spec.width if batch.dispatched else 0.0)
+        run_time = now - batch.released_at
+        actual_work = actual_work or (run_time * batch.spec.width if batch.dispatched else 0.0)
         if batch.dispatched and actual_work > 0:
             self.estimates.learn_cost(batch.leaf, batch.spec.work, actual_work)
-        lasted = max(now - batch.released_at, 1e-6) * batch.spec.width
-        self.throughput.add(now, batch.charge, lasted)
+        thread_seconds = max(run_time, 1e-6) * batch.spec.width
+        self.throughput.add(now, batch.charge, thread_seconds)
         self.free_threads(batch, actual_work - batch.charge, now)
         return self.release_ready(now)
 
     def client_left(self, now: float, number: int) -> list[Order]:
-        """Its client has gone while it was held."""
+        """The batch's client has left; a released batch goes on until `completed`."""
         batch = self.batches.get(number)
         if batch is None or batch.is_released:
             return []
@@ -162,11 +170,12 @@
         return self.release_ready(now)
 
     def set_capacity(self, now: float, threads: float) -> list[Order]:
-        """What all engines carry for this front, in threads: guarantees and ceilings are shares of it."""
+        """All engines together carry so many `threads` for this front: guarantees and ceilings are fractions
+        of them."""
         if threads == self.capacity:
             return []
         self.capacity, self.capacity_changed_at = threads, now
-        # What was told before could not know of it, and its errors teach nothing.
+        # Earlier estimates assumed another capacity: nothing is learnt from their errors.
         self.wait_estimator.corrections.clear()
         for node in self.tree.nodes():
             node.unblock_children(threads)
@@ -174,14 +183,15 @@
         return self.release_ready(now)
 
     def tick(self, now: float) -> list[Order]:
-        """Time has passed: what can be held no longer is refused, what has aged counts so, idle nodes go."""
-        # First what can go: a batch whose run outlasts its time is the decisions' to refuse, if it need not
-        # wait.
+        """Release what can be released, refuse batches past their release deadline, move batches that have
+        waited half of their time into the aged ones, remove idle nodes, and pre-empt where needed."""
+        # Releases come first: a batch that need not wait but can't finish in time is left for the admission
+        # decisions to refuse.
         actions = self.release_ready(now)
         while self.release_deadlines and self.release_deadlines[0][0] <= now:
-            by, number = heappop(self.release_deadlines)
+            deadline, number = heappop(self.release_deadlines)
             batch = self.batches.get(number)
-            if batch and not batch.is_released and by == batch.release_deadline():
+            if batch and not batch.is_released and deadline == batch.release_deadline():
                 after = self.retry_delay(self.root.backlog / self.service_rate(now))
                 actions.append(Refuse(number, after, "held until its last moment"))
                 self.discard(batch, "refused", now)
@@ -195,14 +205,15 @@
         return actions + self.release_ready(now) + self.preempt(now)
 
     def next_event_at(self) -> float:
-        """When `tick` has something to do at the latest."""
+        """The time by which `tick` must be called; infinite where nothing is queued."""
         return min(
             self.release_deadlines[0][0] if self.release_deadlines else float("inf"),
             self.pending_aged[0][0] if self.pending_aged else float("inf"),
         )
 
     def shut_down(self, now: float, at: float) -> list[Order]:
-        """The front ends then: what is held must have gone before, with the time for its run."""
+        """The front ends at `at`: deadlines after that move there, so that queued batches are released in
+        time to run or are refused."""
         for batch in self.batches.values():
             if batch.spec.deadline > at:
                 batch.spec = batch.spec._replace(deadline=at)
@@ -210,7 +221,9 @@
         return self.tick(now)
 
     def reconfigure(self, now: float, plan: Plan, policy: QueuePolicy) -> list[Order]:
-        """Another tree: what is held and out moves into it, each once; what its leaf owed it owes there."""
+        """Replace the tree and the policy. Queued and released batches move to the new tree, and a leaf keeps
+        its debt (the lead of its finish tag over the virtual time) where a leaf of the same team and query
+        class exists."""
         debts = {
             leaf.path()[1:]: max(leaf.finish_tag - leaf.parent.virtual_time, 0.0)
             for leaf in self.tree.nodes()
@@ -232,19 +245,17 @@
                 heappush(
                     self.pending_aged, ((batch.queued_at + batch.release_deadline()) / 2, batch.spec.number)
                 )
-        for batch in (h for h in moving if not h.is_released):
+        for batch in (queued for queued in moving if not queued.is_released):
             if any(node.share.ceiling <= 0 for node in path_to_root(batch.leaf)):
                 actions.append(Refuse(batch.spec.number, self.policy.max_retry_delay, "its budget is zero"))
                 self.discard(batch, "refused", now)
             elif not batch.schedulable and self.key_order.is_head(batch):
-                # One whose line's head was just refused is held already.
+                # Where the first batch of its key was refused above, it is in the queue already.
                 self.enqueue(batch)
         return actions + self.release_ready(now)
 
-    # What it does.
-
     def release_ready(self, now: float) -> list[Order]:
-        """Release for as long as there is room and someone's turn."""
+        """Release batches in order while there is capacity."""
         actions: list[Order] = []
         while (batch := self.select_next(now)) is not None:
             self.dequeue(batch)
@@ -266,7 +277,8 @@
         return actions
 
     def select_next(self, now: float) -> QueuedBatch | None:
-        """Whose turn it is: the aged one that must go first at each interval, else by the tree."""
+        """The next batch to release, or None: at each `AGED_RELEASE_INTERVAL`-th release the aged batch with
+        the earliest release deadline, otherwise the first of the leaf that the tree selects."""
         if not self.root.queued:
             return None
         if self.releases % AGED_RELEASE_INTERVAL == AGED_RELEASE_INTERVAL - 1:
@@ -275,16 +287,16 @@
                 if batch is None or batch.is_released or not batch.schedulable:
                     heappop(self.aged)
                     continue
-                full = any(
+                is_blocked = any(
                     node.parent and node.is_at_ceiling(self.capacity, batch.spec.width)
                     for node in path_to_root(batch.leaf)
                 )
                 if now - batch.leaf.last_served_at < STARVATION_WAIT:
-                    # Looked at again after the others: it may have to wait for longer than they.
+                    # Aged again later, behind the others: its leaf does not starve.
                     heappop(self.aged)
                     heappush(self.pending_aged, (now + STARVATION_WAIT, batch.spec.number))
                     continue
-                if self.has_capacity(batch.spec.width) and not full:
+                if self.has_capacity(batch.spec.width) and not is_blocked:
                     return batch
                 break
         leaf = self.root.next_leaf(self.capacity, lambda leaf: leaf.queue[0].spec.width)
@@ -293,14 +305,14 @@
         return leaf.queue[0]
 
     def has_capacity(self, width: float) -> bool:
-        """Whether this front may have so many threads more out. One batch always may."""
+        """Whether this front may occupy `width` threads more. One batch always may run."""
         return (
             not self.root.threads_in_use
             or self.root.threads_in_use + width <= self.capacity * self.policy.overcommit
         )
 
     def enqueue(self, batch: QueuedBatch) -> None:
-        """It takes part in its leaf's turns from now on."""
+        """Put the batch into its leaf's queue."""
         leaf = batch.leaf
         batch.schedulable = True
         insort(leaf.queue, batch)
@@ -309,7 +321,7 @@
         for node in path_to_root(leaf):
             self.tree.idle_since.pop(node, None)
             if not node.queued:
-                # How fast its turns went while nobody waited for them says nothing of how they go now.
+                # Samples taken without a backlog do not tell the rate under one.
                 node.rate_samples.clear()
                 node.activate()
             node.queued += 1
@@ -318,7 +330,7 @@
                 node.reschedule(self.capacity)
 
     def dequeue(self, batch: QueuedBatch) -> None:
-        """It takes part in no turns any more."""
+        """Take the batch out of its leaf's queue, if it is there."""
         if not batch.schedulable:
             return
         batch.schedulable = False
@@ -333,21 +345,23 @@
         if not self.root.queued:
             self.queued_width = 0.0
 
-    def discard(self, batch: QueuedBatch, how: str, now: float) -> None:
-        """It is held no more, and was not released."""
-        self.counts[how] += 1
+    def discard(self, batch: QueuedBatch, counter: str, now: float) -> None:
+        """Drop a queued batch that was not released, and count it under `counter`."""
+        self.counts[counter] += 1
         del self.batches[batch.spec.number]
         self.dequeue(batch)
         self.advance_key(batch)
         self.tree.mark_idle(batch.leaf, now)
 
     def advance_key(self, batch: QueuedBatch) -> None:
-        """It is released or gone; the next of its key is held in its turn, so that they keep their order."""
+        """The batch was released or dropped: enqueue the next one of its ordering key, so that batches of a
+        key are released in order."""
         if following := self.key_order.remove(batch):
             self.enqueue(following)
 
     def free_threads(self, batch: QueuedBatch, undercharge: float, now: float) -> None:
-        """What was out has ended: its threads are free, and what was charged short is owed."""
+        """A released batch has ended: free its threads, and charge the `undercharge`, in core-seconds, to its
+        nodes."""
         for node in path_to_root(batch.leaf):
             node.threads_in_use -= batch.spec.width
             if node.threads_in_use < 1e-9:
@@ -359,11 +373,12 @@
         self.tree.mark_idle(batch.leaf, now)
 
     def preempt(self, now: float) -> list[Order]:
-        """Where a batch under its guarantee would miss its goal because others hold more than theirs: of
-        those the least worthy, least far one is given up, if that pays and the bound on waste allows it.
+        """Pre-empt one released batch, where the first batch in turn is below its guarantee and would miss
+        its latency objective because others are above theirs; see `Preemption` for which one.
 
-        Held batches need no pre-emption: theirs is passed by in turn. Released ones that have no dispatch out
-        yet cost nothing; running ones only where engines cancel."""
+        Queued batches need no pre-emption, as they are passed over in order. Pre-empting a released batch
+        without a dispatch costs nothing; one with a dispatch is pre-empted only where engines can cancel.
+        """
         leaf = self.root.next_leaf(self.capacity, lambda leaf: leaf.queue[0].spec.width)
         if leaf is None or self.has_capacity(leaf.queue[0].spec.width):
             return []
@@ -378,29 +393,28 @@
         return [Preempt(batch.spec.number, self.retry_delay(self.root.backlog / self.service_rate(now)))]
 
     def preempted_too_late(self, number: int) -> None:
-        """It had its answer before it could be given up: nothing was thrown away after all."""
+        """The batch had its answer before it could be cancelled."""
         self.counts["too late to preempt"] += 1
 
-    # What it reckons.
-
     def service_rate(self, now: float) -> float:
-        """Core-seconds, as they are charged, that all threads would end in a second."""
+        """The core-seconds a second, as charged, that all threads complete."""
         return self.throughput.rate(now, self.capacity)
 
     def retry_delay(self, seconds: float) -> float:
-        """A time to come back, spread by chance so that none come back together, within what is allowed."""
+        """A retry delay of `seconds`, lengthened by a random part of `RETRY_JITTER` and bounded by the
+        policy."""
         self.draws += 1
         chance = (crc32(b"%d after %d" % (self.seed, self.draws)) + 0.5) / 2**32
         return min(max(seconds, 0.01) * (1 + RETRY_JITTER * chance), self.policy.max_retry_delay)
 
     def is_conserved(self) -> bool:
-        """Whether all that was submitted is batch, out, or went one way."""
-        c = self.counts
-        gone = c["refused"] + c["left"] + c["ended"]
-        waiting = sum(not batch.is_released for batch in self.batches.values())
-        behind = self.key_order.count_blocked()
+        """Whether every submitted batch is queued, released or finished, and the counts add up."""
+        counts = self.counts
+        finished = counts["refused"] + counts["left"] + counts["ended"]
+        queued = sum(not batch.is_released for batch in self.batches.values())
+        schedulable = sum(batch.schedulable for batch in self.batches.values())
         return (
-            c["submitted"] == gone + len(self.batches)
-            and len(self.batches) == waiting + len(self.running)
-            and waiting == sum(batch.schedulable for batch in self.batches.values()) + behind
+            counts["submitted"] == finished + len(self.batches)
+            and len(self.batches) == queued + len(self.running)
+            and queued == schedulable + self.key_order.count_blocked()
         )
--- a/thistlelever/budgets/forecast.py
+++ b/thistlelever/budgets/forecast.py
@@ -13,10 +13,13 @@
 
 from thistlelever.budgets.node import Node
 
-# How fast what a leaf is sent is forgotten; how far is looked; and with how many leaves it pays to look.
-ARRIVAL_WINDOW, HORIZON, MAX_LEAVES = 5.0, 30.0, 48
+# The time constant of the arrival rate and the length of a forecast, in seconds.
+ARRIVAL_WINDOW, HORIZON = 5.0, 30.0
+# Forecasts are used with up to so many leaves: each one simulates all of them.
+MAX_LEAVES = 48
+# Rates, backlogs and remaining capacity below this count as none.
 EPSILON = 1e-9
-# A leaf observed for less than this is taken to have been observed so long.
+# Seconds for which a leaf is taken to have been observed at least.
 MIN_OBSERVATION = 0.5
 
 
@@ -133,20 +136,20 @@
 def effective_weight(leaf: Node) -> float:
     """The leaf's fraction of the whole by the weights of the nodes that have a backlog at each level, with
     the leaf counted as one of them."""
-    part = 1.0
+    fraction = 1.0
     for node in nodes_below_root(leaf):
         active_weight = node.parent.active_weight + (0.0 if node.queued else node.share.weight)
-        part *= node.share.weight / active_weight
-    return part
+        fraction *= node.share.weight / active_weight
+    return fraction
 
 
 def guaranteed_share(leaf: Node) -> float:
-    """The fraction of the capacity guaranteed to the leaf: the lowest guarantee on its path, divided by
-    weight among the backlogged nodes below that; 0 where there is none."""
-    part = 1.0
+    """The fraction of the capacity guaranteed to the leaf: the nearest guarantee on its path, divided
+    by weight among the backlogged nodes below that; 0 where there is none."""
+    fraction = 1.0
     for node in nodes_below_root(leaf):
         if node.share.guarantee > 0:
-            return node.share.guarantee * part
+            return node.share.guarantee * fraction
         active_weight = node.parent.active_weight + (0.0 if node.queued else node.share.weight)
-        part *= node.share.weight / active_weight
+        fraction *= node.share.weight / active_weight
     return 0.0
