--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,5 +1,5 @@
-"""The fair queue of budgets: nothing lost or counted twice, guarantees, order, the ageing bound, and that
-lying does not pay. Times here are told, not waited for."""
+"""The fair queue of budgets in simulated time: conservation of batches, guarantees, ceilings, order, the
+bound on waiting, and that wrong cost estimates give no advantage."""
 
 from collections import Counter, defaultdict
 from time import process_time
@@ -9,11 +9,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from thistlelever.budgets.node import Node
+from thistlelever.budgets.fair_queue import FairQueue
 from thistlelever.budgets.forecast import Forecast
-from thistlelever.budgets.fair_queue import BatchSpec, FairQueue, QueuePolicy
-from thistlelever.budgets.plan import PlanNode, Plan, Share, PlanError
+from thistlelever.budgets.node import Node
+from thistlelever.budgets.plan import Plan, PlanError, PlanNode, Share
 from thistlelever.budgets.preemption import WASTE_WINDOW
+from thistlelever.budgets.queued_batch import BatchSpec, QueuePolicy
 from thistlelever.ground.orders import Preempt, Refuse, Release
 
 POLICY = QueuePolicy(can_cancel=True, max_waste=0.05, max_retry_delay=1.0, overcommit=1.0)
@@ -36,7 +37,8 @@
 
 
 class SimulatedPool:
-    """Engines of so many threads behind a fair queue: what is released runs for its work over its width."""
+    """Engines with so many threads behind a fair queue. A released batch runs for its work over its width, in
+    simulated seconds."""
 
     def __init__(self, plan=PLAN, policy=POLICY, threads=8.0, slowdown=1.0):
         self.fair_queue, self.now, self.number = FairQueue(plan, policy, 7, threads), 0.0, 0
@@ -117,7 +119,7 @@
 
 
 def test_a_team_bursting_from_zero_gets_its_guarantee_within_one_run():
-    # Hard case 1. Lent threads come back as what holds them ends: the longest run of what is out.
+    # Threads lent to others return as their batches end, so after the longest run time of those.
     pool = SimulatedPool()
     flood(pool, "c", 400)
     pool.advance(1.0)
@@ -168,7 +170,7 @@
 
 
 def test_one_huge_batch_beside_thousands_of_tiny_ones():
-    # Hard case 3. Neither the huge one's threads nor the tiny ones' number decides: work does.
+    # Shares are of work: neither the huge batch's threads nor the number of tiny ones gives an advantage.
     pool = SimulatedPool(tree(x=(Share(), {"huge": Share(), "tiny": Share()})), threads=4.0)
     huge = [pool.submit("huge", 4.0, width=2.0, limit=100.0) for _ in range(8)]
     flood(pool, "tiny", 3000, work=0.01, limit=100.0)
@@ -183,7 +185,7 @@
         flood(pool, "liar", 8, work=0.05 * factor, true_work=0.05, limit=100.0)
         flood(pool, "honest", 8, work=0.05, limit=100.0)
         pool.advance(pool.now + 0.1)
-    # A start that nobody knew better of, and no more than that.
+    # One core-second of advantage is allowed: the queue can't correct costs before the first batches end.
     assert pool.work["liar"] <= 1.05 * pool.work["honest"] + 1.0, pool.work
 
 
@@ -228,7 +230,7 @@
 
 
 def test_times_to_come_back_are_spread():
-    # Hard case 6.
+    # Clients that are pushed back together must not retry together.
     pool = SimulatedPool(threads=1.0, policy=POLICY._replace(max_retry_delay=100.0))
     flood(pool, "a", 100, limit=60.0)
     after = [pool.refused[pool.submit("a", limit=1.0)][2] for _ in range(50)]
@@ -244,7 +246,7 @@
 
 
 def test_preemption_takes_the_least_worthy_and_is_bounded():
-    # Hard case 2: the carrier's part is in test_gate.
+    # What the client of a pre-empted batch is answered is tested in scenarios/budgets/gate.txt.
     pool = SimulatedPool(threads=4.0)
     low = [pool.submit("d", 3.0, "report", limit=60.0, value=0.1) for _ in range(1)]
     low += [pool.submit("b", 3.0, "report", limit=60.0, value=0.2) for _ in range(3)]
@@ -268,7 +270,7 @@
 
 
 def test_a_budget_cut_to_zero_with_batches_held_and_out():
-    # Hard case 4.
+    # Queued batches are refused at once, and released ones run to their end.
     pool = SimulatedPool(threads=2.0)
     numbers = flood(pool, "a", 10, limit=60.0) + flood(pool, "c", 2, limit=60.0)
     zero = tree(rosso=(Share(0.5), {"a": Share(0.0, 0.0), "b": Share()}), verde=(Share(), {"c": Share()}))
@@ -293,7 +295,7 @@
 
 
 def test_half_of_the_engines_gone():
-    # Hard case 5: guarantees shrink in proportion, and estimates follow.
+    # Guarantees shrink in proportion to the capacity, and estimates follow it.
     pool = SimulatedPool()
     for _ in range(100):
         flood(pool, "a", 3, work=0.05, limit=60.0)
@@ -323,13 +325,13 @@
 
 
 def test_nothing_ahead_and_nothing_served():
-    # Risk: no engines, and a first batch of a leaf that nothing was sent to: a division by no pace at all.
+    # Without engines, the first batch of a leaf without arrivals would divide by a rate of zero.
     leaf = Node("g", Node("", None, Share()), Share(0.0, 0.0))
     assert Forecast(leaf, [leaf], {}, 0.0, 0.0).wait(0.0) == 0.0
 
 
 def test_a_decision_costs_near_the_same_with_thousands_of_teams():
-    # Hard case 7. Counted in CPU, as a ratio in one run, with room for the machine's moods.
+    # CPU time per batch, as a ratio within one run; the factor leaves room for a noisy machine.
     def cost(teams):
         fair_queue = FairQueue(Plan({}, Share()), POLICY, 1, 50.0)
         for n in range(teams):
@@ -378,7 +380,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Batches of all teams come, end, leave; engines come and go; trees change; time goes on."""
+    """Batches of all teams are submitted, complete and leave; capacity and plan change; time passes."""
 
     PLANS = (
         PLAN,
@@ -410,24 +412,24 @@
     def advance(self, seconds):
         self.pool.advance(self.pool.now + seconds, step=seconds / 4)
         for batch in self.pool.fair_queue.batches.values():
-            # The ageing bound: past its moment nothing is held.
+            # The bound on waiting: no batch is queued past its release deadline.
             assert batch.is_released or batch.release_deadline() > self.pool.now
 
-    @rule(place=st.integers(0, 30))
-    def leaves(self, place):
-        held = [n for n, batch in self.pool.fair_queue.batches.items() if not batch.is_released]
-        if held:
-            number = held[place % len(held)]
+    @rule(index=st.integers(0, 30))
+    def client_left(self, index):
+        queued = [n for n, batch in self.pool.fair_queue.batches.items() if not batch.is_released]
+        if queued:
+            number = queued[index % len(queued)]
             self.pool.apply(self.pool.fair_queue.client_left(self.pool.now, number))
             assert number not in self.pool.fair_queue.batches
 
     @rule(threads=st.sampled_from([0.0, 1.0, 4.0, 8.0]))
-    def engines(self, threads):
+    def set_capacity(self, threads):
         self.pool.apply(self.pool.fair_queue.set_capacity(self.pool.now, threads))
 
-    @rule(place=st.integers(0, 3))
-    def renew(self, place):
-        self.pool.apply(self.pool.fair_queue.reconfigure(self.pool.now, self.PLANS[place], POLICY))
+    @rule(index=st.integers(0, 3))
+    def reconfigure(self, index):
+        self.pool.apply(self.pool.fair_queue.reconfigure(self.pool.now, self.PLANS[index], POLICY))
 
     @invariant()
     def conserved(self):
@@ -435,13 +437,8 @@
         assert fair_queue.is_conserved(), fair_queue.counts
         leaves = [node for node in fair_queue.tree.nodes() if node.parent and not node.children]
         assert sum(len(leaf.queue) for leaf in leaves) == fair_queue.root.queued
-        assert (
-            abs(
-                fair_queue.root.threads_in_use
-                - sum(batch.spec.width for batch in fair_queue.running.values())
-            )
-            < 1e-6
-        )
+        threads = sum(batch.spec.width for batch in fair_queue.running.values())
+        assert abs(fair_queue.root.threads_in_use - threads) < 1e-6
         assert fair_queue.wasted_work <= 1e9
 
     @invariant()
@@ -450,8 +447,8 @@
             assert not key or numbers == sorted(numbers)
 
     @invariant()
-    def room_is_used(self):
-        # Work-conserving: with nothing out, something held and no ceiling at zero, something goes.
+    def work_conserving(self):
+        # With nothing running no batch stays queued.
         fair_queue = self.pool.fair_queue
         assert fair_queue.running or not fair_queue.root.queued
 
