--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -316,9 +316,7 @@
     right.plot([0, most], [0, most], "k-", lw=0.8)
     right.plot([0, most], [0, 1.2 * most], "k:", lw=0.8)
     right.plot([0, most], [0, 0.8 * most], "k:", lw=0.8)
-    right.set(
-        xlabel="seconds waited", ylabel="seconds told", title="WaitEstimator, told and actual; dotted: 20%"
-    )
+    right.set(xlabel="seconds waited", ylabel="seconds told", title="Waits, told and actual; dotted: 20%")
     right.legend()
     figure.tight_layout()
     figure.savefig(folder / f"budgets-{seed}.png", dpi=90)
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from thistlelever.budgets.fair_queue import QueuePolicy
 from thistlelever.budgets.plan import Plan, Share
+from thistlelever.budgets.queued_batch import QueuePolicy
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import interface as it
 from thistlelever.ground.papers import Entry
--- a/thistlelever/budgets/estimates.py
+++ b/thistlelever/budgets/estimates.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from thistlelever.budgets.node import Node
 from thistlelever.budgets.forecast import MAX_LEAVES, ArrivalRate, Forecast
+from thistlelever.budgets.node import Node
 from thistlelever.budgets.wait_estimator import WaitEstimator
 
 # The weight of one sample in the correction of a leaf's costs, and the largest correction, as a factor.
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         """Nothing has arrived for any leaf yet."""
         self.wait_estimator = WaitEstimator()
-        # The active leaves.
+        # Of the active leaves: recent arrivals, and forecasts of their service.
         self.arrivals: dict[Node, ArrivalRate] = {}
         self.forecasts: dict[Node, Forecast] = {}
         self.pruned_at = float("-inf")
@@ -86,7 +86,7 @@
         self.forecasts.clear()
 
     def forget(self, leaf: Node) -> None:
-        """The leaf was removed from the tree: drop all that is known of it."""
+        """The leaf was removed from the tree: drop its arrivals, its forecast and its cost correction."""
         self.arrivals.pop(leaf, None)
         self.forecasts.pop(leaf, None)
         self.cost_factors.pop(leaf.path(), None)
--- a/thistlelever/budgets/node.py
+++ b/thistlelever/budgets/node.py
@@ -133,14 +133,14 @@
         if len(self.rate_samples) < MIN_RATE_SAMPLES:
             return None
         (first_at, first), (last_at, last) = self.rate_samples[0], self.rate_samples[-1]
-        return (
-            (last - first) / (now - first_at) if last_at - first_at > MIN_RATE_SPAN and last > first else None
-        )
+        if last_at - first_at <= MIN_RATE_SPAN or last <= first:
+            return None
+        return (last - first) / (now - first_at)
 
     def next_leaf(self, capacity: float, width_of: Callable[[Node], float]) -> Node | None:
         """The leaf below this node whose turn it is; None where everything queued is blocked at a ceiling.
-        `width_of` gives the threads of a leaf's first batch. Children found at their ceiling are set aside
-        until `unblock_children`."""
+        `width_of` gives the threads of a leaf's first batch. Children at their ceiling, or without such a
+        leaf, are set aside until `unblock_children`."""
         if self.parent and not self.children:
             return self
         while self.schedule:
--- a/thistlelever/budgets/views.py
+++ b/thistlelever/budgets/views.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from thistlelever.budgets.fair_queue import FairQueue
 from thistlelever.budgets.node import Node
 from thistlelever.budgets.queued_batch import QueuedBatch
-from thistlelever.budgets.fair_queue import FairQueue
 from thistlelever.budgets.tree import path_to_root
 
 
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/gate.py
@@ -5,8 +5,9 @@
 
 import asyncio
 
-from thistlelever.budgets.fair_queue import BatchSpec, FairQueue, QueuePolicy
+from thistlelever.budgets.fair_queue import FairQueue
 from thistlelever.budgets.plan import Plan
+from thistlelever.budgets.queued_batch import BatchSpec, QueuePolicy
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from thistlelever.budgets import views
-from thistlelever.budgets.fair_queue import QueuePolicy
-from thistlelever.budgets.plan import PlanNode, Plan, Share, PlanError
+from thistlelever.budgets.plan import Plan, PlanError, PlanNode, Share
+from thistlelever.budgets.queued_batch import QueuePolicy
 from thistlelever.carrier.gate import Gate
 from thistlelever.ground import clock
 from thistlelever.ground.manifest import Unreadable
@@ -18,16 +18,16 @@
 def plan(section: Budgets) -> Plan:
     """The tree that a section describes; `Unreadable` with the path of what can't be kept."""
 
-    def branch(node, below: str | None = None, further: str | None = None) -> PlanNode:
-        inner = getattr(node, below) if below else {}
+    def plan_node(node, children: str | None = None, grandchildren: str | None = None) -> PlanNode:
+        inner = getattr(node, children) if children else {}
         return PlanNode(
             Share(node.guarantee, node.ceiling, node.burst, node.weight),
-            {name: branch(child, further) for name, child in inner.items()},
+            {name: plan_node(child, grandchildren) for name, child in inner.items()},
         )
 
     try:
-        brokers = {name: branch(node, "teams", "groups") for name, node in section.brokers.items()}
-        return Plan(brokers, branch(section.other).share)
+        brokers = {name: plan_node(node, "teams", "groups") for name, node in section.brokers.items()}
+        return Plan(brokers, plan_node(section.other).share)
     except PlanError as why:
         raise Unreadable(f"operator file: budgets: {why}") from None
 
