--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -7,7 +7,7 @@
 
 from thistlelever.budgets.plan import Plan, Share
 from thistlelever.budgets.queued_batch import QueuePolicy
-from thistlelever.carrier.gate import Gate
+from thistlelever.carrier.budget_gate import BudgetGate
 from thistlelever.ground import interface as it
 from thistlelever.ground.papers import Entry
 from thistlelever.ground.tally import Tally
@@ -78,7 +78,7 @@
     manifest = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     roll, plan = Roll(), Plan({}, Share(weight=1.0))
     roll.update(2, [entry(b"a"), entry(b"b")], 0.0)
-    gate = Gate(manifest, plan, QueuePolicy(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
-    assert gate.threads() == 64.0
+    gate = BudgetGate(manifest, plan, QueuePolicy(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Tally(), None)
+    assert gate.capacity() == 64.0
     roll.update(2, [entry(b"a"), entry(b"b", state=it.EngineState.DRAINING)], 1.0)
-    assert gate.threads() == 32.0
+    assert gate.capacity() == 32.0
--- a/thistlelever/carrier/gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -11,18 +11,18 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import Preempt
+from thistlelever.ground.orders import Order, Preempt
 from thistlelever.ground.tally import Tally
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.roll import Roll
 
 # Pre-emption and ageing are looked at this often while anything is held, whatever else happens.
-LOOK = 0.02
+TICK_INTERVAL = 0.02
 # How fast a group's usual work follows what clients estimate, for those that estimate nothing.
-USUAL_PACE = 0.1
+WORK_LEARNING_RATE = 0.1
 
 
-class Gate:
+class BudgetGate:
     """Batches pass here before the decisions hear of them."""
 
     def __init__(
@@ -41,107 +41,107 @@
         self.fronts, self.kind_cores = max(manifest.fronts, 1), manifest.kind_cores
         self.threads_a_core = threads_a_core
         # The revision of the engine list that `found` was worked out from.
-        self.revision, self.found = -1, 0.0
+        self.list_revision, self.cached_capacity = -1, 0.0
         self.batches, self.roll, self.tally, self.log = batches, roll, tally, log
-        self.usual = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
-        self.fair_queue = FairQueue(plan, policy, seed, self.threads())
-        self.due: asyncio.TimerHandle | asyncio.Handle | None = None
-        self.soon = False
+        self.typical_work = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
+        self.fair_queue = FairQueue(plan, policy, seed, self.capacity())
+        self.timer: asyncio.TimerHandle | asyncio.Handle | None = None
+        self.is_tick_scheduled = False
 
-    def enter(self, batch: Batch) -> None:
+    def submit(self, batch: Batch) -> None:
         """The batch's task waits for its release from now on."""
         query_class, taken, now = self.query_classes[batch.lane], batch.taken, clock.now()
         if taken.work:
-            self.usual[batch.lane] += USUAL_PACE * (taken.work - self.usual[batch.lane])
-        entry = BatchSpec(
+            self.typical_work[batch.lane] += WORK_LEARNING_RATE * (taken.work - self.typical_work[batch.lane])
+        spec = BatchSpec(
             batch.number,
             batch.asked.consignor,
             batch.lane,
             query_class.utility,
-            taken.work or self.usual[batch.lane],
+            taken.work or self.typical_work[batch.lane],
             float(query_class.width),
             batch.limit_at,
             min(now + query_class.goal, batch.limit_at),
             taken.key,
             batch.asked.repeat,
         )
-        self.carry(self.fair_queue.submit(now, entry))
-        self.look_soon()
+        self.deliver(self.fair_queue.submit(now, spec))
+        self.schedule_tick()
 
-    def began(self, batch: Batch) -> None:
+    def dispatch_started(self, batch: Batch) -> None:
         self.fair_queue.dispatch_started(batch.number)
 
-    def ended(self, batch: Batch, true_work: float) -> None:
-        self.carry(self.fair_queue.completed(clock.now(), batch.number, true_work))
-        self.look_soon()
+    def completed(self, batch: Batch, actual_work: float) -> None:
+        self.deliver(self.fair_queue.completed(clock.now(), batch.number, actual_work))
+        self.schedule_tick()
 
-    def left(self, batch: Batch) -> None:
-        self.carry(self.fair_queue.client_left(clock.now(), batch.number))
+    def client_left(self, batch: Batch) -> None:
+        self.deliver(self.fair_queue.client_left(clock.now(), batch.number))
 
-    def too_late(self, batch: Batch) -> None:
+    def preempted_too_late(self, batch: Batch) -> None:
         self.fair_queue.preempted_too_late(batch.number)
 
-    def renew(self, plan: Plan, policy: QueuePolicy, threads_a_core: float) -> None:
+    def reconfigure(self, plan: Plan, policy: QueuePolicy, threads_a_core: float) -> None:
         """Another tree, at once: what is held moves into it."""
-        self.threads_a_core, self.revision = threads_a_core, -1
-        self.carry(self.fair_queue.reconfigure(clock.now(), plan, policy))
-        self.look_soon()
+        self.threads_a_core, self.list_revision = threads_a_core, -1
+        self.deliver(self.fair_queue.reconfigure(clock.now(), plan, policy))
+        self.schedule_tick()
 
-    def counted(self, fronts: int) -> None:
+    def set_front_count(self, fronts: int) -> None:
         """So many fronts share the engines' threads from now on."""
-        self.fronts, self.revision = max(fronts, 1), -1
-        self.look_soon()
+        self.fronts, self.list_revision = max(fronts, 1), -1
+        self.schedule_tick()
 
-    def stop(self, at: float) -> None:
-        self.carry(self.fair_queue.shut_down(clock.now(), at))
+    def shut_down(self, at: float) -> None:
+        self.deliver(self.fair_queue.shut_down(clock.now(), at))
 
-    def look_soon(self) -> None:
+    def schedule_tick(self) -> None:
         """What comes in one turn of the loop is weighed together."""
-        if not self.soon:
-            self.soon = True
-            if self.due:
-                self.due.cancel()
-            self.due = asyncio.get_running_loop().call_soon(self.look)
-
-    def look(self) -> None:
-        self.soon, now = False, clock.now()
-        self.carry(self.fair_queue.set_capacity(now, self.threads()))
-        self.carry(self.fair_queue.tick(now))
+        if not self.is_tick_scheduled:
+            self.is_tick_scheduled = True
+            if self.timer:
+                self.timer.cancel()
+            self.timer = asyncio.get_running_loop().call_soon(self.tick)
+
+    def tick(self) -> None:
+        self.is_tick_scheduled, now = False, clock.now()
+        self.deliver(self.fair_queue.set_capacity(now, self.capacity()))
+        self.deliver(self.fair_queue.tick(now))
         self.tally.must(self.fair_queue.is_conserved(), "budgets lose or double nothing")
         if self.fair_queue.root.queued:
-            at = min(max(self.fair_queue.next_event_at(), now), now + LOOK)
-            self.due = asyncio.get_running_loop().call_at(clock.on_loop(at), self.look)
+            at = min(max(self.fair_queue.next_event_at(), now), now + TICK_INTERVAL)
+            self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
 
-    def threads(self) -> float:
+    def capacity(self) -> float:
         """What the engines that are ready carry for this front: all fronts have like shares of them."""
-        if self.roll.revision != self.revision:
-            self.revision = self.roll.revision
+        if self.roll.revision != self.list_revision:
+            self.list_revision = self.roll.revision
             cores = sum(
                 self.kind_cores[entry.engine.kind]
                 for entry in self.roll.entries.values()
                 if entry.engine.state is it.EngineState.READY
             )
-            sharing = min(self.fronts, self.roll.sharing or self.fronts)
-            self.found = cores * self.threads_a_core / sharing
-        return self.found
+            fronts = min(self.fronts, self.roll.sharing or self.fronts)
+            self.cached_capacity = cores * self.threads_a_core / fronts
+        return self.cached_capacity
 
-    def carry(self, actions) -> None:
-        for action in actions:
-            batch = self.batches.by_number.get(action.number)
+    def deliver(self, commands: list[Order]) -> None:
+        for command in commands:
+            batch = self.batches.by_number.get(command.number)
             if batch is None:
                 self.tally.add("budget actions for what is over")
             else:
-                batch.inbox.put_nowait(action)
-                self.tally.add(f"budgets: {type(action).__name__.lower()}")
+                batch.inbox.put_nowait(command)
+                self.tally.add(f"budgets: {type(command).__name__.lower()}")
 
-    def preempted(self, batch: Batch, told: Preempt) -> it.PushBack | it.Error:
+    def preemption_answer(self, batch: Batch, command: Preempt) -> it.PushBack | it.Error:
         """What the client of a batch that is given up hears. Risk: one that has had its single allowed
         attempt is told that trying again is harmless."""
         query_class = self.query_classes[batch.lane]
-        drops = (
+        is_deduplicated = (
             query_class.repeat is it.Idempotency.DEDUPLICATED
             and query_class.scope is it.DeduplicationScope.ALL
         )
-        if not batch.dispatches or query_class.repeat is it.Idempotency.IDEMPOTENT or drops:
-            return it.PushBack(batch.number, told.after)
+        if not batch.dispatches or query_class.repeat is it.Idempotency.IDEMPOTENT or is_deduplicated:
+            return it.PushBack(batch.number, command.after)
         return it.Error(batch.number)
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -19,7 +19,7 @@
 from thistlelever.ground.tally import Tally
 
 if TYPE_CHECKING:
-    from thistlelever.carrier.gate import Gate
+    from thistlelever.carrier.budget_gate import BudgetGate
     from thistlelever.carrier.recollection import Recollection
     from thistlelever.carrier.wards import Wards
 
@@ -40,7 +40,7 @@
     def __init__(self, desk: Desk, dispatcher: Dispatcher, batches: Batches, tally: Tally, log: Log) -> None:
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
-        self.gate: Gate | None = None
+        self.gate: BudgetGate | None = None
         self.wards: Wards | None = None
         # Where state is kept, what a former life has said of a batch.
         self.memory: Recollection | None = None
@@ -71,7 +71,7 @@
                 self.desk.tell(it.ClientLeft(batch.number))
         finally:
             if self.gate:
-                self.gate.ended(batch, batch.true_work)
+                self.gate.completed(batch, batch.true_work)
             if batch.ward:
                 batch.ward.close()
             batch.backstop.cancel()
@@ -95,7 +95,7 @@
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
         self.desk.tell(it.FrontStopping(at))
         if self.gate:
-            self.gate.stop(at)
+            self.gate.shut_down(at)
 
     async def life(self, batch: Batch, answer: Answer) -> None:
         if self.wards and not await self.led(batch, answer):
@@ -119,7 +119,7 @@
                         self.memory.goes_out(batch, number, told.engine)
                     batch.out[number] = self.dispatcher.start(batch, number, told)
                     if self.gate:
-                        self.gate.began(batch)
+                        self.gate.dispatch_started(batch)
                 case it.Cancel():
                     task = batch.out.get(told.number)
                     if task and not task.cancelling():
@@ -150,10 +150,10 @@
                     self.final(batch, answer, it.Error(batch.number))
                     self.desk.tell(it.ClientLeft(batch.number))
                 case Preempt() if not batch.answered:
-                    await self.settle(batch, answer, self.gate.preempted(batch, told))
+                    await self.settle(batch, answer, self.gate.preemption_answer(batch, told))
                     self.desk.tell(it.ClientLeft(batch.number))
                 case Preempt():
-                    self.gate.too_late(batch)
+                    self.gate.preempted_too_late(batch)
                 case _ if told is LEFT and not batch.answered:
                     batch.answered = True
                     self.desk.tell(it.ClientLeft(batch.number))
@@ -206,7 +206,7 @@
 
     async def admitted(self, batch: Batch, answer: Answer) -> bool:
         """Wait for the budgets' turn; whether it came before the client left or the time was up."""
-        self.gate.enter(batch)
+        self.gate.submit(batch)
         while True:
             told = await batch.inbox.get()
             match told:
@@ -218,13 +218,13 @@
                     return False
                 case _ if told is LEFT:
                     batch.answered = True
-                    self.gate.left(batch)
+                    self.gate.client_left(batch)
                     return False
                 case _ if told is OVERDUE:
                     # Nothing was ever sent, so that trying again is harmless.
                     self.tally.add("held past the limit")
                     self.final(batch, answer, it.PushBack(batch.number, 0.0))
-                    self.gate.left(batch)
+                    self.gate.client_left(batch)
                     return False
 
     def unbind(self, batch: Batch, number: int) -> None:
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -7,7 +7,7 @@
 from thistlelever.budgets import views
 from thistlelever.budgets.plan import Plan, PlanError, PlanNode, Share
 from thistlelever.budgets.queued_batch import QueuePolicy
-from thistlelever.carrier.gate import Gate
+from thistlelever.carrier.budget_gate import BudgetGate
 from thistlelever.ground import clock
 from thistlelever.ground.manifest import Unreadable
 from thistlelever.ground.operator import Budgets, Operator
@@ -37,7 +37,7 @@
 
     def __init__(self, parts: Parts, section: Budgets) -> None:
         self.parts, papers = parts, parts.papers
-        self.gate = parts.courses.gate = Gate(
+        self.gate = parts.courses.gate = BudgetGate(
             papers.manifest,
             plan(section),
             self.policy(section),
@@ -59,7 +59,7 @@
 
     def renew(self, operator: Operator, papers: Papers) -> None:
         if section := operator.budgets:
-            self.gate.renew(plan(section), self.policy(section), section.threads_a_core)
+            self.gate.reconfigure(plan(section), self.policy(section), section.threads_a_core)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -76,7 +76,7 @@
             self.parts.log("fronts counted", fronts=view.fronts, alone=view.alone)
             self.parts.desk.tell(it.FrontCountChanged(view.fronts))
             if self.parts.courses.gate:
-                self.parts.courses.gate.counted(view.fronts)
+                self.parts.courses.gate.set_front_count(view.fronts)
 
     async def looking(self) -> None:
         counts, batches = self.parts.tally.counts, self.parts.batches
