--- a/thistlelever/carrier/budget_gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -1,5 +1,5 @@
-"""Where budgets are on: the one place where their judge is told what befalls batches, and its answers are
-carried to the batches' tasks. It decides nothing."""
+"""Connects the fair queue of team budgets with the batches' tasks, where budgets are on: passes events to the
+queue and delivers its commands. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.roll import Roll
 
-# Pre-emption and ageing are looked at this often while anything is held, whatever else happens.
+# The longest time between two ticks, in seconds, while batches are queued.
 TICK_INTERVAL = 0.02
-# How fast a group's usual work follows what clients estimate, for those that estimate nothing.
+# The weight of one client's estimate in the typical work of a query class.
 WORK_LEARNING_RATE = 0.1
 
 
 class BudgetGate:
-    """Batches pass here before the decisions hear of them."""
+    """Holds batches in the fair queue before the admission decisions see them. A batch's task gets the
+    queue's commands (`Release`, `Refuse`, `Preempt`) in its inbox."""
 
     def __init__(
         self,
@@ -37,19 +38,23 @@
         tally: Tally,
         log: Log,
     ) -> None:
+        """Create a gate with nothing queued. `threads_a_core` is how many threads of queries a core carries;
+        `seed` determines the spread of retry delays."""
         self.query_classes = {t.name: t for t in manifest.tariffs}
         self.fronts, self.kind_cores = max(manifest.fronts, 1), manifest.kind_cores
         self.threads_a_core = threads_a_core
-        # The revision of the engine list that `found` was worked out from.
+        # The capacity in threads, and the revision of the engine list that it was computed from.
         self.list_revision, self.cached_capacity = -1, 0.0
         self.batches, self.roll, self.tally, self.log = batches, roll, tally, log
+        # The work of a batch, in core-seconds, by query class.
         self.typical_work = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
         self.fair_queue = FairQueue(plan, policy, seed, self.capacity())
         self.timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self.is_tick_scheduled = False
 
     def submit(self, batch: Batch) -> None:
-        """The batch's task waits for its release from now on."""
+        """Submit the batch to the fair queue. Where its client gives no estimate of its work, the typical
+        work of its query class is used."""
         query_class, taken, now = self.query_classes[batch.lane], batch.taken, clock.now()
         if taken.work:
             self.typical_work[batch.lane] += WORK_LEARNING_RATE * (taken.work - self.typical_work[batch.lane])
@@ -69,20 +74,24 @@
         self.schedule_tick()
 
     def dispatch_started(self, batch: Batch) -> None:
+        """The batch has a dispatch."""
         self.fair_queue.dispatch_started(batch.number)
 
     def completed(self, batch: Batch, actual_work: float) -> None:
+        """The batch is over. `actual_work` is its cost in core-seconds, 0 where no engine reported it."""
         self.deliver(self.fair_queue.completed(clock.now(), batch.number, actual_work))
         self.schedule_tick()
 
     def client_left(self, batch: Batch) -> None:
+        """The client of a queued batch has left, or its time is up."""
         self.deliver(self.fair_queue.client_left(clock.now(), batch.number))
 
     def preempted_too_late(self, batch: Batch) -> None:
+        """The batch was pre-empted after it had its answer."""
         self.fair_queue.preempted_too_late(batch.number)
 
     def reconfigure(self, plan: Plan, policy: QueuePolicy, threads_a_core: float) -> None:
-        """Another tree, at once: what is held moves into it."""
+        """Replace the tree and the policy; queued and released batches move to the new tree at once."""
         self.threads_a_core, self.list_revision = threads_a_core, -1
         self.deliver(self.fair_queue.reconfigure(clock.now(), plan, policy))
         self.schedule_tick()
@@ -93,10 +102,12 @@
         self.schedule_tick()
 
     def shut_down(self, at: float) -> None:
+        """The front ends at `at`: queued batches are released in time to run, or refused."""
         self.deliver(self.fair_queue.shut_down(clock.now(), at))
 
     def schedule_tick(self) -> None:
-        """What comes in one turn of the loop is weighed together."""
+        """Tick at the end of this turn of the event loop, so that batches that arrive in one turn are ordered
+        among each other."""
         if not self.is_tick_scheduled:
             self.is_tick_scheduled = True
             if self.timer:
@@ -104,6 +115,8 @@
             self.timer = asyncio.get_running_loop().call_soon(self.tick)
 
     def tick(self) -> None:
+        """Update the capacity and let the fair queue release, refuse and pre-empt; repeated while batches are
+        queued."""
         self.is_tick_scheduled, now = False, clock.now()
         self.deliver(self.fair_queue.set_capacity(now, self.capacity()))
         self.deliver(self.fair_queue.tick(now))
@@ -113,7 +126,8 @@
             self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
 
     def capacity(self) -> float:
-        """What the engines that are ready carry for this front: all fronts have like shares of them."""
+        """The threads that the ready engines carry for this front: all fronts that use them have equal
+        shares."""
         if self.roll.revision != self.list_revision:
             self.list_revision = self.roll.revision
             cores = sum(
@@ -126,6 +140,7 @@
         return self.cached_capacity
 
     def deliver(self, commands: list[Order]) -> None:
+        """Put each command into the inbox of its batch's task."""
         for command in commands:
             batch = self.batches.by_number.get(command.number)
             if batch is None:
@@ -135,8 +150,9 @@
                 self.tally.add(f"budgets: {type(command).__name__.lower()}")
 
     def preemption_answer(self, batch: Batch, command: Preempt) -> it.PushBack | it.Error:
-        """What the client of a batch that is given up hears. Risk: one that has had its single allowed
-        attempt is told that trying again is harmless."""
+        """The answer to the client of a pre-empted batch: a push-back where a retry is harmless, because the
+        batch had no dispatch, is idempotent, or is deduplicated by all engines; otherwise an error, as it may
+        have run."""
         query_class = self.query_classes[batch.lane]
         is_deduplicated = (
             query_class.repeat is it.Idempotency.DEDUPLICATED
