--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -145,13 +145,13 @@
     for pool in (alone, flooded):
         if pool is flooded:
             flood(pool, "d", 300, limit=60.0, value=0.1, objective=50.0)
-        mine = []
+        numbers = []
         for _ in range(60):
-            mine.append(pool.submit("a", 0.05))
+            numbers.append(pool.submit("a", 0.05))
             pool.advance(pool.now + 0.05)
         pool.advance(pool.now + 2.0)
-        pool.mine = max(pool.waits(mine))
-    assert flooded.mine <= alone.mine + 0.11, (alone.mine, flooded.mine)
+        pool.longest_wait = max(pool.waits(numbers))
+    assert flooded.longest_wait <= alone.longest_wait + 0.11, (alone.longest_wait, flooded.longest_wait)
 
 
 def test_unused_share_is_lent():
--- a/thistlelever/budgets/fair_queue.py
+++ b/thistlelever/budgets/fair_queue.py
@@ -38,7 +38,7 @@
 # must not retry together.
 RETRY_JITTER = 0.5
 
-# Events of batches that are counted; `budgets show` prints them.
+# Events of batches that are counted; `budgets show --json` prints them.
 COUNTERS = (
     *("submitted", "released", "refused", "left"),
     *("preempted", "ended", "moved", "too late to preempt"),
@@ -83,8 +83,8 @@
 
     def submit(self, now: float, spec: BatchSpec) -> list[Order]:
         """Submit a batch. It is refused at once where its budget is zero or its estimated wait exceeds its
-        release deadline; otherwise it is queued, and released by the next `tick` at the earliest, so that
-        batches that arrive at the same moment are ordered among each other."""
+        release deadline; otherwise it is queued, and released by a later call, so that batches that arrive
+        at the same moment are ordered among each other by the next `tick`."""
         self.counts["submitted"] += 1
         leaf = self.tree.leaf(spec.team, spec.query_class)
         if any(node.share.ceiling <= 0 for node in path_to_root(leaf)):
