--- a/thistlelever/budgets/plan.py
+++ b/thistlelever/budgets/plan.py
@@ -5,7 +5,6 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-
 # The broker of all teams that no broker lists.
 OTHER = "other"
 
