--- a/thistlelever/ground/operator.py
+++ b/thistlelever/ground/operator.py
@@ -1,5 +1,8 @@
-"""The operator file: what is switched on beyond the platform's own front. JSON, one section a subsystem, each
-absent by default; `deploy/operator.schema.json` is made from the types here."""
+"""The operator file: JSON that switches on the optional subsystems of a front, one section each.
+
+All sections are absent by default. `deploy/operator.schema.json` is generated from the types of this module,
+with their docstrings as its descriptions.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,22 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from thistlelever.ground.manifest import Unreadable
+from thistlelever.ground.settings import ConfigError
 
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$", description="IPv4 address and port")]
-Word = Annotated[str, Meta(min_length=1, max_length=128)]
+Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Bytes = Annotated[int, Meta(ge=1_024, le=1_073_741_824)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
-# What each section imports beside the core: the extra of the same name installs it.
-EXTRAS = {
+# The third-party modules that a section needs; the package's extra of the same name installs them.
+REQUIRED_MODULES = {
     "flight": ("grpc", "google.rpc", "pyarrow", "itsdangerous"),
     "takeover": ("xxhash",),
     "state": ("apsw",),
 }
 
-
-# What takes effect at a reload; the rest waits for a restart.
+# Keys that take effect at a reload; all others need a restart.
 AT_ONCE = frozenset(
     [
         f"flight.{key}"
@@ -51,18 +53,18 @@
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
     """A table that the catalogue names to those who ask; it bounds nobody."""
 
-    schema: Word
-    name: Word
+    schema: Name
+    name: Name
 
 
 class Flight(Struct, frozen=True, forbid_unknown_fields=True):
     """Arrow Flight SQL: a door for clients where `listen` is given, and engines that speak it."""
 
     listen: Address | None = None
-    kinds: tuple[Word, ...] = ()
-    engines: tuple[Word, ...] = ()
-    group: Word | None = None
-    tenant: Word | None = None
+    kinds: tuple[Name, ...] = ()
+    engines: tuple[Name, ...] = ()
+    group: Name | None = None
+    tenant: Name | None = None
     wait_ms: Annotated[float, Meta(gt=0, le=1e9)] | None = None
     group_header: Annotated[str, Meta(pattern=r"^[a-z0-9_.-]{1,64}$")] = "x-group"
     tenant_header: Annotated[str, Meta(pattern=r"^[a-z0-9_.-]{1,64}$")] = "x-tenant"
@@ -75,7 +77,7 @@
     sessions: Count = 256
     idle_s: Seconds = 900.0
     descriptors: Count = 64
-    catalog: Word = "thistlelever"
+    catalog: Name = "thistlelever"
     tables: tuple[Table, ...] = ()
 
 
@@ -83,8 +85,8 @@
     """Of the threads that all engines carry for this front: what a node is sure of, and the most it may
     have, as shares; core-seconds that it may have at once after it was idle; its weight beside others."""
 
-    guarantee: Part = 0.0
-    ceiling: Part = 1.0
+    guarantee: Fraction = 0.0
+    ceiling: Fraction = 1.0
     burst: Annotated[float, Meta(ge=0, le=1e6)] = 0.0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
 
@@ -92,29 +94,29 @@
 class Team(Share, frozen=True, forbid_unknown_fields=True):
     """A team is named as customers are in the settings; its service groups may have shares of their own."""
 
-    groups: dict[Word, Share] = {}
+    groups: dict[Name, Share] = {}
 
 
 class Broker(Share, frozen=True, forbid_unknown_fields=True):
     """A broker with its teams."""
 
-    teams: dict[Word, Team] = {}
+    teams: dict[Name, Team] = {}
 
 
 class Budgets(Struct, frozen=True, forbid_unknown_fields=True):
     """Team budgets: what stands before the decisions. Teams that no broker names share `other`."""
 
-    brokers: dict[Word, Broker] = {}
+    brokers: dict[Name, Broker] = {}
     other: Share = Share()
     threads_a_core: Annotated[float, Meta(gt=0, le=64)] = 2.0
     depth: Annotated[float, Meta(ge=0.1, le=16)] = 1.0
-    waste: Part = 0.05
+    waste: Fraction = 0.05
 
 
 class Membership(Struct, frozen=True, forbid_unknown_fields=True):
     """Which fronts of the tier are alive, by datagrams to `peers` of the configuration."""
 
-    tier: Word
+    tier: Name
     period_s: Annotated[float, Meta(ge=0.02, le=10)] = 0.1
     suspect_s: Annotated[float, Meta(ge=0.05, le=60)] = 0.4
     knock_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0
@@ -130,7 +132,7 @@
     keep_s: Annotated[float, Meta(ge=0.5, le=600)] = 5.0
     most_kept: Count = 20_000
     most_taken: Count = 256
-    demand: tuple[Word, ...] | None = None
+    demand: tuple[Name, ...] | None = None
 
 
 class State(Struct, frozen=True, forbid_unknown_fields=True):
@@ -173,7 +175,11 @@
 
 
 def load(path: str | None = None, environ: Mapping[str, str] = os.environ) -> Operator:
-    """The file that is named, by default by BALANCER_OPERATOR; all absent where none is."""
+    """Read the operator file at `path`, by default the one that BALANCER_OPERATOR names.
+
+    Without either, all sections are absent. Raises `ConfigError` as `read` does, and for a file that can't be
+    opened.
+    """
     path = path or environ.get("BALANCER_OPERATOR")
     if not path:
         return Operator()
@@ -181,40 +187,41 @@
         with open(path, "rb") as file:
             data = file.read()
     except OSError as why:
-        raise Unreadable(f"operator file: {path}: {why.strerror}") from None
+        raise ConfigError(f"operator file: {path}: {why.strerror}") from None
     return read(data)
 
 
 def read(data: bytes) -> Operator:
-    """What the file's bytes say; `Unreadable` with the path of the key that is at fault."""
+    """Parse and check the operator file; raises `ConfigError` with the path of the key at fault."""
     try:
         operator = msgspec.json.decode(data, type=Operator)
     except msgspec.ValidationError as why:
-        raise Unreadable(f"operator file: {fault(why)}") from None
+        raise ConfigError(f"operator file: {fault(why)}") from None
     except msgspec.DecodeError as why:
-        raise Unreadable(f"operator file: no JSON: {why}") from None
-    for section, modules in EXTRAS.items():
-        missing = [name for name in modules if getattr(operator, section) and not installed(name)]
+        raise ConfigError(f"operator file: no JSON: {why}") from None
+    for section, modules in REQUIRED_MODULES.items():
+        missing = [name for name in modules if getattr(operator, section) and not is_installed(name)]
         if missing:
-            raise Unreadable(
+            raise ConfigError(
                 f"operator file: {section}: wants the extra {section!r} (pip install "
                 f"'thistlelever[{section}]'); {missing[0]} is not installed"
             )
     if operator.flight and not (operator.flight.listen or operator.flight.kinds or operator.flight.engines):
-        raise Unreadable("operator file: flight: a listen address, kinds or engines expected; found none")
+        raise ConfigError("operator file: flight: a listen address, kinds or engines expected; found none")
     if operator.takeover and not operator.membership:
-        raise Unreadable("operator file: takeover: a section membership expected; found none")
+        raise ConfigError("operator file: takeover: a section membership expected; found none")
     return operator
 
 
 def fault(error: msgspec.ValidationError) -> str:
-    """What does not fit the types, behind the path of its key."""
+    """Return the text of a validation error as `KEY.PATH: reason`."""
     what, _, path = str(error).partition(" - at ")
     key = path.strip("`").replace("$.", "").replace("$", "") or "the whole"
     return f"{key}: {what}"
 
 
-def installed(module: str) -> bool:
+def is_installed(module: str) -> bool:
+    """Whether a module can be found; it is not imported, but its parent packages are."""
     try:
         return find_spec(module) is not None
     except ModuleNotFoundError:
@@ -222,17 +229,21 @@
 
 
 def schema() -> bytes:
-    """The JSON schema of the file, as `deploy/operator.schema.json` holds it."""
+    """Generate the JSON schema of the operator file, the content of `deploy/operator.schema.json`."""
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(Operator)), indent=2) + b"\n"
 
 
 def address(word: str) -> tuple[str, int]:
+    """Split `HOST:PORT` into host and port; the text has been checked against `Address`."""
     host, _, port = word.rpartition(":")
     return host, int(port)
 
 
 def differing(old: Operator, new: Operator, at_once: frozenset[str]) -> list[str]:
-    """The keys by their paths that have changed and are not among those that take effect at once."""
+    """Return the paths of the keys that differ, without those in `at_once`.
+
+    A section that was added or removed is named as a whole.
+    """
     found = []
     for section in Operator.__struct_fields__:
         was, now = getattr(old, section), getattr(new, section)
