--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -15,7 +15,7 @@
 from thistlelever.budgets.plan import Plan, PlanError, PlanNode, Share
 from thistlelever.budgets.preemption import WASTE_WINDOW
 from thistlelever.budgets.queued_batch import BatchSpec, QueuePolicy
-from thistlelever.ground.orders import Preempt, Refuse, Release
+from thistlelever.ground.commands import Preempt, Refuse, Release
 
 POLICY = QueuePolicy(can_cancel=True, max_waste=0.05, max_retry_delay=1.0, overcommit=1.0)
 
--- a/thistlelever/budgets/fair_queue.py
+++ b/thistlelever/budgets/fair_queue.py
@@ -26,7 +26,7 @@
 from thistlelever.budgets.throughput import Throughput
 from thistlelever.budgets.tree import BudgetTree, path_to_root
 from thistlelever.budgets.wait_estimator import WaitEstimator
-from thistlelever.ground.orders import Order, Preempt, Refuse, Release
+from thistlelever.ground.commands import Command, Preempt, Refuse, Release
 
 # One in so many releases goes to the aged batch with the earliest release deadline, whatever its team. A
 # batch is aged once it has waited for half of the time until its release deadline.
@@ -81,7 +81,7 @@
         """The work wasted by pre-emption, in thread-seconds."""
         return self.preemption.total_waste
 
-    def submit(self, now: float, spec: BatchSpec) -> list[Order]:
+    def submit(self, now: float, spec: BatchSpec) -> list[Command]:
         """Submit a batch. It is refused at once where its budget is zero or its estimated wait exceeds its
         release deadline; otherwise it is queued, and released by a later call, so that batches that arrive
         at the same moment are ordered among each other by the next `tick`."""
@@ -102,7 +102,7 @@
         heappush(self.pending_aged, ((now + batch.release_deadline()) / 2, spec.number))
         return []
 
-    def refuse(self, now: float, spec: BatchSpec, leaf: Node, after: float, why: str) -> list[Order]:
+    def refuse(self, now: float, spec: BatchSpec, leaf: Node, after: float, why: str) -> list[Command]:
         """Refuse a batch that was not queued, with a retry delay of `after` seconds."""
         self.counts["refused"] += 1
         self.tree.mark_idle(leaf, now)
@@ -140,7 +140,7 @@
         if batch := self.batches.get(number):
             batch.dispatched = True
 
-    def completed(self, now: float, number: int, actual_work: float) -> list[Order]:
+    def completed(self, now: float, number: int, actual_work: float) -> list[Command]:
         """The batch has its answer and no dispatch is open. `actual_work` is its cost in core-seconds, 0
         where the engine did not report it: then its thread-seconds count."""
         batch = self.batches.pop(number, None)
@@ -161,7 +161,7 @@
         self.free_threads(batch, actual_work - batch.charge, now)
         return self.release_ready(now)
 
-    def client_left(self, now: float, number: int) -> list[Order]:
+    def client_left(self, now: float, number: int) -> list[Command]:
         """The batch's client has left; a released batch goes on until `completed`."""
         batch = self.batches.get(number)
         if batch is None or batch.is_released:
@@ -169,7 +169,7 @@
         self.discard(batch, "left", now)
         return self.release_ready(now)
 
-    def set_capacity(self, now: float, threads: float) -> list[Order]:
+    def set_capacity(self, now: float, threads: float) -> list[Command]:
         """All engines together carry so many `threads` for this front: guarantees and ceilings are fractions
         of them."""
         if threads == self.capacity:
@@ -182,18 +182,18 @@
             node.reschedule(threads)
         return self.release_ready(now)
 
-    def tick(self, now: float) -> list[Order]:
+    def tick(self, now: float) -> list[Command]:
         """Release what can be released, refuse batches past their release deadline, move batches that have
         waited half of their time into the aged ones, remove idle nodes, and pre-empt where needed."""
         # Releases come first: a batch that need not wait but can't finish in time is left for the admission
         # decisions to refuse.
-        actions = self.release_ready(now)
+        commands = self.release_ready(now)
         while self.release_deadlines and self.release_deadlines[0][0] <= now:
             deadline, number = heappop(self.release_deadlines)
             batch = self.batches.get(number)
             if batch and not batch.is_released and deadline == batch.release_deadline():
                 after = self.retry_delay(self.root.backlog / self.service_rate(now))
-                actions.append(Refuse(number, after, "held until its last moment"))
+                commands.append(Refuse(number, after, "held until its last moment"))
                 self.discard(batch, "refused", now)
         while self.pending_aged and self.pending_aged[0][0] <= now:
             _, number = heappop(self.pending_aged)
@@ -202,7 +202,7 @@
                 heappush(self.aged, (batch.release_deadline(), number))
         self.estimates.prune(now)
         self.tree.remove_idle(now)
-        return actions + self.release_ready(now) + self.preempt(now)
+        return commands + self.release_ready(now) + self.preempt(now)
 
     def next_event_at(self) -> float:
         """The time by which `tick` must be called; infinite where nothing is queued."""
@@ -211,7 +211,7 @@
             self.pending_aged[0][0] if self.pending_aged else float("inf"),
         )
 
-    def shut_down(self, now: float, at: float) -> list[Order]:
+    def shut_down(self, now: float, at: float) -> list[Command]:
         """The front ends at `at`: deadlines after that move there, so that queued batches are released in
         time to run or are refused."""
         for batch in self.batches.values():
@@ -220,7 +220,7 @@
                 heappush(self.release_deadlines, (batch.release_deadline(), batch.spec.number))
         return self.tick(now)
 
-    def reconfigure(self, now: float, plan: Plan, policy: QueuePolicy) -> list[Order]:
+    def reconfigure(self, now: float, plan: Plan, policy: QueuePolicy) -> list[Command]:
         """Replace the tree and the policy. Queued and released batches move to the new tree, and a leaf keeps
         its debt (the lead of its finish tag over the virtual time) where a leaf of the same team and query
         class exists."""
@@ -233,7 +233,7 @@
         self.estimates.clear()
         moving = sorted(self.batches.values())
         self.queued_width, self.aging_count, self.pending_aged, self.aged = 0.0, 0, [], []
-        actions: list[Order] = []
+        commands: list[Command] = []
         for batch in moving:
             batch.leaf, batch.schedulable = self.tree.leaf(batch.spec.team, batch.spec.query_class), False
             batch.leaf.finish_tag = batch.leaf.finish_tag or debts.get(batch.leaf.path()[1:], 0.0)
@@ -247,16 +247,16 @@
                 )
         for batch in (queued for queued in moving if not queued.is_released):
             if any(node.share.ceiling <= 0 for node in path_to_root(batch.leaf)):
-                actions.append(Refuse(batch.spec.number, self.policy.max_retry_delay, "its budget is zero"))
+                commands.append(Refuse(batch.spec.number, self.policy.max_retry_delay, "its budget is zero"))
                 self.discard(batch, "refused", now)
             elif not batch.schedulable and self.key_order.is_head(batch):
                 # Where the first batch of its key was refused above, it is in the queue already.
                 self.enqueue(batch)
-        return actions + self.release_ready(now)
+        return commands + self.release_ready(now)
 
-    def release_ready(self, now: float) -> list[Order]:
+    def release_ready(self, now: float) -> list[Command]:
         """Release batches in order while there is capacity."""
-        actions: list[Order] = []
+        commands: list[Command] = []
         while (batch := self.select_next(now)) is not None:
             self.dequeue(batch)
             batch.is_released, batch.released_at = True, now
@@ -272,9 +272,9 @@
                 node.threads_in_use += batch.spec.width
             for node in path_to_root(batch.leaf):
                 node.reschedule(self.capacity)
-            actions.append(Release(batch.spec.number))
+            commands.append(Release(batch.spec.number))
             self.advance_key(batch)
-        return actions
+        return commands
 
     def select_next(self, now: float) -> QueuedBatch | None:
         """The next batch to release, or None: at each `AGED_RELEASE_INTERVAL`-th release the aged batch with
@@ -372,7 +372,7 @@
             node.reschedule(self.capacity)
         self.tree.mark_idle(batch.leaf, now)
 
-    def preempt(self, now: float) -> list[Order]:
+    def preempt(self, now: float) -> list[Command]:
         """Pre-empt one released batch, where the first batch in turn is below its guarantee and would miss
         its latency objective because others are above theirs; see `Preemption` for which one.
 
--- a/thistlelever/carrier/budget_gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -10,9 +10,9 @@
 from thistlelever.budgets.queued_batch import BatchSpec, QueuePolicy
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
+from thistlelever.ground.commands import Command, Preempt
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import Order, Preempt
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.roll import Roll
 
@@ -28,26 +28,26 @@
 
     def __init__(
         self,
-        manifest: it.Settings,
+        settings: it.Settings,
         plan: Plan,
         policy: QueuePolicy,
         threads_a_core: float,
         seed: int,
         batches: Batches,
         roll: Roll,
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
         """Create a gate with nothing queued. `threads_a_core` is how many threads of queries a core carries;
         `seed` determines the spread of retry delays."""
-        self.query_classes = {t.name: t for t in manifest.tariffs}
-        self.fronts, self.kind_cores = max(manifest.fronts, 1), manifest.kind_cores
+        self.query_classes = {t.name: t for t in settings.tariffs}
+        self.fronts, self.kind_cores = max(settings.fronts, 1), settings.kind_cores
         self.threads_a_core = threads_a_core
         # The capacity in threads, and the revision of the engine list that it was computed from.
         self.list_revision, self.cached_capacity = -1, 0.0
-        self.batches, self.roll, self.tally, self.log = batches, roll, tally, log
+        self.batches, self.roll, self.metrics, self.log = batches, roll, metrics, log
         # The work of a batch, in core-seconds, by query class.
-        self.typical_work = {t.name: t.goal * t.width / 4 for t in manifest.tariffs}
+        self.typical_work = {t.name: t.goal * t.width / 4 for t in settings.tariffs}
         self.fair_queue = FairQueue(plan, policy, seed, self.capacity())
         self.timer: asyncio.TimerHandle | asyncio.Handle | None = None
         self.is_tick_scheduled = False
@@ -120,7 +120,7 @@
         self.is_tick_scheduled, now = False, clock.now()
         self.deliver(self.fair_queue.set_capacity(now, self.capacity()))
         self.deliver(self.fair_queue.tick(now))
-        self.tally.must(self.fair_queue.is_conserved(), "budgets lose or double nothing")
+        self.metrics.check_invariant(self.fair_queue.is_conserved(), "budgets lose or double nothing")
         if self.fair_queue.root.queued:
             at = min(max(self.fair_queue.next_event_at(), now), now + TICK_INTERVAL)
             self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
@@ -139,15 +139,15 @@
             self.cached_capacity = cores * self.threads_a_core / fronts
         return self.cached_capacity
 
-    def deliver(self, commands: list[Order]) -> None:
+    def deliver(self, commands: list[Command]) -> None:
         """Put each command into the inbox of its batch's task."""
         for command in commands:
             batch = self.batches.by_number.get(command.number)
             if batch is None:
-                self.tally.add("budget actions for what is over")
+                self.metrics.add("budget actions for what is over")
             else:
                 batch.inbox.put_nowait(command)
-                self.tally.add(f"budgets: {type(command).__name__.lower()}")
+                self.metrics.add(f"budgets: {type(command).__name__.lower()}")
 
     def preemption_answer(self, batch: Batch, command: Preempt) -> it.PushBack | it.Error:
         """The answer to the client of a pre-empted batch: a push-back where a retry is harmless, because the
