--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from thistlelever.budgets.judge import Terms
 from thistlelever.budgets.plan import Plan, Share
-from thistlelever.carrier.gate import Gate
+from thistlelever.budgets.queued_batch import QueuePolicy
+from thistlelever.carrier.budget_gate import BudgetGate
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
@@ -78,7 +78,7 @@
     settings = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     roll, plan = Roll(), Plan({}, Share(weight=1.0))
     roll.update(2, [entry(b"a"), entry(b"b")], 0.0)
-    gate = Gate(settings, plan, Terms(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Metrics(), None)
-    assert gate.threads() == 64.0
+    gate = BudgetGate(settings, plan, QueuePolicy(True, 0.05, 1.0, 1.0), 2.0, 1, None, roll, Metrics(), None)
+    assert gate.capacity() == 64.0
     roll.update(2, [entry(b"a"), entry(b"b", state=it.EngineState.DRAINING)], 1.0)
-    assert gate.threads() == 32.0
+    assert gate.capacity() == 32.0
