--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, fragment",
     [
         ("{", "no JSON"),
         ("[]", "top level"),
@@ -32,10 +32,10 @@
         ('{"flight": {"listen": "127.0.0.1:1", "tables": [{"schema": "a"}]}}', "flight.tables[0]"),
     ],
 )
-def test_a_fault_names_its_key(text, words):
+def test_a_fault_names_its_key(text, fragment):
     with pytest.raises(ConfigError, match="operator file") as why:
         operator.read(text.encode())
-    assert words in str(why.value) and "\n" not in str(why.value)
+    assert fragment in str(why.value) and "\n" not in str(why.value)
 
 
 def test_a_section_whose_extra_is_missing(monkeypatch):
@@ -55,15 +55,15 @@
     config, extra = tmp_path / "config.json", tmp_path / "operator.json"
     config.write_text(json.dumps(configuration()))
     extra.write_text('{"flight": {"listen": "127.0.0.1:0"}}')
-    told = {"BALANCER_CONFIG": str(config), "BALANCER_OPERATOR": str(extra)}
-    said = CliRunner().invoke(command.main, ["check"], env=told)
-    assert said.exit_code == 0 and "flight is on" in said.output
+    environ = {"BALANCER_CONFIG": str(config), "BALANCER_OPERATOR": str(extra)}
+    result = CliRunner().invoke(command.main, ["check"], env=environ)
+    assert result.exit_code == 0 and "flight is on" in result.output
     extra.write_text('{"flight": {"listen": 1}}')
     for verb in ("check", "serve"):
-        said = CliRunner().invoke(command.main, [verb], env=told)
-        assert said.exit_code == 2 and "flight.listen" in said.output
-    said = CliRunner().invoke(command.main, ["check", "--operator", str(tmp_path / "none")], env=told)
-    assert said.exit_code == 2 and "none" in said.output
+        result = CliRunner().invoke(command.main, [verb], env=environ)
+        assert result.exit_code == 2 and "flight.listen" in result.output
+    result = CliRunner().invoke(command.main, ["check", "--operator", str(tmp_path / "none")], env=environ)
+    assert result.exit_code == 2 and "none" in result.output
 
 
 def test_switched_off_nothing_of_it_is_imported():
@@ -78,8 +78,10 @@
         "print([m for m in sys.modules if m.startswith(extra)])"
     )
     root = Path(__file__).parents[1]
-    said = subprocess.run([sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True
+    )
+    assert result.stdout.strip() == "[]"
 
 
 def test_budgets_that_can_not_be_kept_are_named(tmp_path):
@@ -88,10 +90,10 @@
     extra.write_text(json.dumps({"budgets": {"brokers": brokers}}))
     config = tmp_path / "config.json"
     config.write_text(json.dumps(configuration()))
-    said = CliRunner().invoke(
+    result = CliRunner().invoke(
         command.main, ["check", "--operator", str(extra)], env={"BALANCER_CONFIG": str(config)}
     )
-    assert said.exit_code == 2 and "budgets: x: the guarantees below it are 0.6" in said.output
+    assert result.exit_code == 2 and "budgets: x: the guarantees below it are 0.6" in result.output
 
 
 @pytest.mark.parametrize("verb", ["check", "serve"])
@@ -100,10 +102,12 @@
     config, extra = tmp_path / "config.json", tmp_path / "operator.json"
     config.write_text(json.dumps(configuration()))
     extra.write_text('{"membership": {"tier": "x"}}')
-    said = CliRunner().invoke(
+    result = CliRunner().invoke(
         command.main, [verb, "--operator", str(extra)], env={"BALANCER_CONFIG": str(config)}
     )
-    assert said.exit_code == 2 and "membership: peer_listen" in said.output and "Trace" not in said.output
+    assert (
+        result.exit_code == 2 and "membership: peer_listen" in result.output and "Trace" not in result.output
+    )
 
 
 def test_a_living_front_is_asked_and_a_dead_one_said_to_be(tmp_path):
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -21,20 +21,21 @@
 
 
 def changed(path, value):
-    told = configuration(ENTRY)
+    """The configuration with the key at a dotted path set, or removed where the value is None."""
+    config = configuration(ENTRY)
     *steps, last = path.split(".")
-    place = told
+    node = config
     for step in steps:
-        place = place[int(step) if step.isdigit() else step]
+        node = node[int(step) if step.isdigit() else step]
     if value is None:
-        del place[last]
+        del node[last]
     else:
-        place[last] = value
-    return told
+        node[last] = value
+    return config
 
 
 @pytest.mark.parametrize(
-    "path, value, said",
+    "path, value, message",
     [
         ("listen", "nowhere", "listen: HOST:PORT expected"),
         ("dns", None, "dns: missing"),
@@ -55,26 +56,26 @@
         ("settings.Telemetry.How", "loudly", "setting Telemetry.How has an unknown value: loudly"),
     ],
 )
-def test_a_fault_names_its_key(tmp_path, path, value, said):
+def test_a_fault_names_its_key(tmp_path, path, value, message):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(changed(path, value)))
     done = CliRunner().invoke(main, ["serve"], env={"BALANCER_CONFIG": str(file)})
-    assert done.exit_code == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.exit_code == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
-@pytest.mark.parametrize("text, said", [(None, "No such file"), ("{", "no JSON")])
-def test_a_file_that_is_none(tmp_path, text, said):
+@pytest.mark.parametrize("text, message", [(None, "No such file"), ("{", "no JSON")])
+def test_a_file_that_is_none(tmp_path, text, message):
     file = tmp_path / "config.json"
     if text:
         file.write_text(text)
     done = CliRunner().invoke(main, ["check"], env={"BALANCER_CONFIG": str(file)})
-    assert done.exit_code == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.exit_code == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_later_events_change_the_first_list_and_defaults_hold():
-    told = configuration([*ENTRY, ("s-2", "127.0.0.1:8444"), ("s-3", "127.0.0.1:8445")])
-    first = told["known"]["entries"][0]["hosts"]["instances"]
-    told["known"]["entries"].append(
+    config = configuration([*ENTRY, ("s-2", "127.0.0.1:8444"), ("s-3", "127.0.0.1:8445")])
+    first = config["known"]["entries"][0]["hosts"]["instances"]
+    config["known"]["entries"].append(
         {
             "pos": 2,
             "hosts": {
@@ -82,9 +83,9 @@
             },
         }
     )
-    told["settings"]["Classes"][1]["RunsIn"] = ["sud", 0]
-    del told["limits"], told["name"]
-    read = front_config.read(told, {"BALANCER_NAME": "n9"})
+    config["settings"]["Classes"][1]["RunsIn"] = ["sud", 0]
+    del config["limits"], config["name"]
+    read = front_config.read(config, {"BALANCER_NAME": "n9"})
     assert read.settings.tariffs[1].zones == {0, 1} and read.settings.tariffs[0].zones is None
     assert (read.name, read.sockets) == ("n9", front_config.DEFAULT_SOCKETS)
     assert [(e.engine.id, e.engine.state) for e in read.known] == [
@@ -95,11 +96,11 @@
 
 def test_a_new_engine_at_a_gone_ones_address_is_another():
     # A registry keyed by address would give a new engine the state (warm, draining) of the former one there.
-    told = front_config.read(configuration(ENTRY), {}).known
+    entries = front_config.read(configuration(ENTRY), {}).known
     roll = Roll()
-    roll.replace(1, list(told), 0.0)
-    fresh = told[0]._replace(engine=told[0].engine._replace(id=b"s-9"))
-    assert roll.replace(2, [fresh], 1.0) == [b"s-1"] and roll.replace(1, list(told), 2.0) is None
+    roll.replace(1, list(entries), 0.0)
+    fresh = entries[0]._replace(engine=entries[0].engine._replace(id=b"s-9"))
+    assert roll.replace(2, [fresh], 1.0) == [b"s-1"] and roll.replace(1, list(entries), 2.0) is None
     assert (roll.open_to(b"s-1"), roll.open_to(b"s-9")) == (False, True)
     assert [e.id for e in roll.told()] == [b"s-9"]
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -17,7 +17,7 @@
     def __init__(self):
         super().__init__()
         self.tickets, self.now, self.issued = Tickets("n0", "life", MOST), 0.0, []
-        self.ran, self.called_off = [], set()
+        self.ran, self.cancelled = [], set()
 
     @rule(life=st.floats(0.1, 5))
     def issue(self, life):
@@ -35,7 +35,7 @@
         status = self.tickets.redeem(claims, self.now)
         if status is TicketStatus.VALID:
             # A ticket that is forgotten before it expires would run its batch again.
-            assert claims.number not in self.ran and claims.number not in self.called_off
+            assert claims.number not in self.ran and claims.number not in self.cancelled
             assert self.now < claims.expires
             self.ran.append(claims.number)
         elif status is TicketStatus.REDEEMED:
@@ -50,7 +50,7 @@
         claims = self.issued[place % len(self.issued)]
         if self.tickets.cancel(claims, self.now) is TicketStatus.VALID:
             assert claims.number not in self.ran
-            self.called_off.add(claims.number)
+            self.cancelled.add(claims.number)
 
     @rule(front=st.sampled_from(["n1", "n0"]), life=st.sampled_from(["before", "life"]))
     def foreign(self, front, life):
--- a/thistlelever/ground/settings.py
+++ b/thistlelever/ground/settings.py
@@ -117,25 +117,25 @@
 
 def assemble(reader: SettingsReader) -> it.Settings:
     """Build the `Settings`; a bad item in a list of numbers raises ValueError or OverflowError."""
-    groups = range(reader.integer("Classes.count"))
+    classes = range(reader.integer("Classes.count"))
     widths = [int(float(w)) for w in reader.items("FamilyInfo.WidthByClass")]
     holds = [w == "true" for w in reader.items("FamilyInfo.HoldsTables")]
     yields = [w == "true" for w in reader.items("FamilyInfo.YieldsToLoads")]
     for name, row in (("WidthByClass", widths), ("HoldsTables", holds), ("YieldsToLoads", yields)):
-        if len(row) != len(groups):
-            raise ConfigError(f"setting FamilyInfo.{name} has {len(row)} values for {len(groups)} classes")
-    rationed = "Invariants.LookBack" in reader.pairs
-    asked = reader.choice("RegistryMode", {"pushed": False, "on_request": True})
-    parties = range(reader.integer("Parties.count")) if "Parties.count" in reader.pairs else range(0)
+        if len(row) != len(classes):
+            raise ConfigError(f"setting FamilyInfo.{name} has {len(row)} values for {len(classes)} classes")
+    has_retry_budget = "Invariants.LookBack" in reader.pairs
+    on_request = reader.choice("RegistryMode", {"pushed": False, "on_request": True})
+    tenants = range(reader.integer("Parties.count")) if "Parties.count" in reader.pairs else range(0)
     return it.Settings(
         fronts=reader.integer("Balancers"),
         zone=reader.index(reader.text("MyZone"), "FailureDomains", "MyZone"),
-        tariffs=tuple(query_class(reader, f"Classes.{g}.", widths[g], holds[g], yields[g]) for g in groups),
+        tariffs=tuple(query_class(reader, f"Classes.{c}.", widths[c], holds[c], yields[c]) for c in classes),
         consignors=tuple(
-            it.Tenant(reader.text(f"Parties.{p}.Name"), reader.number(f"Parties.{p}.QuotaPerS"))
-            for p in parties
+            it.Tenant(reader.text(f"Parties.{t}.Name"), reader.number(f"Parties.{t}.QuotaPerS"))
+            for t in tenants
         ),
-        over_share_worth=reader.number("OverShareWorth") if parties else 1.0,
+        over_share_worth=reader.number("OverShareWorth") if tenants else 1.0,
         kind_cores=tuple(int(float(w)) for w in reader.items("FamilyInfo.KindCores")),
         kind_memory=tuple(float(w) for w in reader.items("FamilyInfo.MemoryByKindMb")),
         most_grant=reader.number("FamilyInfo.GrantCap"),
@@ -147,8 +147,8 @@
         reports=reader.choice("Telemetry.How", REPORTS),
         report_fields=tuple(reader.items("Telemetry.Fields")) if "Telemetry.Fields" in reader.pairs else (),
         sized=reader.text("Weights") != "silent",
-        asks_for_list=asked,
-        ask_within=reader.seconds("Invariants.MustAskIn") if asked else 0.0,
+        asks_for_list=on_request,
+        ask_within=reader.seconds("Invariants.MustAskIn") if on_request else 0.0,
         tick=reader.seconds("Tick"),
         probes=reader.boolean("Limits.Probes"),
         probe_price=reader.number("Prices.Probe"),
@@ -170,7 +170,7 @@
             reader.number("Invariants.ResendRatio"),
             reader.seconds("Invariants.LookBack"),
         )
-        if rationed
+        if has_retry_budget
         else None,
     )
 
--- a/thistlelever/ground/submission.py
+++ b/thistlelever/ground/submission.py
@@ -65,9 +65,9 @@
     )
 
 
-def is_hex(word: str, count: int) -> bool:
-    """Whether the word consists of exactly `count` lower-case hex digits."""
-    return len(word) == count and all(c in "0123456789abcdef" for c in word)
+def is_hex(text: str, count: int) -> bool:
+    """Whether the text consists of exactly `count` lower-case hex digits."""
+    return len(text) == count and all(c in "0123456789abcdef" for c in text)
 
 
 class FieldReader:
--- a/thistlelever/state/sessions.py
+++ b/thistlelever/state/sessions.py
@@ -65,9 +65,9 @@
     return None if type(value) is str and 0 < len(value) <= 128 else "value"
 
 
-def parse_number(word) -> float | None:
+def parse_number(text) -> float | None:
     """Parse a number that came as a string, as all headers do; None for anything else."""
     try:
-        return float(word) if type(word) is str and len(word) <= 32 else None
+        return float(text) if type(text) is str and len(text) <= 32 else None
     except ValueError:
         return None
