--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -22,7 +22,7 @@
 from thistlelever.ground.tally import Tally
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
 from thistlelever.standins.directory import dns_answer
 from thistlelever.standins.papers import SETTINGS, configuration
@@ -308,11 +308,11 @@
 def member_memory(count: int) -> float:
     """Megabytes of one member that knows all others."""
     identity = Identity("front-0", ("127.1.0.0", 7_946), 1)
-    judge = Judge(MembershipConfig(), identity, TierSettings((), count), 1, 1.0)
+    detector = FailureDetector(MembershipConfig(), identity, TierSettings((), count), 1, 1.0)
     tracemalloc.start()
     for place in range(1, count):
         address = (f"127.1.{place // 250}.{place % 250}", 7_946)
-        judge.table.add(1.0, Member(f"front-{place}", address, 1, 1, 1.0), "front-0", "list")
+        detector.table.add(1.0, Member(f"front-{place}", address, 1, 1, 1.0), "front-0", "list")
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return held / MEGABYTE
@@ -323,7 +323,8 @@
     found = []
     for loss in (0.0, 0.05):
         runs = [
-            play_membership(Judge, count, loss, sizes.membership_seconds, 0, seed) for count in sizes.members
+            play_membership(FailureDetector, count, loss, sizes.membership_seconds, 0, seed)
+            for count in sizes.members
         ]
         label = f"membership, {loss:.0%} loss"
         for name, unit, key in (
--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -16,7 +16,7 @@
 from rigs.verdict import Chance, close
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
 from thistlelever.wire.peers import State, decode, encode, opened, tag
 
@@ -25,7 +25,7 @@
 SHORT, LONG = 0.001, 0.02
 
 
-class Swim(Judge):
+class Swim(FailureDetector):
     """Without what departs from it: no own health, no ring, no witnesses, every death believed."""
 
     def __init__(self, *settings):
@@ -38,13 +38,13 @@
 
 
 class Network:
-    """Carries datagrams between judges: loses, delays, cuts one way, stops members."""
+    """Carries datagrams between detectors: loses, delays, cuts one way, stops members."""
 
-    def __init__(self, seed, loss, way=Judge, terms=None, bursts=False, check=False):
+    def __init__(self, seed, loss, way=FailureDetector, terms=None, bursts=False, check=False):
         self.chance, self.loss, self.way, self.terms = Chance(seed), loss, way, terms or MembershipConfig()
         self.bursts, self.check, self.burst_till = bursts, check, {}
         self.now, self.queue, self.order = 1000.0, [], count()
-        self.judges, self.names, self.dead, self.stopped = {}, {}, set(), {}
+        self.detectors, self.names, self.dead, self.stopped = {}, {}, set(), {}
         self.cut = lambda source, target: False
         self.sent, self.bytes, self.drawn, self.cpu = 0, 0, 0, 0.0
         # Deaths believed: (who believes, of whom) -> since when; each false one.
@@ -59,19 +59,22 @@
     def add(self, name, peers=None, life=None, fronts=0):
         high, low = divmod(len(self.names), 250)
         address = (f"127.1.{high}.{low}", 7946)
-        if name in self.judges:
-            address = self.judges[name].me.address
+        if name in self.detectors:
+            address = self.detectors[name].me.address
         self.names[address] = name
         life = life if life is not None else int(self.now * 8)
         me = Identity(name, address, life)
-        known = peers if peers is not None else [j.me.address for j in self.judges.values()][:8]
+        known = peers if peers is not None else [j.me.address for j in self.detectors.values()][:8]
         seed = self.chance.below(2**31, name, life)
-        self.judges[name] = self.way(self.terms, me, TierSettings(tuple(known), fronts), seed, self.now)
+        self.detectors[name] = self.way(self.terms, me, TierSettings(tuple(known), fronts), seed, self.now)
         self.dead.discard(name)
         self.at(
-            self.now + self.terms.period * self.chance.share("start", name), "turn", name, self.judges[name]
+            self.now + self.terms.period * self.chance.share("start", name),
+            "turn",
+            name,
+            self.detectors[name],
         )
-        return self.judges[name]
+        return self.detectors[name]
 
     def at(self, when, what, *facts):
         heappush(self.queue, (when, next(self.order), what, facts))
@@ -79,11 +82,11 @@
     def known(self, names, life=0):
         """As if all had met long ago, for sizes at which a start takes long."""
         for name in names:
-            me = self.judges[name]
+            me = self.detectors[name]
             me.joined, me.health.answered_at = True, self.now
             for other in names:
                 if other != name:
-                    o = self.judges[other].me
+                    o = self.detectors[other].me
                     member = Member(other, o.address, o.life, o.life, self.now)
                     me.table.add(self.now, member, name, "list")
             me.changes.clear()
@@ -97,38 +100,38 @@
     def do_call(self, work):
         work()
 
-    def do_turn(self, name, judge):
-        if self.judges.get(name) is not judge or name in self.dead:
+    def do_turn(self, name, detector):
+        if self.detectors.get(name) is not detector or name in self.dead:
             return
         if name in self.stopped:
-            self.waits[name].append(("turn", (name, judge)))
+            self.waits[name].append(("turn", (name, detector)))
             return
         begun = process_time()
-        if judge.awake(self.now):
+        if detector.awake(self.now):
             # As the carrier does: what waited at the socket is dropped.
             self.waits.pop((name, "old"), None)
         for source, data in self.waits.pop((name, "old"), ()):
-            self.hand(name, judge, source, data)
-        sends = judge.turn(self.now)
+            self.hand(name, detector, source, data)
+        sends = detector.turn(self.now)
         self.cpu += process_time() - begun
-        self.carry(name, judge, sends)
-        self.at(max(judge.due(), self.now + 1e-4), "turn", name, judge)
+        self.carry(name, detector, sends)
+        self.at(max(detector.due(), self.now + 1e-4), "turn", name, detector)
 
     def do_datagram(self, source, name, data):
-        judge = self.judges.get(name)
-        if judge is None or name in self.dead:
+        detector = self.detectors.get(name)
+        if detector is None or name in self.dead:
             return
         if name in self.stopped:
             self.waits[name, "old"].append((source, data))
             return
-        self.hand(name, judge, source, data)
+        self.hand(name, detector, source, data)
 
-    def hand(self, name, judge, source, data):
+    def hand(self, name, detector, source, data):
         begun = process_time()
         message, rumours = decode(opened(data, TIER)[1]) if self.check else data
-        sends = judge.heard(self.now, source, message, rumours)
+        sends = detector.heard(self.now, source, message, rumours)
         self.cpu += process_time() - begun
-        self.carry(name, judge, sends)
+        self.carry(name, detector, sends)
 
     def lost(self, source, target):
         if not self.bursts:
@@ -142,10 +145,10 @@
             return True
         return False
 
-    def carry(self, name, judge, sends):
-        for change in judge.changes:
+    def carry(self, name, detector, sends):
+        for change in detector.changes:
             self.changed(name, change)
-        judge.changes.clear()
+        detector.changes.clear()
         for send in sends:
             data = encode(send.message, TIER)
             self.sent += 1
@@ -157,10 +160,10 @@
                 # Bytes were counted; decoding them again would only take time.
                 data = decode(opened(data, TIER)[1])
             delay = SHORT + (LONG - SHORT) * self.share() ** 3
-            self.at(self.now + delay, "datagram", judge.me.address, target, data)
+            self.at(self.now + delay, "datagram", detector.me.address, target, data)
 
     def changed(self, name, change):
-        if change.name not in self.judges or change.name == name:
+        if change.name not in self.detectors or change.name == name:
             return
         self.changes[change.name].append((change.at, name, change.state, change.by, change.path))
         if change.state is State.DEAD:
@@ -184,13 +187,13 @@
             self.at(self.now, what, *facts)
 
     def living(self):
-        return [n for n in self.judges if n not in self.dead and n not in self.stopped]
+        return [n for n in self.detectors if n not in self.dead and n not in self.stopped]
 
     def agree(self):
         """Whether all the living hold just the living for alive."""
         living = set(self.living())
         return all(
-            {m.name for m in self.judges[n].members.values() if m.lives} == living - {n} for n in living
+            {m.name for m in self.detectors[n].members.values() if m.lives} == living - {n} for n in living
         )
 
 
@@ -237,7 +240,9 @@
     for name in names:
         net.add(name, fronts=members, peers=())
     for name in names:
-        net.judges[name].contacts.peers = tuple(net.judges[o].me.address for o in names[:8] if o != name)
+        net.detectors[name].contacts.peers = tuple(
+            net.detectors[o].me.address for o in names[:8] if o != name
+        )
     net.known(names)
     net.run(net.now + 2.0)
     net.sent = net.bytes = 0
@@ -287,7 +292,7 @@
 def main(seed, members, loss, seconds, deaths, bursts, pauses):
     if deaths >= members - 1:
         raise click.UsageError("--deaths: two members at least must live to the end")
-    found = {"ours": measure(Judge, members, loss, seconds, deaths, seed, bursts, pauses)}
+    found = {"ours": measure(FailureDetector, members, loss, seconds, deaths, seed, bursts, pauses)}
     plain = MembershipConfig(witnesses=0)
     found["swim"] = measure(Swim, members, loss, seconds, deaths, seed, bursts, pauses, plain)
     times, false = Heartbeats(members, loss, seed, 0.1, 1.0).play(seconds, deaths * 20)
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -5,7 +5,7 @@
 
 from thistlelever.__main__ import main
 from thistlelever.carrier.wards import Wards
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.local_health import LocalHealth
 from thistlelever.membership.merge import Merger
 from thistlelever.membership.prober import Prober
@@ -15,8 +15,8 @@
 
 def health():
     """A front that believes itself well whatever befalls it."""
-    Judge.awake = lambda self, now: setattr(self, "turned_at", now)
-    Judge.alone = lambda self, now: "" if self.joined else "no word yet"
+    FailureDetector.awake = lambda self, now: setattr(self, "turned_at", now)
+    FailureDetector.alone = lambda self, now: "" if self.joined else "no word yet"
     LocalHealth.worsen = lambda self, by: None
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings
 from thistlelever.membership.gossip import GossipQueue
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import REPLAY_WINDOW, Member, is_fresh
 from thistlelever.membership.service_health import MIN_TAKEN, STUCK_AFTER, Observation, ServiceHealth
 from thistlelever.wire import peers as wire
@@ -120,14 +120,14 @@
     assert not is_fresh(member, 500 - REPLAY_WINDOW) and is_fresh(member, 501 - REPLAY_WINDOW)
 
 
-def tier(many, seed=1, loss=0.0, way=Judge, **facts):
+def tier(many, seed=1, loss=0.0, way=FailureDetector, **facts):
     """So many members that know each other, after two seconds."""
     net = Network(seed, loss, way, check=True, **facts)
     names = [f"n{n}" for n in range(many)]
     for name in names:
         net.add(name, fronts=many)
     for name in names:
-        net.judges[name].contacts.peers = tuple(net.judges[o].me.address for o in names if o != name)
+        net.detectors[name].contacts.peers = tuple(net.detectors[o].me.address for o in names if o != name)
     net.run(net.now + 2.0)
     assert net.agree()
     return net
@@ -137,17 +137,17 @@
     till = net.now + within
     while net.now < till and not net.agree():
         net.run(net.now + 0.1)
-    assert net.agree(), {n: net.judges[n].view(net.now) for n in net.living()}
+    assert net.agree(), {n: net.detectors[n].view(net.now) for n in net.living()}
 
 
 def states(net, of):
-    return {n: net.judges[n].members[of].state for n in net.living() if n != of}
+    return {n: net.detectors[n].members[of].state for n in net.living() if n != of}
 
 
 def test_one_that_leaves_is_not_asked_for_its_list_again_and_again():
     net = tier(5)
-    net.judges["n1"].leave(net.now)
-    net.carry("n1", net.judges["n1"], net.judges["n1"].leave(net.now))
+    net.detectors["n1"].leave(net.now)
+    net.carry("n1", net.detectors["n1"], net.detectors["n1"].leave(net.now))
     before = net.sent
     net.run(net.now + 1.0)
     # Two probes a round and what they bring, for each of five.
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize("who", ["one", "third", "all"])
 def test_who_was_paused_accuses_nobody_with_what_waited(seconds, who):
     net = tier(9)
-    paused = {"one": ["n4"], "third": ["n0", "n4", "n8"], "all": list(net.judges)}[who]
+    paused = {"one": ["n4"], "third": ["n0", "n4", "n8"], "all": list(net.detectors)}[who]
     for name in paused:
         net.stop(name)
     net.run(net.now + seconds)
@@ -178,7 +178,7 @@
     woken = net.now
     net.run(woken + 0.001)
     # Held up, and nobody's list read since: nothing of its view is acted on.
-    assert seconds < 0.5 or all(net.judges[name].view(net.now).alone for name in paused)
+    assert seconds < 0.5 or all(net.detectors[name].view(net.now).alone for name in paused)
     settle(net)
     by_woken = [
         c
@@ -196,13 +196,13 @@
     reading, as the number of tries of a probe came to hang on it too.
     """
     net = tier(5)
-    judge, member = net.judges["n0"], net.judges["n0"].members["n1"]
-    ordinary = judge.suspicions.duration(member)
-    judge.suspicions.accuse(net.now, member, 7, "n0", "as the test says")
+    detector, member = net.detectors["n0"], net.detectors["n0"].members["n1"]
+    ordinary = detector.suspicions.duration(member)
+    detector.suspicions.accuse(net.now, member, 7, "n0", "as the test says")
     net.run(net.now + 2.0)
-    assert member.refuted_at and judge.suspicions.duration(member) == 2 * ordinary
+    assert member.refuted_at and detector.suspicions.duration(member) == 2 * ordinary
     net.run(net.now + 62.0)
-    assert judge.suspicions.duration(member) == ordinary
+    assert detector.suspicions.duration(member) == ordinary
 
 
 def test_a_broken_link_between_two_is_nobodys_death():
@@ -245,13 +245,13 @@
     net = tier(6)
     net.cut = (lambda s, t: s == "n1") if mute else (lambda s, t: t == "n1")
     net.run(net.now + 2.0)
-    judge = net.judges["n1"]
-    assert judge.view(net.now).alone == "nobody answers" and judge.view(net.now).fronts == 6
+    detector = net.detectors["n1"]
+    assert detector.view(net.now).alone == "nobody answers" and detector.view(net.now).fronts == 6
     # It holds none dead by itself; to the others it is out of reach.
     assert not [c for log in net.changes.values() for c in log if c[1] == c[3] == "n1" and c[2] is State.DEAD]
     net.cut = lambda s, t: False
     settle(net)
-    assert not judge.alone(net.now)
+    assert not detector.alone(net.now)
     # The bound on flapping: one death and one return for one cut.
     assert len([c for c in net.changes["n1"] if c[1] == "n0" and c[2] is State.DEAD]) <= 1
 
@@ -286,12 +286,12 @@
     left = {f"n{n}" for n in range(4)}
     net.cut = lambda s, t: (s in left) != (t in left)
     net.run(net.now + 2)
-    assert all(net.judges[n].view(net.now).alive == (4 if n in left else 6) for n in net.living())
+    assert all(net.detectors[n].view(net.now).alive == (4 if n in left else 6) for n in net.living())
     net.kill("n1")
     net.kill("n8")
     net.run(net.now + 1.5)
-    net.add("n8", peers=tuple(net.judges[n].me.address for n in ("n9", "n2")), fronts=10)
-    net.add("n10", peers=(net.judges["n2"].me.address,), fronts=10)
+    net.add("n8", peers=tuple(net.detectors[n].me.address for n in ("n9", "n2")), fronts=10)
+    net.add("n10", peers=(net.detectors["n2"].me.address,), fronts=10)
     net.run(net.now + 1.5)
     net.cut = lambda s, t: False
     healed = net.now
@@ -332,7 +332,7 @@
     for n in range(14):
         net.kill(f"n{n}")
     settle(net, 6.0)
-    peers = tuple(j.me.address for j in net.judges.values())
+    peers = tuple(j.me.address for j in net.detectors.values())
     for n in range(0, 20, 2):
         for name in (f"n{n}", f"n{n + 1}"):
             net.kill(name)
@@ -343,18 +343,18 @@
 
 def test_a_new_life_refutes_what_was_said_of_the_former():
     net = tier(5)
-    before = net.judges["n2"].local.incarnation
+    before = net.detectors["n2"].local.incarnation
     net.kill("n2")
     net.run(net.now + 2)
     assert set(states(net, "n2").values()) == {State.DEAD}
     # Its clock was set back: its life looks older than the one that died.
-    net.add("n2", peers=(net.judges["n0"].me.address,), life=before - 800, fronts=5)
+    net.add("n2", peers=(net.detectors["n0"].me.address,), life=before - 800, fronts=5)
     settle(net)
-    assert net.judges["n2"].local.incarnation > before
+    assert net.detectors["n2"].local.incarnation > before
     # A rumour of its death that outlives its return.
-    old = Rumour("n2", wire.address_bytes(net.judges["n2"].me.address), before, before, State.DEAD)
+    old = Rumour("n2", wire.address_bytes(net.detectors["n2"].me.address), before, before, State.DEAD)
     for name in ("n0", "n1", "n3"):
-        net.judges[name].merger.learn(net.now, old, "n4")
+        net.detectors[name].merger.learn(net.now, old, "n4")
     assert set(states(net, "n2").values()) == {State.ALIVE}
 
 
@@ -362,29 +362,29 @@
     net = tier(5)
     net.kill("n2")
     net.run(net.now + 2)
-    net.names[net.judges.pop("n2").me.address] = "nobody"
-    net.add("n2", peers=(net.judges["n0"].me.address,), fronts=5)
+    net.names[net.detectors.pop("n2").me.address] = "nobody"
+    net.add("n2", peers=(net.detectors["n0"].me.address,), fronts=5)
     settle(net)
-    where = {net.judges[n].members["n2"].address for n in net.living() if n != "n2"}
-    assert where == {net.judges["n2"].me.address}
+    where = {net.detectors[n].members["n2"].address for n in net.living() if n != "n2"}
+    assert where == {net.detectors["n2"].me.address}
 
 
 def test_of_two_processes_under_one_name_the_older_stands_down():
     net = tier(4)
-    older = net.judges["n2"]
-    newer = Judge(
+    older = net.detectors["n2"]
+    newer = FailureDetector(
         MembershipConfig(),
         Identity("n2", ("127.9.9.9", 1), older.me.life + 50),
-        TierSettings(tuple(net.judges[n].me.address for n in ("n0", "n1")), 4),
+        TierSettings(tuple(net.detectors[n].me.address for n in ("n0", "n1")), 4),
         77,
         net.now,
     )
-    net.judges["twin"], net.names[newer.me.address] = newer, "twin"
+    net.detectors["twin"], net.names[newer.me.address] = newer, "twin"
     net.at(net.now, "turn", "twin", newer)
     net.run(net.now + 6)
     assert older.conflicts.successor and not newer.conflicts.successor
     assert "started later" in older.view(net.now).alone and older.view(net.now).fronts == 4
-    assert {net.judges[n].members["n2"].address for n in ("n0", "n1", "n3")} == {newer.me.address}
+    assert {net.detectors[n].members["n2"].address for n in ("n0", "n1", "n3")} == {newer.me.address}
 
 
 def test_a_slow_one_is_not_dead():
@@ -405,11 +405,11 @@
 
 def test_one_that_serves_nobody_says_so_and_is_not_dead():
     net = tier(4)
-    net.judges["n1"].set_serving(net.now, False)
+    net.detectors["n1"].set_serving(net.now, False)
     net.run(net.now + 1)
     assert set(states(net, "n1").values()) == {State.UNFIT}
-    assert net.judges["n0"].view(net.now).unfit == 1 and net.judges["n0"].view(net.now).alive == 4
-    net.judges["n1"].set_serving(net.now + 1, True)
+    assert net.detectors["n0"].view(net.now).unfit == 1 and net.detectors["n0"].view(net.now).alive == 4
+    net.detectors["n1"].set_serving(net.now + 1, True)
     net.run(net.now + 2)
     assert set(states(net, "n1").values()) == {State.ALIVE}
 
@@ -425,12 +425,12 @@
 
 def test_who_leaves_is_not_taken_for_dead():
     net = tier(6)
-    net.carry("n3", net.judges["n3"], net.judges["n3"].leave(net.now))
+    net.carry("n3", net.detectors["n3"], net.detectors["n3"].leave(net.now))
     net.run(net.now + 0.5)
     net.kill("n3")
     assert set(states(net, "n3").values()) == {State.LEFT}
-    assert net.judges["n0"].view(net.now).fronts == 5
-    net.add("n3", peers=(net.judges["n0"].me.address,), fronts=6)
+    assert net.detectors["n0"].view(net.now).fronts == 5
+    net.add("n3", peers=(net.detectors["n0"].me.address,), fronts=6)
     settle(net)
 
 
@@ -438,21 +438,24 @@
     net = Network(3, 0.0, check=True)
     net.add("a", peers=(("127.4.4.4", 4),), fronts=2)
     net.run(net.now + 3)
-    assert net.judges["a"].view(net.now).alone == "no word yet" and net.judges["a"].view(net.now).fronts == 2
+    assert (
+        net.detectors["a"].view(net.now).alone == "no word yet"
+        and net.detectors["a"].view(net.now).fronts == 2
+    )
     net.add("b", peers=(), fronts=2)
-    net.judges["a"].renew(net.now, (net.judges["b"].me.address,))
+    net.detectors["a"].renew(net.now, (net.detectors["b"].me.address,))
     settle(net)
-    assert not net.judges["a"].view(net.now).alone
+    assert not net.detectors["a"].view(net.now).alone
 
 
 def test_a_death_counts_only_once_it_is_sure():
     net = tier(5)
     net.kill("n1")
     net.run(net.now + 1.2)
-    view = net.judges["n0"].view(net.now)
+    view = net.detectors["n0"].view(net.now)
     assert view.alive == 4 and view.fronts == 5
     net.run(net.now + 3)
-    assert net.judges["n0"].view(net.now).fronts == 4
+    assert net.detectors["n0"].view(net.now).fronts == 4
 
 
 def test_the_same_calls_give_the_same_sends():
@@ -506,7 +509,9 @@
         for name in names:
             net.add(name, peers=(), fronts=3)
         for name in names:
-            net.judges[name].contacts.peers = tuple(net.judges[o].me.address for o in names if o != name)
+            net.detectors[name].contacts.peers = tuple(
+                net.detectors[o].me.address for o in names if o != name
+            )
         net.known(names)
         net.run(net.now + 0.3)
         seen = {}
@@ -519,7 +524,10 @@
             if event == "restart":
                 net.run(net.now + 0.2)
                 net.add(
-                    "n1", peers=net.judges["n0"].contacts.peers, life=net.judges["n1"].me.life - 1, fronts=3
+                    "n1",
+                    peers=net.detectors["n0"].contacts.peers,
+                    life=net.detectors["n1"].me.life - 1,
+                    fronts=3,
                 )
         left = list(fates)
 
@@ -537,8 +545,8 @@
         for _ in range(18):
             net.run(net.now + 0.1)
             for name in net.living():
-                for other, member in net.judges[name].members.items():
-                    key = name, net.judges[name].me.life, other
+                for other, member in net.detectors[name].members.items():
+                    key = name, net.detectors[name].me.life, other
                     assert member.incarnation >= seen.get(key, 0), "an incarnation went back"
                     seen[key] = member.incarnation
         settle(net, 4.0)
@@ -550,7 +558,7 @@
     def __init__(self):
         super().__init__()
         self.net = tier(5, seed=9)
-        self.peers = tuple(j.me.address for j in self.net.judges.values())
+        self.peers = tuple(j.me.address for j in self.net.detectors.values())
         self.seen = {}
 
     @rule(seconds=st.sampled_from((0.05, 0.3, 1.0)))
@@ -590,12 +598,12 @@
     @invariant()
     def incarnations_never_go_back(self):
         for name in self.net.living():
-            judge = self.net.judges[name]
-            for other, member in judge.members.items():
-                key = name, judge.me.life, other
+            detector = self.net.detectors[name]
+            for other, member in detector.members.items():
+                key = name, detector.me.life, other
                 assert member.incarnation >= self.seen.get(key, 0)
                 self.seen[key] = member.incarnation
-            assert judge.table.digest == digest(judge)
+            assert detector.table.digest == digest(detector)
 
     def teardown(self):
         self.go_on()
@@ -603,11 +611,11 @@
         settle(self.net, 15.0)
 
 
-def digest(judge):
+def digest(detector):
     from zlib import crc32
 
     found = 0
-    for member in judge.members.values():
+    for member in detector.members.values():
         if member.lives:
             found ^= crc32(b"%s %d" % (member.name.encode(), member.incarnation))
     return found
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -10,7 +10,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.tally import Tally
 from thistlelever.membership.facts import Send, View
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.wire import peers as wire
 
 
@@ -18,7 +18,7 @@
     """One judge on the loop's clock. `on_view` is told whenever what others may act on has changed."""
 
     def __init__(
-        self, judge: Judge, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
+        self, judge: FailureDetector, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
     ) -> None:
         self.judge, self.peers, self.tally, self.log, self.on_view = judge, peers, tally, log, on_view
         self.timer: asyncio.TimerHandle | None = None
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -16,7 +16,7 @@
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings, View
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.service_health import Observation, ServiceHealth
 
 # Lives are counted from here, in eighths of a second: the Unix second of 2020's first.
@@ -49,8 +49,8 @@
         )
         identity = Identity(papers.name, known_as, int((clock.wall() - EPOCH) * 8))
         tier = TierSettings(papers.peers, papers.manifest.fronts)
-        judge = Judge(config, identity, tier, papers.seed, clock.now())
-        self.members = Members(judge, self.peers, parts.tally, parts.log, self.counted)
+        detector = FailureDetector(config, identity, tier, papers.seed, clock.now())
+        self.members = Members(detector, self.peers, parts.tally, parts.log, self.counted)
         self.fronts, self.task, self.left = papers.manifest.fronts, None, False
 
     async def open(self) -> dict:
@@ -63,10 +63,10 @@
         self.members.judge.renew(clock.now(), papers.peers)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
-        judge = self.members.judge
+        detector = self.members.judge
         return {
-            "members.show": lambda: views.show(judge, clock.now()),
-            "members.explain": lambda name: views.explain(judge, name, clock.now()),
+            "members.show": lambda: views.show(detector, clock.now()),
+            "members.explain": lambda name: views.explain(detector, name, clock.now()),
         }
 
     def counted(self, view: View) -> None:
--- a/thistlelever/membership/__init__.py
+++ b/thistlelever/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Which fronts of the tier are alive, and how sure that is: SWIM with Lifeguard, without I/O or clock.
+"""Group membership and failure detection among the fronts of a tier: SWIM with Lifeguard's extensions.
 
-Uses the types of `wire.peers`; is handed datagrams, turns and facts by `carrier.members`; gives a `View` to
-whoever counts fronts. Never sends by itself, never decides on queries. Read `judge.Judge` first, which puts
-the parts together; the alternatives weighed are in `docs/membership.md`.
+Pure state machines without I/O or clock. `carrier.members` hands in messages (types of `wire.peers`), ticks
+and settings, sends the messages that come back, and passes the resulting `View` on. Nothing here sends by
+itself or decides on queries. `failure_detector.FailureDetector` is the entry point that composes the parts;
+`docs/membership.md` compares the alternatives.
 """
--- a/thistlelever/membership/judge.py
+++ b/thistlelever/membership/failure_detector.py
@@ -1,10 +1,10 @@
 """Who is alive: probes in rounds, by way of others where there is no answer, a suspicion before each death,
 and this front's own health before all.
 
-    judge = Judge(config, identity, tier, seed, now)
-    sends = judge.turn(now)                        # whenever `due` has come
-    sends = judge.heard(now, address, message, updates)
-    view = judge.view(now)
+    detector = FailureDetector(config, identity, tier, seed, now)
+    sends = detector.turn(now)                        # whenever `due` has come
+    sends = detector.heard(now, address, message, updates)
+    view = detector.view(now)
 
 Follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018); what departs from them
 is named where it acts and weighed in `docs/membership.md`. Times are seconds of a clock that never goes back.
@@ -39,7 +39,7 @@
 NO_WORD_YET = "no word yet"
 
 
-class Judge:
+class FailureDetector:
     """The failure detector of one front: takes events, gives what is to be sent and what is believed."""
 
     def __init__(
--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -3,34 +3,34 @@
 from __future__ import annotations
 
 from thistlelever.membership.facts import Change
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
 
 
-def show(judge: Judge, now: float) -> dict:
+def show(detector: FailureDetector, now: float) -> dict:
     """The whole view, with counts."""
-    view = judge.view(now)
+    view = detector.view(now)
     return {
-        "name": judge.me.name,
-        "state": judge.local.state.name.lower(),
+        "name": detector.me.name,
+        "state": detector.local.state.name.lower(),
         "alone": view.alone,
         "fronts": view.fronts,
         "alive": view.alive,
         "suspected": view.suspected,
         "unfit": view.unfit,
-        "incarnation": judge.local.incarnation,
-        "health": judge.health.score,
-        "digest": f"{judge.table.digest:08x}",
-        "members": [describe_member(member, now) for _, member in sorted(judge.members.items())],
-        "counts": dict(sorted(judge.counts.items())),
+        "incarnation": detector.local.incarnation,
+        "health": detector.health.score,
+        "digest": f"{detector.table.digest:08x}",
+        "members": [describe_member(member, now) for _, member in sorted(detector.members.items())],
+        "counts": dict(sorted(detector.counts.items())),
     }
 
 
-def explain(judge: Judge, name: str, now: float) -> dict:
+def explain(detector: FailureDetector, name: str, now: float) -> dict:
     """Why a member is held to be what it is: who said so, over which path, how late."""
-    member = judge.members.get(name)
+    member = detector.members.get(name)
     if member is None:
-        state = "this front itself" if name == judge.me.name else "not known here"
+        state = "this front itself" if name == detector.me.name else "not known here"
         return {"name": name, "state": state, "story": []}
     changes = [describe_change(change, now) for change in member.changes]
     return describe_member(member, now) | {"story": changes}
