--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -128,8 +128,8 @@
 
     def hand(self, name, detector, source, data):
         begun = process_time()
-        message, rumours = decode(opened(data, TIER)[1]) if self.check else data
-        sends = detector.heard(self.now, source, message, rumours)
+        message, updates = decode(opened(data, TIER)[1]) if self.check else data
+        sends = detector.heard(self.now, source, message, updates)
         self.cpu += process_time() - begun
         self.carry(name, detector, sends)
 
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -29,17 +29,17 @@
     """What is said of a life long past is believed of the present one."""
     learn = Merger.learn
 
-    def believing(self, now, rumour, by):
-        member = self.table.get(rumour.name)
+    def believing(self, now, update, by):
+        member = self.table.get(update.name)
         if (
             member
-            and rumour.incarnation < member.incarnation
-            and rumour.name != self.table.local.identity.name
+            and update.incarnation < member.incarnation
+            and update.name != self.table.local.identity.name
         ):
-            rumour = type(rumour)(
-                rumour.name, rumour.address, member.incarnation, rumour.life, rumour.state, rumour.accuser
+            update = type(update)(
+                update.name, update.address, member.incarnation, update.life, update.state, update.accuser
             )
-        learn(self, now, rumour, by)
+        learn(self, now, update, by)
 
     Merger.learn = believing
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,12 +20,12 @@
 from thistlelever.membership.member import REPLAY_WINDOW, Member, is_fresh
 from thistlelever.membership.service_health import MIN_TAKEN, STUCK_AFTER, Observation, ServiceHealth
 from thistlelever.wire import peers as wire
-from thistlelever.wire.peers import Kind, Message, Rumour, State
+from thistlelever.wire.peers import Kind, Message, GossipUpdate, State
 
-WORD = Rumour("front-1", bytes((127, 0, 0, 1, 0, 9)), 7, 7, State.ALIVE)
+WORD = GossipUpdate("front-1", bytes((127, 0, 0, 1, 0, 9)), 7, 7, State.ALIVE)
 
 
-def message(rumours=(), **words):
+def message(updates=(), **words):
     facts = {
         "kind": Kind.PING,
         "name": "front-0",
@@ -35,14 +35,14 @@
         "nonce": 3,
         "digest": 9,
     } | words
-    return Message(**facts, rumours=tuple(wire.packed(r) for r in rumours))
+    return Message(**facts, updates=tuple(wire.packed(u) for u in updates))
 
 
 def test_a_message_comes_back_as_it_went():
     data = wire.encode(message([WORD], place="front-2"), TIER)
     matter, body = wire.opened(data, TIER)
-    told, rumours = wire.decode(body)
-    assert (matter, told.name, told.place, rumours) == (wire.MEMBERSHIP, "front-0", "front-2", (WORD,))
+    told, updates = wire.decode(body)
+    assert (matter, told.name, told.place, updates) == (wire.MEMBERSHIP, "front-0", "front-2", (WORD,))
 
 
 @pytest.mark.parametrize(
@@ -73,8 +73,8 @@
         wire._pack(message(name="x" * 65)),
         wire._pack(message(incarnation=2**32)),
         wire._pack(message(count=-1)),
-        wire._pack(message([Rumour("a", b"short", 1, 1, State.ALIVE)])),
-        wire._pack(message([Rumour("a", bytes(6), 2**40, 1, State.ALIVE)])),
+        wire._pack(message([GossipUpdate("a", b"short", 1, 1, State.ALIVE)])),
+        wire._pack(message([GossipUpdate("a", bytes(6), 2**40, 1, State.ALIVE)])),
     ],
 )
 def test_a_body_out_of_form_raises_nothing_else(body):
@@ -95,13 +95,13 @@
     # Risk: under churn the newest crowd out the others, which are then never heard of.
     news, seen = GossipQueue(), set()
     for n in range(60):
-        news.add(Rumour(f"front-{n}", bytes(6), 2**31, 2**31, State.SUSPECTED, 2**31))
+        news.add(GossipUpdate(f"front-{n}", bytes(6), 2**31, 2**31, State.SUSPECTED, 2**31))
     for _ in range(60):
         bare = message()
-        rumours = news.take(wire.ROOM - wire.size(bare), 5)
-        told = Message(*(getattr(bare, f) for f in bare.__struct_fields__[:-1]), rumours)
+        updates = news.take(wire.ROOM - wire.size(bare), 5)
+        told = Message(*(getattr(bare, f) for f in bare.__struct_fields__[:-1]), updates)
         assert len(wire.encode(told, TIER)) <= wire.LONGEST
-        seen |= {r.name for r in wire.decode(wire._pack(told))[1]}
+        seen |= {u.name for u in wire.decode(wire._pack(told))[1]}
     assert len(seen) == 60 and not news.updates
 
 
@@ -352,7 +352,7 @@
     settle(net)
     assert net.detectors["n2"].local.incarnation > before
     # A rumour of its death that outlives its return.
-    old = Rumour("n2", wire.address_bytes(net.detectors["n2"].me.address), before, before, State.DEAD)
+    old = GossipUpdate("n2", wire.address_bytes(net.detectors["n2"].me.address), before, before, State.DEAD)
     for name in ("n0", "n1", "n3"):
         net.detectors[name].merger.learn(net.now, old, "n4")
     assert set(states(net, "n2").values()) == {State.ALIVE}
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -51,8 +51,8 @@
         self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.turn)
 
     def heard(self, source: tuple[str, int], body: bytes) -> None:
-        message, rumours = wire.decode(body)
-        self.carry(self.judge.heard(clock.now(), source, message, rumours))
+        message, updates = wire.decode(body)
+        self.carry(self.judge.heard(clock.now(), source, message, updates))
 
     def leave(self) -> None:
         self.carry(self.judge.leave(clock.now()))
--- a/thistlelever/membership/failure_detector.py
+++ b/thistlelever/membership/failure_detector.py
@@ -31,7 +31,7 @@
 from thistlelever.membership.prober import Probe, Prober
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import Kind, Message, Rumour, State
+from thistlelever.wire.peers import Kind, Message, GossipUpdate, State
 
 # Whether this front serves is told to others at most this often, and a front that stands down looks about
 # this often, in seconds.
@@ -126,7 +126,9 @@
             return self.turned_at + STOOD_DOWN_INTERVAL
         return min(self.round_at, self.prober.next_due(self.round_at))
 
-    def heard(self, now: float, source: Address, message: Message, updates: tuple[Rumour, ...]) -> list[Send]:
+    def heard(
+        self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
+    ) -> list[Send]:
         """A datagram of this tier, in form."""
         self.outbox.start()
         if self.conflicts.successor:
@@ -246,7 +248,9 @@
             return False
         return True
 
-    def receive(self, now: float, source: Address, message: Message, updates: tuple[Rumour, ...]) -> None:
+    def receive(
+        self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
+    ) -> None:
         """A datagram of another front's present life: learn from it, answer it, compare the views."""
         known = self.members.get(message.name)
         # Risk: one that leaves and still answers is asked for its list by each answer to that.
--- a/thistlelever/membership/gossip.py
+++ b/thistlelever/membership/gossip.py
@@ -6,20 +6,20 @@
 
 from msgspec import Raw
 
-from thistlelever.wire.peers import Rumour, packed
+from thistlelever.wire.peers import GossipUpdate, packed
 
 # No frame has room for more.
 MAX_UPDATES_A_FRAME = 12
 
 
-class Update:
+class QueuedUpdate:
     """One update in the queue, packed once, and how often it was sent."""
 
-    __slots__ = ("rumour", "raw", "sent", "number")
+    __slots__ = ("update", "encoded", "sent", "sequence")
 
-    def __init__(self, rumour: Rumour, number: int) -> None:
+    def __init__(self, update: GossipUpdate, sequence: int) -> None:
         """An update that was never sent."""
-        self.rumour, self.raw, self.sent, self.number = rumour, packed(rumour), 0, number
+        self.update, self.encoded, self.sent, self.sequence = update, packed(update), 0, sequence
 
 
 class GossipQueue:
@@ -31,19 +31,19 @@
 
     def __init__(self) -> None:
         """An empty queue."""
-        self.updates: dict[str, Update] = {}
-        self.number = 0
+        self.updates: dict[str, QueuedUpdate] = {}
+        self.sequence = 0
 
-    def add(self, rumour: Rumour) -> None:
+    def add(self, update: GossipUpdate) -> None:
         """Queue an update in place of any older one of the same member."""
-        self.number += 1
-        self.updates[rumour.name] = Update(rumour, self.number)
+        self.sequence += 1
+        self.updates[update.name] = QueuedUpdate(update, self.sequence)
 
     def drop(self, name: str) -> None:
         """Pass on nothing more of this member."""
         self.updates.pop(name, None)
 
-    def take(self, room: int, sends: int, first: Rumour | None = None) -> tuple[Raw, ...]:
+    def take(self, room: int, sends: int, first: GossipUpdate | None = None) -> tuple[Raw, ...]:
         """As many as fit in `room` bytes; each is dropped once it was sent so many times.
 
         `first` goes in any case: what is said of the receiver, which alone can refute it.
@@ -52,13 +52,13 @@
         if first is not None:
             taken.append(packed(first))
             room -= len(taken[0])
-        due = nsmallest(MAX_UPDATES_A_FRAME, self.updates.values(), key=lambda u: (u.sent, -u.number))
-        for update in due:
-            if first is not None and update.rumour.name == first.name or len(update.raw) > room:
+        due = nsmallest(MAX_UPDATES_A_FRAME, self.updates.values(), key=lambda u: (u.sent, -u.sequence))
+        for queued in due:
+            if first is not None and queued.update.name == first.name or len(queued.encoded) > room:
                 continue
-            room -= len(update.raw)
-            taken.append(update.raw)
-            update.sent += 1
-            if update.sent >= sends:
-                del self.updates[update.rumour.name]
+            room -= len(queued.encoded)
+            taken.append(queued.encoded)
+            queued.sent += 1
+            if queued.sent >= sends:
+                del self.updates[queued.update.name]
         return tuple(taken)
--- a/thistlelever/membership/local.py
+++ b/thistlelever/membership/local.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from thistlelever.membership.facts import Identity
-from thistlelever.wire.peers import Rumour, State, address_bytes, tag
+from thistlelever.wire.peers import GossipUpdate, State, address_bytes, tag
 
 
 class LocalMember:
@@ -14,7 +14,7 @@
         self.identity, self.tag = identity, tag(identity.name)
         self.incarnation, self.state = identity.life, State.ALIVE
 
-    def record(self) -> Rumour:
+    def record(self) -> GossipUpdate:
         """What it says of itself."""
         name, address, life = self.identity
-        return Rumour(name, address_bytes(address), self.incarnation, life, self.state)
+        return GossipUpdate(name, address_bytes(address), self.incarnation, life, self.state)
--- a/thistlelever/membership/member.py
+++ b/thistlelever/membership/member.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from thistlelever.membership.facts import Address, Change
-from thistlelever.wire.peers import Rumour, State, address_bytes
+from thistlelever.wire.peers import GossipUpdate, State, address_bytes
 
 # So many changes of each member are remembered, for those who ask why.
 MAX_CHANGES = 24
@@ -53,12 +53,12 @@
         """Whether it is taken to be alive, suspected or not."""
         return self.state < State.DEAD
 
-    def record(self, accuser: int = 0) -> Rumour:
+    def record(self, accuser: int = 0) -> GossipUpdate:
         """What is believed of it, as it is told to others."""
         if self.state is State.SUSPECTED and not accuser:
             accuser = min(self.accusers)
         address = address_bytes(self.address)
-        return Rumour(self.name, address, self.incarnation, self.life, self.state, accuser)
+        return GossipUpdate(self.name, address, self.incarnation, self.life, self.state, accuser)
 
     def clear_accusations(self) -> None:
         """It is no longer suspected."""
--- a/thistlelever/membership/merge.py
+++ b/thistlelever/membership/merge.py
@@ -8,10 +8,10 @@
 from thistlelever.membership.name_conflict import NameConflicts
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import Message, Rumour, State, address_of, tag
+from thistlelever.wire.peers import Message, GossipUpdate, State, address_of, tag
 
 BY_GOSSIP = "rumour"
-BY_DEATH_RUMOUR = "rumour of its death"
+BY_DEATH_GOSSIP = "rumour of its death"
 BY_ITSELF = "itself"
 
 
@@ -43,7 +43,7 @@
             self.gossip.add(member.record())
         return member
 
-    def learn(self, now: float, update: Rumour, by: str) -> None:
+    def learn(self, now: float, update: GossipUpdate, by: str) -> None:
         """Merge one update that another front passed on."""
         if update.name == self.table.local.identity.name:
             self.conflicts.refute(now, update)
@@ -62,7 +62,7 @@
         elif update.state is State.SUSPECTED is member.state:
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
 
-    def add(self, now: float, update: Rumour, by: str) -> Member | None:
+    def add(self, now: float, update: GossipUpdate, by: str) -> Member | None:
         """A member that was not known; None where it is not to be known."""
         gone = update.state in (State.DEAD, State.LEFT)
         if gone or len(self.table.members) >= self.config.max_members:
@@ -73,7 +73,7 @@
         self.gossip.add(member.record())
         return member
 
-    def replace(self, now: float, member: Member, update: Rumour, newer: bool, by: str) -> None:
+    def replace(self, now: float, member: Member, update: GossipUpdate, newer: bool, by: str) -> None:
         """Believe the update in place of what was believed."""
         if newer:
             self.table.renew(now, member, address_of(update.address), update.incarnation, update.life)
@@ -85,7 +85,7 @@
             # Departs from SWIM: a death by hearsay is one more accuser. Who passes it on may be of the other
             # side of a cut that has just healed, where the member was out of reach and could refute nothing.
             self.counts["deaths by hearsay"] += 1
-            self.suspicions.hear_of_death(now, member, tag(by), by, BY_DEATH_RUMOUR)
+            self.suspicions.hear_of_death(now, member, tag(by), by, BY_DEATH_GOSSIP)
         else:
             self.table.set_state(now, member, update.state, by, BY_GOSSIP)
             self.gossip.add(member.record())
--- a/thistlelever/membership/name_conflict.py
+++ b/thistlelever/membership/name_conflict.py
@@ -7,7 +7,7 @@
 from thistlelever.membership.member import NEVER
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.prober import Prober
-from thistlelever.wire.peers import Kind, Message, Rumour, State, address_of
+from thistlelever.wire.peers import Kind, Message, GossipUpdate, State, address_of
 
 # Another process under this name is asked for at most this often, in seconds.
 CHECK_INTERVAL = 1.0
@@ -26,7 +26,7 @@
         self.successor = ""
         self.check_nonce, self.checked_at = 0, NEVER
 
-    def refute(self, now: float, update: Rumour) -> None:
+    def refute(self, now: float, update: GossipUpdate) -> None:
         """What others say of this front. All but what it says itself is refuted by a higher incarnation."""
         if update.incarnation < self.local.incarnation or self.local.state is State.LEFT:
             return
--- a/thistlelever/membership/outbox.py
+++ b/thistlelever/membership/outbox.py
@@ -11,7 +11,7 @@
 from thistlelever.membership.local import LocalMember
 from thistlelever.membership.member import Member
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import ROOM, Kind, Message, Rumour, State, size
+from thistlelever.wire.peers import ROOM, Kind, Message, GossipUpdate, State, size
 
 # How often an update is sent: so many times the logarithm of the tier's size.
 SENDS_FACTOR = 3
@@ -39,7 +39,7 @@
         self.send_to(to or member.address, kind, nonce, place, first)
 
     def send_to(
-        self, address: Address, kind: Kind, nonce: int, place: str = "", first: Rumour | None = None
+        self, address: Address, kind: Kind, nonce: int, place: str = "", first: GossipUpdate | None = None
     ) -> None:
         """To an address, whoever is there."""
         self.number += 1
@@ -47,7 +47,7 @@
             first = first or self.local.record()
         bare = self.message(kind, nonce, place)
         updates = self.gossip.take(ROOM - size(bare), self.sends_an_update(), first)
-        self.sends.append(Send(address, structs.replace(bare, rumours=updates)))
+        self.sends.append(Send(address, structs.replace(bare, updates=updates)))
 
     def send_whole(self, address: Address, kind: Kind, nonce: int, place: str, records: tuple) -> None:
         """To an address, with these records in place of updates."""
--- a/thistlelever/wire/peers.py
+++ b/thistlelever/wire/peers.py
@@ -1,7 +1,7 @@
 """Datagrams between fronts: frames of 256 bytes at most, and the messages of membership in them.
 
 A frame is its version, the matter that it is about, the tier's tag, a CRC-32 of all that (zlib) and a body. A
-body of membership is one `Message` as MessagePack (msgspec), with as many rumours behind it as the frame has
+body of membership is one `Message` as MessagePack (msgspec), with as many updates behind it as the frame has
 room for. Pure functions: no socket, no clock.
 """
 
@@ -53,7 +53,7 @@
     LEFT = 4
 
 
-class Rumour(Struct, array_like=True, frozen=True):
+class GossipUpdate(Struct, array_like=True, frozen=True):
     """What is said of one member: its address as four bytes and a port, and of a suspicion the tag of who
     accuses."""
 
@@ -77,13 +77,13 @@
     nonce: int
     digest: int
     place: str = ""
-    rumours: tuple[Raw, ...] = ()
+    updates: tuple[Raw, ...] = msgspec.field(default=(), name="rumours")
 
 
 _pack = msgspec.msgpack.Encoder().encode
 _message = msgspec.msgpack.Decoder(Message).decode
-_rumour = msgspec.msgpack.Decoder(Rumour).decode
-# An array of more than 15 rumours has a longer head; no frame has room for so many that it matters.
+_update = msgspec.msgpack.Decoder(GossipUpdate).decode
+# An array of more than 15 updates has a longer head; no frame has room for so many that it matters.
 ROOM = LONGEST - HEAD.size - 2
 
 
@@ -117,13 +117,13 @@
     return matter, body
 
 
-def packed(rumour: Rumour) -> Raw:
-    """A rumour as it goes on the wire, made once and sent often."""
-    return Raw(_pack(rumour))
+def packed(update: GossipUpdate) -> Raw:
+    """An update as it goes on the wire, made once and sent often."""
+    return Raw(_pack(update))
 
 
 def size(message: Message) -> int:
-    """Bytes of a message without rumours."""
+    """Bytes of a message without updates."""
     return len(_pack(message))
 
 
@@ -131,20 +131,20 @@
     return frame(MEMBERSHIP, tier, _pack(message))
 
 
-def decode(body: bytes) -> tuple[Message, tuple[Rumour, ...]]:
-    """A message and its rumours; `Unfit` where either is out of form."""
+def decode(body: bytes) -> tuple[Message, tuple[GossipUpdate, ...]]:
+    """A message and its updates; `Unfit` where either is out of form."""
     try:
         message = _message(body)
-        rumours = tuple(_rumour(raw) for raw in message.rumours)
+        updates = tuple(_update(raw) for raw in message.updates)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
         raise Unfit("out of form") from why
     numbers = (message.life, message.incarnation, message.count, message.nonce, message.digest)
     bad = not sound(message.name, *numbers) or any(
-        not sound(r.name, r.incarnation, r.life, r.accuser) or len(r.address) != 6 for r in rumours
+        not sound(u.name, u.incarnation, u.life, u.accuser) or len(u.address) != 6 for u in updates
     )
     if bad:
         raise Unfit("out of form")
-    return message, rumours
+    return message, updates
 
 
 def sound(name: str, *numbers: int) -> bool:
