--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -33,7 +33,7 @@
         self.table.order.next_in_ring = lambda probed, suspected: None
         self.health.worsen = lambda by: None
 
-    def alone(self, now):
+    def isolation_reason(self, now):
         return "" if self.joined else "no word yet"
 
 
@@ -60,11 +60,11 @@
         high, low = divmod(len(self.names), 250)
         address = (f"127.1.{high}.{low}", 7946)
         if name in self.detectors:
-            address = self.detectors[name].me.address
+            address = self.detectors[name].identity.address
         self.names[address] = name
         life = life if life is not None else int(self.now * 8)
         me = Identity(name, address, life)
-        known = peers if peers is not None else [j.me.address for j in self.detectors.values()][:8]
+        known = peers if peers is not None else [j.identity.address for j in self.detectors.values()][:8]
         seed = self.chance.below(2**31, name, life)
         self.detectors[name] = self.way(self.terms, me, TierSettings(tuple(known), fronts), seed, self.now)
         self.dead.discard(name)
@@ -86,7 +86,7 @@
             me.joined, me.health.answered_at = True, self.now
             for other in names:
                 if other != name:
-                    o = self.detectors[other].me
+                    o = self.detectors[other].identity
                     member = Member(other, o.address, o.life, o.life, self.now)
                     me.table.add(self.now, member, name, "list")
             me.changes.clear()
@@ -107,15 +107,15 @@
             self.waits[name].append(("turn", (name, detector)))
             return
         begun = process_time()
-        if detector.awake(self.now):
+        if detector.check_for_pause(self.now):
             # As the carrier does: what waited at the socket is dropped.
             self.waits.pop((name, "old"), None)
         for source, data in self.waits.pop((name, "old"), ()):
             self.hand(name, detector, source, data)
-        sends = detector.turn(self.now)
+        sends = detector.tick(self.now)
         self.cpu += process_time() - begun
         self.carry(name, detector, sends)
-        self.at(max(detector.due(), self.now + 1e-4), "turn", name, detector)
+        self.at(max(detector.next_tick_at(), self.now + 1e-4), "turn", name, detector)
 
     def do_datagram(self, source, name, data):
         detector = self.detectors.get(name)
@@ -129,7 +129,7 @@
     def hand(self, name, detector, source, data):
         begun = process_time()
         message, updates = decode(opened(data, TIER)[1]) if self.check else data
-        sends = detector.heard(self.now, source, message, updates)
+        sends = detector.handle_message(self.now, source, message, updates)
         self.cpu += process_time() - begun
         self.carry(name, detector, sends)
 
@@ -160,7 +160,7 @@
                 # Bytes were counted; decoding them again would only take time.
                 data = decode(opened(data, TIER)[1])
             delay = SHORT + (LONG - SHORT) * self.share() ** 3
-            self.at(self.now + delay, "datagram", detector.me.address, target, data)
+            self.at(self.now + delay, "datagram", detector.identity.address, target, data)
 
     def changed(self, name, change):
         if change.name not in self.detectors or change.name == name:
@@ -240,8 +240,8 @@
     for name in names:
         net.add(name, fronts=members, peers=())
     for name in names:
-        net.detectors[name].contacts.peers = tuple(
-            net.detectors[o].me.address for o in names[:8] if o != name
+        net.detectors[name].discovery.peers = tuple(
+            net.detectors[o].identity.address for o in names[:8] if o != name
         )
     net.known(names)
     net.run(net.now + 2.0)
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -15,8 +15,8 @@
 
 def health():
     """A front that believes itself well whatever befalls it."""
-    FailureDetector.awake = lambda self, now: setattr(self, "turned_at", now)
-    FailureDetector.alone = lambda self, now: "" if self.joined else "no word yet"
+    FailureDetector.check_for_pause = lambda self, now: setattr(self, "last_tick_at", now)
+    FailureDetector.isolation_reason = lambda self, now: "" if self.joined else "no word yet"
     LocalHealth.worsen = lambda self, by: None
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -127,7 +127,9 @@
     for name in names:
         net.add(name, fronts=many)
     for name in names:
-        net.detectors[name].contacts.peers = tuple(net.detectors[o].me.address for o in names if o != name)
+        net.detectors[name].discovery.peers = tuple(
+            net.detectors[o].identity.address for o in names if o != name
+        )
     net.run(net.now + 2.0)
     assert net.agree()
     return net
@@ -178,7 +180,7 @@
     woken = net.now
     net.run(woken + 0.001)
     # Held up, and nobody's list read since: nothing of its view is acted on.
-    assert seconds < 0.5 or all(net.detectors[name].view(net.now).alone for name in paused)
+    assert seconds < 0.5 or all(net.detectors[name].view(net.now).isolation_reason for name in paused)
     settle(net)
     by_woken = [
         c
@@ -246,12 +248,12 @@
     net.cut = (lambda s, t: s == "n1") if mute else (lambda s, t: t == "n1")
     net.run(net.now + 2.0)
     detector = net.detectors["n1"]
-    assert detector.view(net.now).alone == "nobody answers" and detector.view(net.now).fronts == 6
+    assert detector.view(net.now).isolation_reason == "nobody answers" and detector.view(net.now).fronts == 6
     # It holds none dead by itself; to the others it is out of reach.
     assert not [c for log in net.changes.values() for c in log if c[1] == c[3] == "n1" and c[2] is State.DEAD]
     net.cut = lambda s, t: False
     settle(net)
-    assert not detector.alone(net.now)
+    assert not detector.isolation_reason(net.now)
     # The bound on flapping: one death and one return for one cut.
     assert len([c for c in net.changes["n1"] if c[1] == "n0" and c[2] is State.DEAD]) <= 1
 
@@ -290,8 +292,8 @@
     net.kill("n1")
     net.kill("n8")
     net.run(net.now + 1.5)
-    net.add("n8", peers=tuple(net.detectors[n].me.address for n in ("n9", "n2")), fronts=10)
-    net.add("n10", peers=(net.detectors["n2"].me.address,), fronts=10)
+    net.add("n8", peers=tuple(net.detectors[n].identity.address for n in ("n9", "n2")), fronts=10)
+    net.add("n10", peers=(net.detectors["n2"].identity.address,), fronts=10)
     net.run(net.now + 1.5)
     net.cut = lambda s, t: False
     healed = net.now
@@ -332,7 +334,7 @@
     for n in range(14):
         net.kill(f"n{n}")
     settle(net, 6.0)
-    peers = tuple(j.me.address for j in net.detectors.values())
+    peers = tuple(j.identity.address for j in net.detectors.values())
     for n in range(0, 20, 2):
         for name in (f"n{n}", f"n{n + 1}"):
             net.kill(name)
@@ -348,11 +350,13 @@
     net.run(net.now + 2)
     assert set(states(net, "n2").values()) == {State.DEAD}
     # Its clock was set back: its life looks older than the one that died.
-    net.add("n2", peers=(net.detectors["n0"].me.address,), life=before - 800, fronts=5)
+    net.add("n2", peers=(net.detectors["n0"].identity.address,), life=before - 800, fronts=5)
     settle(net)
     assert net.detectors["n2"].local.incarnation > before
     # A rumour of its death that outlives its return.
-    old = GossipUpdate("n2", wire.address_bytes(net.detectors["n2"].me.address), before, before, State.DEAD)
+    old = GossipUpdate(
+        "n2", wire.address_bytes(net.detectors["n2"].identity.address), before, before, State.DEAD
+    )
     for name in ("n0", "n1", "n3"):
         net.detectors[name].merger.learn(net.now, old, "n4")
     assert set(states(net, "n2").values()) == {State.ALIVE}
@@ -362,11 +366,11 @@
     net = tier(5)
     net.kill("n2")
     net.run(net.now + 2)
-    net.names[net.detectors.pop("n2").me.address] = "nobody"
-    net.add("n2", peers=(net.detectors["n0"].me.address,), fronts=5)
+    net.names[net.detectors.pop("n2").identity.address] = "nobody"
+    net.add("n2", peers=(net.detectors["n0"].identity.address,), fronts=5)
     settle(net)
     where = {net.detectors[n].members["n2"].address for n in net.living() if n != "n2"}
-    assert where == {net.detectors["n2"].me.address}
+    assert where == {net.detectors["n2"].identity.address}
 
 
 def test_of_two_processes_under_one_name_the_older_stands_down():
@@ -374,17 +378,17 @@
     older = net.detectors["n2"]
     newer = FailureDetector(
         MembershipConfig(),
-        Identity("n2", ("127.9.9.9", 1), older.me.life + 50),
-        TierSettings(tuple(net.detectors[n].me.address for n in ("n0", "n1")), 4),
+        Identity("n2", ("127.9.9.9", 1), older.identity.life + 50),
+        TierSettings(tuple(net.detectors[n].identity.address for n in ("n0", "n1")), 4),
         77,
         net.now,
     )
-    net.detectors["twin"], net.names[newer.me.address] = newer, "twin"
+    net.detectors["twin"], net.names[newer.identity.address] = newer, "twin"
     net.at(net.now, "turn", "twin", newer)
     net.run(net.now + 6)
-    assert older.conflicts.successor and not newer.conflicts.successor
-    assert "started later" in older.view(net.now).alone and older.view(net.now).fronts == 4
-    assert {net.detectors[n].members["n2"].address for n in ("n0", "n1", "n3")} == {newer.me.address}
+    assert older.conflicts.newer_process and not newer.conflicts.newer_process
+    assert "started later" in older.view(net.now).isolation_reason and older.view(net.now).fronts == 4
+    assert {net.detectors[n].members["n2"].address for n in ("n0", "n1", "n3")} == {newer.identity.address}
 
 
 def test_a_slow_one_is_not_dead():
@@ -430,7 +434,7 @@
     net.kill("n3")
     assert set(states(net, "n3").values()) == {State.LEFT}
     assert net.detectors["n0"].view(net.now).fronts == 5
-    net.add("n3", peers=(net.detectors["n0"].me.address,), fronts=6)
+    net.add("n3", peers=(net.detectors["n0"].identity.address,), fronts=6)
     settle(net)
 
 
@@ -439,13 +443,13 @@
     net.add("a", peers=(("127.4.4.4", 4),), fronts=2)
     net.run(net.now + 3)
     assert (
-        net.detectors["a"].view(net.now).alone == "no word yet"
+        net.detectors["a"].view(net.now).isolation_reason == "no word yet"
         and net.detectors["a"].view(net.now).fronts == 2
     )
     net.add("b", peers=(), fronts=2)
-    net.detectors["a"].renew(net.now, (net.detectors["b"].me.address,))
+    net.detectors["a"].set_peers(net.now, (net.detectors["b"].identity.address,))
     settle(net)
-    assert not net.detectors["a"].view(net.now).alone
+    assert not net.detectors["a"].view(net.now).isolation_reason
 
 
 def test_a_death_counts_only_once_it_is_sure():
@@ -509,8 +513,8 @@
         for name in names:
             net.add(name, peers=(), fronts=3)
         for name in names:
-            net.detectors[name].contacts.peers = tuple(
-                net.detectors[o].me.address for o in names if o != name
+            net.detectors[name].discovery.peers = tuple(
+                net.detectors[o].identity.address for o in names if o != name
             )
         net.known(names)
         net.run(net.now + 0.3)
@@ -525,8 +529,8 @@
                 net.run(net.now + 0.2)
                 net.add(
                     "n1",
-                    peers=net.detectors["n0"].contacts.peers,
-                    life=net.detectors["n1"].me.life - 1,
+                    peers=net.detectors["n0"].discovery.peers,
+                    life=net.detectors["n1"].identity.life - 1,
                     fronts=3,
                 )
         left = list(fates)
@@ -546,7 +550,7 @@
             net.run(net.now + 0.1)
             for name in net.living():
                 for other, member in net.detectors[name].members.items():
-                    key = name, net.detectors[name].me.life, other
+                    key = name, net.detectors[name].identity.life, other
                     assert member.incarnation >= seen.get(key, 0), "an incarnation went back"
                     seen[key] = member.incarnation
         settle(net, 4.0)
@@ -558,7 +562,7 @@
     def __init__(self):
         super().__init__()
         self.net = tier(5, seed=9)
-        self.peers = tuple(j.me.address for j in self.net.detectors.values())
+        self.peers = tuple(j.identity.address for j in self.net.detectors.values())
         self.seen = {}
 
     @rule(seconds=st.sampled_from((0.05, 0.3, 1.0)))
@@ -600,7 +604,7 @@
         for name in self.net.living():
             detector = self.net.detectors[name]
             for other, member in detector.members.items():
-                key = name, detector.me.life, other
+                key = name, detector.identity.life, other
                 assert member.incarnation >= self.seen.get(key, 0)
                 self.seen[key] = member.incarnation
             assert detector.table.digest == digest(detector)
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -1,4 +1,4 @@
-"""Where membership is on: hands datagrams, turns and facts to its judge, and carries out what it says."""
+"""Where membership is on: hands datagrams, turns and facts to its detector, and carries out what it says."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Members:
-    """One judge on the loop's clock. `on_view` is told whenever what others may act on has changed."""
+    """One detector on the loop's clock. `on_view` is told whenever what others may act on has changed."""
 
     def __init__(
-        self, judge: FailureDetector, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
+        self, detector: FailureDetector, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
     ) -> None:
-        self.judge, self.peers, self.tally, self.log, self.on_view = judge, peers, tally, log, on_view
+        self.detector, self.peers, self.tally, self.log, self.on_view = detector, peers, tally, log, on_view
         self.timer: asyncio.TimerHandle | None = None
         self.told: View | None = None
         peers.matters[wire.MEMBERSHIP] = self.heard
         peers.fresh = self.fresh
 
     def open(self) -> None:
-        self.judge.turned_at = clock.now()
+        self.detector.last_tick_at = clock.now()
         self.turn()
 
     def close(self) -> None:
@@ -35,33 +35,33 @@
             self.timer.cancel()
 
     def fresh(self) -> bool:
-        return not self.judge.awake(clock.now())
+        return not self.detector.check_for_pause(clock.now())
 
     def turn(self) -> None:
         # What waits at the socket came before this moment: read after the timers, answers that are there
         # would count as missing.
         self.peers.read()
         now = clock.now()
-        self.carry(self.judge.turn(now))
-        view = self.judge.view(now)
+        self.carry(self.detector.tick(now))
+        view = self.detector.view(now)
         if view != self.told:
             self.told = view
             self.on_view(view)
-        at = max(self.judge.due(), now + 0.001)
+        at = max(self.detector.next_tick_at(), now + 0.001)
         self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.turn)
 
     def heard(self, source: tuple[str, int], body: bytes) -> None:
         message, updates = wire.decode(body)
-        self.carry(self.judge.heard(clock.now(), source, message, updates))
+        self.carry(self.detector.handle_message(clock.now(), source, message, updates))
 
     def leave(self) -> None:
-        self.carry(self.judge.leave(clock.now()))
+        self.carry(self.detector.leave(clock.now()))
 
     def carry(self, sends: list[Send]) -> None:
         for send in sends:
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
-        for change in self.judge.changes:
-            mine, state = change.name == self.judge.me.name, change.state.name.lower()
+        for change in self.detector.changes:
+            mine, state = change.name == self.detector.identity.name, change.state.name.lower()
             self.tally.add(f"membership: {change.path}" if mine else f"members: {state}")
             # A kind of line for each state: the log bounds lines by kind, and doubts must not crowd out
             # deaths.
@@ -73,4 +73,4 @@
                 path=change.path,
                 late=round(change.late, 3),
             )
-        self.judge.changes.clear()
+        self.detector.changes.clear()
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -57,13 +57,13 @@
         self.peers.open()
         self.members.open()
         self.task = asyncio.get_running_loop().create_task(self.looking())
-        return {"membership": self.members.judge.me.address}
+        return {"membership": self.members.detector.identity.address}
 
     def renew(self, operator: Operator, papers: Papers) -> None:
-        self.members.judge.renew(clock.now(), papers.peers)
+        self.members.detector.set_peers(clock.now(), papers.peers)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
-        detector = self.members.judge
+        detector = self.members.detector
         return {
             "members.show": lambda: views.show(detector, clock.now()),
             "members.explain": lambda name: views.explain(detector, name, clock.now()),
@@ -73,7 +73,7 @@
         """As many fronts as share the engines: a fact for the decisions and the budgets."""
         if view.fronts != self.fronts:
             self.fronts = view.fronts
-            self.parts.log("fronts counted", fronts=view.fronts, alone=view.alone)
+            self.parts.log("fronts counted", fronts=view.fronts, alone=view.isolation_reason)
             self.parts.desk.tell(it.FrontsCounted(view.fronts))
             if self.parts.courses.gate:
                 self.parts.courses.gate.counted(view.fronts)
@@ -92,7 +92,7 @@
                 open_queries=len(batches.by_number),
             )
             serves = self.service_health.observe(observation)
-            self.members.judge.set_serving(clock.now(), serves)
+            self.members.detector.set_serving(clock.now(), serves)
 
     def stopping(self) -> None:
         self.left = True
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -42,7 +42,7 @@
     def __init__(self, parts: Parts, section: Takeover, membership: MembershipSide) -> None:
         papers = parts.papers
         sound(section, papers)
-        self.parts, self.members = parts, membership.members.judge
+        self.parts, self.members = parts, membership.members.detector
         terms = Terms(
             places=section.places,
             lease=section.lease_s,
@@ -52,7 +52,7 @@
             most_kept=section.most_kept,
             most_taken=section.most_taken,
         )
-        me = self.members.me
+        me = self.members.identity
         self.judge = Judge(
             terms,
             me.address,
@@ -76,8 +76,8 @@
 
     def standing(self, address: Address, life: int) -> Standing:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
-        if address == self.members.me.address:
-            return Standing.ALIVE if life == self.members.me.life else Standing.GONE
+        if address == self.members.identity.address:
+            return Standing.ALIVE if life == self.members.identity.life else Standing.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE:
             return Standing.GONE
@@ -88,7 +88,7 @@
         return member is not None and member.lives
 
     def alone(self) -> bool:
-        return bool(self.members.alone(clock.now()))
+        return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
         others = sorted(self.judge.catchup.others())
@@ -97,7 +97,7 @@
         return {"takeover": len(self.judge.places.fronts)}
 
     def renew(self, operator: Operator, papers: Papers) -> None:
-        self.judge.places.renew((*papers.peers, self.members.me.address))
+        self.judge.places.renew((*papers.peers, self.members.identity.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
--- a/thistlelever/membership/contacts.py
+++ b/thistlelever/membership/discovery.py
@@ -7,10 +7,10 @@
 from thistlelever.membership.table import MemberTable
 
 # How many addresses that were never met are pinged in a round at a start.
-PINGS_A_ROUND = 8
+PINGS_PER_ROUND = 8
 
 
-class Contacts:
+class PeerDiscovery:
     """Pings addresses at which nobody is known, and members that are held dead."""
 
     def __init__(self, table: MemberTable, prober: Prober, addresses: tuple[Address, ...]) -> None:
@@ -18,16 +18,16 @@
         self.table, self.prober = table, prober
         self.pinged, self.reconnects = 0, 0
         self.peers: tuple[Address, ...] = ()
-        self.replace(addresses)
+        self.set_peers(addresses)
 
-    def replace(self, addresses: tuple[Address, ...]) -> None:
+    def set_peers(self, addresses: tuple[Address, ...]) -> None:
         """Take another list of addresses; members that were met live on as long as they answer."""
         own = self.table.local.identity.address
         self.peers = tuple(address for address in addresses if address != own)
 
-    def ping_unmet(self, now: float) -> None:
+    def ping_unknown(self, now: float) -> None:
         """In each round of a start: ping some addresses at which nobody is known."""
-        for _ in range(min(PINGS_A_ROUND, len(self.peers))):
+        for _ in range(min(PINGS_PER_ROUND, len(self.peers))):
             self.pinged += 1
             address = self.peers[self.pinged % len(self.peers)]
             if address not in self.table.by_address:
--- a/thistlelever/membership/facts.py
+++ b/thistlelever/membership/facts.py
@@ -49,7 +49,7 @@
 class View(NamedTuple):
     """What others may act on. `alone` is why nothing of it may be acted on, or empty."""
 
-    alone: str
+    isolation_reason: str
     # Fronts taken to be alive, this one included; where `alone`, how many the settings name.
     fronts: int
     alive: int
--- a/thistlelever/membership/failure_detector.py
+++ b/thistlelever/membership/failure_detector.py
@@ -2,8 +2,8 @@
 and this front's own health before all.
 
     detector = FailureDetector(config, identity, tier, seed, now)
-    sends = detector.turn(now)                        # whenever `due` has come
-    sends = detector.heard(now, address, message, updates)
+    sends = detector.tick(now)                        # whenever `next_tick_at` has come
+    sends = detector.handle_message(now, address, message, updates)
     view = detector.view(now)
 
 Follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018); what departs from them
@@ -18,7 +18,7 @@
 from thistlelever.membership.anti_entropy import AntiEntropy
 from thistlelever.membership.chance import Chance
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.contacts import Contacts
+from thistlelever.membership.discovery import PeerDiscovery
 from thistlelever.membership.context import Context
 from thistlelever.membership.facts import Address, Identity, Send, TierSettings, View
 from thistlelever.membership.gossip import GossipQueue
@@ -36,7 +36,7 @@
 # Whether this front serves is told to others at most this often, and a front that stands down looks about
 # this often, in seconds.
 SERVING_INTERVAL, STOOD_DOWN_INTERVAL = 1.0, 1.0
-NO_WORD_YET = "no word yet"
+NOT_JOINED = "no word yet"
 
 
 class FailureDetector:
@@ -46,7 +46,7 @@
         self, config: MembershipConfig, identity: Identity, tier: TierSettings, seed: int, now: float
     ) -> None:
         """A front that starts now and has heard of nobody yet."""
-        self.config, self.me, self.configured_fronts = config, identity, tier.fronts
+        self.config, self.identity, self.configured_fronts = config, identity, tier.fronts
         context = Context(config, Chance(seed), LocalHealth(), GossipQueue(), Counter())
         self.chance, self.health = context.chance, context.health
         self.gossip, self.counts = context.gossip, context.counts
@@ -59,19 +59,19 @@
         self.anti_entropy = AntiEntropy(context, self.table, self.outbox)
         self.conflicts = NameConflicts(context, self.outbox, self.prober)
         self.merger = Merger(context, self.table, self.suspicions, self.conflicts)
-        self.contacts = Contacts(self.table, self.prober, tier.peers)
-        self.round_at, self.reconnect_at, self.turned_at = now, now, now
+        self.discovery = PeerDiscovery(self.table, self.prober, tier.peers)
+        self.round_at, self.reconnect_at, self.last_tick_at = now, now, now
         # Whether anybody has answered since the start.
         self.joined = False
-        self.was_alone = NO_WORD_YET
-        self.serving_told_at = NEVER
+        self.last_isolation_reason = NOT_JOINED
+        self.serving_changed_at = NEVER
 
     # Events.
 
-    def awake(self, now: float) -> bool:
+    def check_for_pause(self, now: float) -> bool:
         """Called before anything else of a moment. Whether the front was held up: then what waits at its
         socket is old and must not be heard."""
-        gap, self.turned_at = now - self.turned_at, now
+        gap, self.last_tick_at = now - self.last_tick_at, now
         late = gap - self.config.period
         self.health.lateness = max(late, 0.0)
         if gap <= self.config.pause_threshold:
@@ -96,47 +96,47 @@
         self.prober.postpone(seconds)
         self.suspicions.postpone(seconds)
 
-    def turn(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[Send]:
         """What is due by now. The carrier has handed on all that came before."""
         self.outbox.start()
-        if self.conflicts.successor:
+        if self.conflicts.newer_process:
             return []
-        alone = self.alone(now)
-        if alone != self.was_alone:
-            path = alone or "together"
+        reason = self.isolation_reason(now)
+        if reason != self.last_isolation_reason:
+            path = reason or "together"
             self.table.record_own_change(now, self.local.state, BY_ITSELF, path, self.health.lateness)
-            if alone:
+            if reason:
                 self.suspicions.withdraw(now)
-            self.was_alone = alone
+            self.last_isolation_reason = reason
         for member, probe in self.prober.expire(now):
-            self.probe_failed(now, member, probe)
-        self.suspicions.expire(now, bool(alone))
+            self.handle_probe_failure(now, member, probe)
+        self.suspicions.expire(now, bool(reason))
         if now >= self.round_at:
             self.begin_round(now)
         if now >= self.reconnect_at:
             self.reconnect_at = now + self.config.reconnect_interval
-            self.contacts.reconnect(now)
+            self.discovery.reconnect(now)
             self.forget(now)
         self.anti_entropy.retry(now)
         return self.outbox.sends
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When the next turn is."""
-        if self.conflicts.successor:
-            return self.turned_at + STOOD_DOWN_INTERVAL
+        if self.conflicts.newer_process:
+            return self.last_tick_at + STOOD_DOWN_INTERVAL
         return min(self.round_at, self.prober.next_due(self.round_at))
 
-    def heard(
+    def handle_message(
         self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
     ) -> list[Send]:
         """A datagram of this tier, in form."""
         self.outbox.start()
-        if self.conflicts.successor:
+        if self.conflicts.newer_process:
             return []
-        if message.name == self.me.name:
-            self.conflicts.hear_namesake(now, source, message)
+        if message.name == self.identity.name:
+            self.conflicts.handle_namesake(now, source, message)
         elif self.is_current(source, message):
-            self.receive(now, source, message, updates)
+            self.process(now, source, message, updates)
         return self.outbox.sends
 
     def set_serving(self, now: float, serves: bool) -> None:
@@ -144,9 +144,9 @@
         state = State.ALIVE if serves else State.UNFIT
         if self.local.state not in (State.ALIVE, State.UNFIT) or state is self.local.state:
             return
-        if now - self.serving_told_at < SERVING_INTERVAL:
+        if now - self.serving_changed_at < SERVING_INTERVAL:
             return
-        self.local.state, self.serving_told_at = state, now
+        self.local.state, self.serving_changed_at = state, now
         self.outbox.announce(self.local.incarnation + 1)
         path = "serves" if serves else "serves nobody"
         self.table.record_own_change(now, state, BY_ITSELF, path)
@@ -162,28 +162,28 @@
             self.outbox.send(member, Kind.PING, self.chance.nonce())
         return self.outbox.sends
 
-    def renew(self, now: float, peers: tuple[Address, ...]) -> None:
+    def set_peers(self, now: float, peers: tuple[Address, ...]) -> None:
         """Another list of peers: new ones are met at once, old ones live on as long as they answer."""
-        self.contacts.replace(peers)
+        self.discovery.set_peers(peers)
         self.reconnect_at = min(self.reconnect_at, now)
 
     # What is believed.
 
-    def alone(self, now: float) -> str:
+    def isolation_reason(self, now: float) -> str:
         """Why nothing that this front believes of others may be acted on, or empty."""
-        if self.conflicts.successor:
-            return self.conflicts.reason()
-        if not self.contacts.peers and not self.members:
+        if self.conflicts.newer_process:
+            return self.conflicts.stand_down_reason()
+        if not self.discovery.peers and not self.members:
             return "no peers"
         if not self.joined:
-            return NO_WORD_YET
+            return NOT_JOINED
         if self.health.is_unheard(now, self.config.isolation_timeout):
             return "nobody answers"
         return "held up, view not renewed" if self.anti_entropy.stale else ""
 
     def view(self, now: float) -> View:
         """How many fronts there are, as far as this front may act on it."""
-        alone = self.alone(now)
+        reason = self.isolation_reason(now)
         living = [member for member in self.members.values() if member.lives]
         # Risk: a share grows by a death that is taken back a moment later.
         unsure = sum(
@@ -192,8 +192,8 @@
         )
         alive = 1 + len(living)
         return View(
-            alone,
-            self.configured_fronts if alone else alive + unsure,
+            reason,
+            self.configured_fronts if reason else alive + unsure,
             alive,
             sum(member.state is State.SUSPECTED for member in living),
             sum(member.state is State.UNFIT for member in living) + (self.local.state is State.UNFIT),
@@ -205,8 +205,8 @@
         """Meet who was not met yet, and probe two members."""
         # Rounds missed are not made up for.
         self.round_at = max(self.round_at + self.config.period, now + self.config.period / 2)
-        if not self.joined or len(self.members) < len(self.contacts.peers):
-            self.contacts.ping_unmet(now)
+        if not self.joined or len(self.members) < len(self.discovery.peers):
+            self.discovery.ping_unknown(now)
         self.prober.begin_round(now)
 
     def forget(self, now: float) -> None:
@@ -216,18 +216,18 @@
         self.table.forget_refutations(now)
         self.prober.drop_late(now)
 
-    def probe_failed(self, now: float, member: Member, probe: Probe) -> None:
+    def handle_probe_failure(self, now: float, member: Member, probe: Probe) -> None:
         """A probe had no answer, nor had those that were asked: accuse the member, if this front can tell."""
         self.counts["probes failed"] += 1
         # Those asked owe word either way: where none comes, it is this front that nothing reaches.
         nobody_replied = probe.asked and not probe.nacks
         if nobody_replied:
             self.health.worsen(1)
-        if self.alone(now) or self.health.patience() > 1 and nobody_replied:
+        if self.isolation_reason(now) or self.health.patience() > 1 and nobody_replied:
             return
         waited = now - probe.at
         path = f"no answer in {waited:.3f} s, nor to {probe.asked} others ({probe.nacks} said so)"
-        self.suspicions.accuse(now, member, self.local.tag, self.me.name, path)
+        self.suspicions.accuse(now, member, self.local.tag, self.identity.name, path)
 
     # Steps of taking a datagram.
 
@@ -248,7 +248,7 @@
             return False
         return True
 
-    def receive(
+    def process(
         self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
     ) -> None:
         """A datagram of another front's present life: learn from it, answer it, compare the views."""
@@ -261,16 +261,16 @@
             return
         for update in updates:
             self.merger.learn(now, update, message.name)
-        self.act_on(now, source, sender, message)
+        self.respond_to(now, source, sender, message)
         self.anti_entropy.compare(now, source, message.digest, returned)
 
-    def act_on(self, now: float, source: Address, sender: Member, message: Message) -> None:
+    def respond_to(self, now: float, source: Address, sender: Member, message: Message) -> None:
         """Do what a message wants."""
         match message.kind:
             case Kind.PING:
                 self.outbox.send(sender, Kind.ACK, message.nonce, to=source)
             case Kind.ACK:
-                self.acknowledged(now, sender, message)
+                self.handle_ack(now, sender, message)
             case Kind.ASK:
                 self.prober.probe_for(now, source, message)
             case Kind.NACK:
@@ -280,7 +280,7 @@
             case Kind.LIST:
                 self.anti_entropy.take(now, source, message)
 
-    def acknowledged(self, now: float, sender: Member, message: Message) -> None:
+    def handle_ack(self, now: float, sender: Member, message: Message) -> None:
         """An answer to a ping: somebody heard this front and said so, so it is not alone."""
         if self.conflicts.check_nonce and message.nonce == self.conflicts.check_nonce:
             return
--- a/thistlelever/membership/name_conflict.py
+++ b/thistlelever/membership/name_conflict.py
@@ -23,7 +23,7 @@
         self.chance, self.health, self.counts = context.chance, context.health, context.counts
         # Where a process under this name lives that started later, once it has answered: then this front
         # stands down.
-        self.successor = ""
+        self.newer_process = ""
         self.check_nonce, self.checked_at = 0, NEVER
 
     def refute(self, now: float, update: GossipUpdate) -> None:
@@ -52,7 +52,7 @@
         self.checked_at, self.check_nonce = now, self.chance.nonce()
         self.prober.ping_address(now, address, self.check_nonce)
 
-    def hear_namesake(self, now: float, source: Address, message: Message) -> None:
+    def handle_namesake(self, now: float, source: Address, message: Message) -> None:
         """A datagram under this front's own name."""
         if message.life == self.local.identity.life:
             self.counts["own words back"] += 1
@@ -63,12 +63,12 @@
         elif message.kind is Kind.ACK and message.nonce == self.check_nonce:
             self.counts["namesakes"] += 1
             if message.life > self.local.identity.life:
-                self.successor = f"{source[0]}:{source[1]}"
+                self.newer_process = f"{source[0]}:{source[1]}"
                 by = self.local.identity.name
-                self.table.record_own_change(now, self.local.state, by, self.reason())
+                self.table.record_own_change(now, self.local.state, by, self.stand_down_reason())
 
-    def reason(self) -> str:
+    def stand_down_reason(self) -> str:
         """Why this front stands down, or empty."""
-        if not self.successor:
+        if not self.newer_process:
             return ""
-        return f"another process under this name, at {self.successor}, started later"
+        return f"another process under this name, at {self.newer_process}, started later"
--- a/thistlelever/membership/suspicion.py
+++ b/thistlelever/membership/suspicion.py
@@ -82,12 +82,12 @@
         confirmed = log(accusers) / log(self.config.accusers) if accusers > 1 else 0.0
         return longest * (1 - confirmed / 2)
 
-    def expire(self, now: float, alone: bool) -> None:
+    def expire(self, now: float, isolated: bool) -> None:
         """Members whose time to refute is over are held dead, unless this front can't tell."""
         members = self.table.members
         for name in [name for name in self.table.suspected if members[name].deadline <= now]:
             member = members[name]
-            if alone:
+            if isolated:
                 member.deadline = now + self.duration(member)
             elif self.health.may_be_unheard(now, self.config.isolation_timeout):
                 # Risk: a suspicion may end before a patient front knows that it is alone.
--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -11,9 +11,9 @@
     """The whole view, with counts."""
     view = detector.view(now)
     return {
-        "name": detector.me.name,
+        "name": detector.identity.name,
         "state": detector.local.state.name.lower(),
-        "alone": view.alone,
+        "alone": view.isolation_reason,
         "fronts": view.fronts,
         "alive": view.alive,
         "suspected": view.suspected,
@@ -30,7 +30,7 @@
     """Why a member is held to be what it is: who said so, over which path, how late."""
     member = detector.members.get(name)
     if member is None:
-        state = "this front itself" if name == detector.me.name else "not known here"
+        state = "this front itself" if name == detector.identity.name else "not known here"
         return {"name": name, "state": state, "story": []}
     changes = [describe_change(change, now) for change in member.changes]
     return describe_member(member, now) | {"story": changes}
