--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -21,9 +21,9 @@
 from thistlelever.ground import papers
 from thistlelever.ground.tally import Tally
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.facts import Identity, TierSettings
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
+from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.standins.directory import dns_answer
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.roll import Roll
--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -15,9 +15,9 @@
 
 from rigs.verdict import Chance, close
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.facts import Identity, TierSettings
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
+from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.wire.peers import State, decode, encode, opened, tag
 
 TIER = tag("model")
@@ -193,7 +193,7 @@
         """Whether all the living hold just the living for alive."""
         living = set(self.living())
         return all(
-            {m.name for m in self.detectors[n].members.values() if m.lives} == living - {n} for n in living
+            {m.name for m in self.detectors[n].members.values() if m.is_alive} == living - {n} for n in living
         )
 
 
@@ -293,7 +293,7 @@
     if deaths >= members - 1:
         raise click.UsageError("--deaths: two members at least must live to the end")
     found = {"ours": measure(FailureDetector, members, loss, seconds, deaths, seed, bursts, pauses)}
-    plain = MembershipConfig(witnesses=0)
+    plain = MembershipConfig(verifiers=0)
     found["swim"] = measure(Swim, members, loss, seconds, deaths, seed, bursts, pauses, plain)
     times, false = Heartbeats(members, loss, seed, 0.1, 1.0).play(seconds, deaths * 20)
     found["heartbeats"] = {
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -22,12 +22,12 @@
 
 def detour():
     """Nobody is asked to try for another, and nobody that hears of a suspicion sees for itself."""
-    Prober.ask_others = lambda self, nonce, member: 0
+    Prober.request_indirect_probes = lambda self, nonce, member: 0
 
 
 def incarnation():
     """What is said of a life long past is believed of the present one."""
-    learn = Merger.learn
+    merge = Merger.merge
 
     def believing(self, now, update, by):
         member = self.table.get(update.name)
@@ -39,9 +39,9 @@
             update = type(update)(
                 update.name, update.address, member.incarnation, update.life, update.state, update.accuser
             )
-        learn(self, now, update, by)
+        merge(self, now, update, by)
 
-    Merger.learn = believing
+    Merger.merge = believing
 
 
 def promise():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,13 +14,13 @@
 
 from rigs.membership_model import TIER, Network
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.facts import Identity, TierSettings
-from thistlelever.membership.gossip import GossipQueue
 from thistlelever.membership.failure_detector import FailureDetector
-from thistlelever.membership.member import REPLAY_WINDOW, Member, is_fresh
-from thistlelever.membership.service_health import MIN_TAKEN, STUCK_AFTER, Observation, ServiceHealth
+from thistlelever.membership.gossip import GossipQueue
+from thistlelever.membership.member import REPLAY_WINDOW, Member, accept_sequence_number
+from thistlelever.membership.service_health import MIN_RECEIVED, STUCK_AFTER, Observation, ServiceHealth
+from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.wire import peers as wire
-from thistlelever.wire.peers import Kind, Message, GossipUpdate, State
+from thistlelever.wire.peers import GossipUpdate, Kind, Message, State
 
 WORD = GossipUpdate("front-1", bytes((127, 0, 0, 1, 0, 9)), 7, 7, State.ALIVE)
 
@@ -107,7 +107,7 @@
 
 def test_a_number_is_taken_once_and_not_long_after():
     member = Member("a", ("", 0), 1, 1, 0.0)
-    assert [is_fresh(member, n) for n in (5, 3, 5, 3, 4, 6, 6)] == [
+    assert [accept_sequence_number(member, n) for n in (5, 3, 5, 3, 4, 6, 6)] == [
         True,
         True,
         False,
@@ -116,8 +116,10 @@
         True,
         False,
     ]
-    assert is_fresh(member, 500)
-    assert not is_fresh(member, 500 - REPLAY_WINDOW) and is_fresh(member, 501 - REPLAY_WINDOW)
+    assert accept_sequence_number(member, 500)
+    assert not accept_sequence_number(member, 500 - REPLAY_WINDOW) and accept_sequence_number(
+        member, 501 - REPLAY_WINDOW
+    )
 
 
 def tier(many, seed=1, loss=0.0, way=FailureDetector, **facts):
@@ -358,7 +360,7 @@
         "n2", wire.address_bytes(net.detectors["n2"].identity.address), before, before, State.DEAD
     )
     for name in ("n0", "n1", "n3"):
-        net.detectors[name].merger.learn(net.now, old, "n4")
+        net.detectors[name].merger.merge(net.now, old, "n4")
     assert set(states(net, "n2").values()) == {State.ALIVE}
 
 
@@ -421,9 +423,11 @@
 def test_fitness_is_judged_by_what_is_returned():
     health = ServiceHealth()
     assert health.observe(Observation(0.0, True, 0, 0, 0, 0))
-    assert health.observe(Observation(1.0, True, MIN_TAKEN, MIN_TAKEN, 0, 0))
-    assert not health.observe(Observation(STUCK_AFTER + 1, True, 2 * MIN_TAKEN, 2 * MIN_TAKEN, 0, 0))
-    assert health.observe(Observation(STUCK_AFTER + 2, True, 2 * MIN_TAKEN + 1, 2 * MIN_TAKEN + 1, 1, 0))
+    assert health.observe(Observation(1.0, True, MIN_RECEIVED, MIN_RECEIVED, 0, 0))
+    assert not health.observe(Observation(STUCK_AFTER + 1, True, 2 * MIN_RECEIVED, 2 * MIN_RECEIVED, 0, 0))
+    assert health.observe(
+        Observation(STUCK_AFTER + 2, True, 2 * MIN_RECEIVED + 1, 2 * MIN_RECEIVED + 1, 1, 0)
+    )
     assert not health.observe(Observation(STUCK_AFTER + 3, False, 0, 0, 1, 0))
 
 
@@ -620,7 +624,7 @@
 
     found = 0
     for member in detector.members.values():
-        if member.lives:
+        if member.is_alive:
             found ^= crc32(b"%s %d" % (member.name.encode(), member.incarnation))
     return found
 
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -9,8 +9,8 @@
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.tally import Tally
-from thistlelever.membership.facts import Send, View
 from thistlelever.membership.failure_detector import FailureDetector
+from thistlelever.membership.types import Send, View
 from thistlelever.wire import peers as wire
 
 
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -15,9 +15,9 @@
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.facts import Identity, TierSettings, View
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.service_health import Observation, ServiceHealth
+from thistlelever.membership.types import Identity, TierSettings, View
 
 # Lives are counted from here, in eighths of a second: the Unix second of 2020's first.
 EPOCH = 1_577_836_800
@@ -86,7 +86,7 @@
             observation = Observation(
                 at=clock.now(),
                 ready=not self.left,
-                taken=counts["taken"],
+                received=counts["taken"],
                 answered=answered,
                 returned=counts["End"],
                 open_queries=len(batches.by_number),
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -85,7 +85,7 @@
 
     def alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
-        return member is not None and member.lives
+        return member is not None and member.is_alive
 
     def alone(self) -> bool:
         return bool(self.members.isolation_reason(clock.now()))
--- a/thistlelever/membership/config.py
+++ b/thistlelever/membership/config.py
@@ -22,11 +22,11 @@
     # No answer from anybody for so long: this front is alone, whatever it believes of others.
     isolation_timeout: float = 0.35
     # How many others are asked to probe a member that does not answer this front.
-    helpers: int = 3
+    indirect_probes: int = 3
     # How many accusers make a suspicion as short as it gets.
     accusers: int = 3
     # How many of those that hear of a suspicion probe the member themselves.
-    witnesses: int = 6
+    verifiers: int = 6
     # A death younger than this still counts where shares are reckoned.
     death_grace: float = 2.0
     # A member that is dead or has left is forgotten after this.
--- a/thistlelever/membership/discovery.py
+++ b/thistlelever/membership/discovery.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from thistlelever.membership.facts import Address
 from thistlelever.membership.prober import Prober
 from thistlelever.membership.table import MemberTable
+from thistlelever.membership.types import Address
 
 # How many addresses that were never met are pinged in a round at a start.
 PINGS_PER_ROUND = 8
@@ -38,7 +38,7 @@
 
         That is how the two sides of a cut find each other again, and how a start without peers ends.
         """
-        away = sorted(member.address for member in self.table.members.values() if not member.lives)
+        away = sorted(member.address for member in self.table.members.values() if not member.is_alive)
         away += sorted(address for address in self.peers if address not in self.table.by_address)
         if away:
             self.reconnects += 1
--- a/thistlelever/membership/failure_detector.py
+++ b/thistlelever/membership/failure_detector.py
@@ -16,22 +16,22 @@
 from collections import Counter
 
 from thistlelever.membership.anti_entropy import AntiEntropy
-from thistlelever.membership.chance import Chance
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.discovery import PeerDiscovery
 from thistlelever.membership.context import Context
-from thistlelever.membership.facts import Address, Identity, Send, TierSettings, View
+from thistlelever.membership.discovery import PeerDiscovery
 from thistlelever.membership.gossip import GossipQueue
 from thistlelever.membership.local import LocalMember
 from thistlelever.membership.local_health import LocalHealth
-from thistlelever.membership.member import NEVER, Member, is_fresh
+from thistlelever.membership.member import NEVER, Member, accept_sequence_number
 from thistlelever.membership.merge import BY_ITSELF, Merger
 from thistlelever.membership.name_conflict import NameConflicts
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.prober import Probe, Prober
+from thistlelever.membership.random_source import RandomSource
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import Kind, Message, GossipUpdate, State
+from thistlelever.membership.types import Address, Identity, Send, TierSettings, View
+from thistlelever.wire.peers import GossipUpdate, Kind, Message, State
 
 # Whether this front serves is told to others at most this often, and a front that stands down looks about
 # this often, in seconds.
@@ -47,11 +47,11 @@
     ) -> None:
         """A front that starts now and has heard of nobody yet."""
         self.config, self.identity, self.configured_fronts = config, identity, tier.fronts
-        context = Context(config, Chance(seed), LocalHealth(), GossipQueue(), Counter())
-        self.chance, self.health = context.chance, context.health
+        context = Context(config, RandomSource(seed), LocalHealth(), GossipQueue(), Counter())
+        self.random, self.health = context.random, context.health
         self.gossip, self.counts = context.gossip, context.counts
         self.local = LocalMember(identity)
-        self.table = MemberTable(self.local, self.chance, now)
+        self.table = MemberTable(self.local, self.random, now)
         self.members, self.changes = self.table.members, self.table.changes
         self.outbox = Outbox(self.local, self.table, self.gossip)
         self.prober = Prober(context, self.table, self.outbox)
@@ -88,7 +88,7 @@
         self.suspicions.withdraw(now)
         # Nothing that was believed is acted on until somebody's whole list was read.
         self.anti_entropy.stale = self.joined
-        self.health.heard_from_others(now)
+        self.health.note_contact(now)
         return True
 
     def postpone(self, seconds: float) -> None:
@@ -98,7 +98,7 @@
 
     def tick(self, now: float) -> list[Send]:
         """What is due by now. The carrier has handed on all that came before."""
-        self.outbox.start()
+        self.outbox.begin_event()
         if self.conflicts.newer_process:
             return []
         reason = self.isolation_reason(now)
@@ -130,7 +130,7 @@
         self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
     ) -> list[Send]:
         """A datagram of this tier, in form."""
-        self.outbox.start()
+        self.outbox.begin_event()
         if self.conflicts.newer_process:
             return []
         if message.name == self.identity.name:
@@ -153,13 +153,13 @@
 
     def leave(self, now: float) -> list[Send]:
         """SIGTERM: said at once to as many as it takes for all to hear."""
-        self.outbox.start()
+        self.outbox.begin_event()
         self.local.state = State.LEFT
         self.outbox.announce(self.local.incarnation)
-        living = [member for member in self.members.values() if member.lives]
-        for _ in range(min(len(living), self.outbox.sends_an_update())):
-            member = living.pop(self.chance.below(len(living)))
-            self.outbox.send(member, Kind.PING, self.chance.nonce())
+        living = [member for member in self.members.values() if member.is_alive]
+        for _ in range(min(len(living), self.outbox.transmissions_per_update())):
+            member = living.pop(self.random.below(len(living)))
+            self.outbox.send(member, Kind.PING, self.random.nonce())
         return self.outbox.sends
 
     def set_peers(self, now: float, peers: tuple[Address, ...]) -> None:
@@ -177,14 +177,14 @@
             return "no peers"
         if not self.joined:
             return NOT_JOINED
-        if self.health.is_unheard(now, self.config.isolation_timeout):
+        if self.health.is_isolated(now, self.config.isolation_timeout):
             return "nobody answers"
         return "held up, view not renewed" if self.anti_entropy.stale else ""
 
     def view(self, now: float) -> View:
         """How many fronts there are, as far as this front may act on it."""
         reason = self.isolation_reason(now)
-        living = [member for member in self.members.values() if member.lives]
+        living = [member for member in self.members.values() if member.is_alive]
         # Risk: a share grows by a death that is taken back a moment later.
         unsure = sum(
             member.state is State.DEAD and now - member.since < self.config.death_grace
@@ -214,19 +214,19 @@
         for name in self.table.forget(now, self.config.forget_after):
             self.gossip.drop(name)
         self.table.forget_refutations(now)
-        self.prober.drop_late(now)
+        self.prober.forget_unawaited(now)
 
     def handle_probe_failure(self, now: float, member: Member, probe: Probe) -> None:
         """A probe had no answer, nor had those that were asked: accuse the member, if this front can tell."""
         self.counts["probes failed"] += 1
         # Those asked owe word either way: where none comes, it is this front that nothing reaches.
-        nobody_replied = probe.asked and not probe.nacks
+        nobody_replied = probe.indirect_requests and not probe.nacks
         if nobody_replied:
             self.health.worsen(1)
-        if self.isolation_reason(now) or self.health.patience() > 1 and nobody_replied:
+        if self.isolation_reason(now) or self.health.multiplier() > 1 and nobody_replied:
             return
         waited = now - probe.at
-        path = f"no answer in {waited:.3f} s, nor to {probe.asked} others ({probe.nacks} said so)"
+        path = f"no answer in {waited:.3f} s, nor to {probe.indirect_requests} others ({probe.nacks} said so)"
         self.suspicions.accuse(now, member, self.local.tag, self.identity.name, path)
 
     # Steps of taking a datagram.
@@ -241,9 +241,9 @@
             self.counts["of a former life"] += 1
             if message.kind is Kind.PING:
                 # Risk: one that was started again with its clock set back never learns what to outbid.
-                self.outbox.send_to(source, Kind.ACK, message.nonce, first=member.record())
+                self.outbox.send_to(source, Kind.ACK, message.nonce, first=member.to_update())
             return False
-        if message.life == member.life and not is_fresh(member, message.count):
+        if message.life == member.life and not accept_sequence_number(member, message.count):
             self.counts["replayed or too late"] += 1
             return False
         return True
@@ -260,9 +260,9 @@
             self.counts["past the bound"] += 1
             return
         for update in updates:
-            self.merger.learn(now, update, message.name)
+            self.merger.merge(now, update, message.name)
         self.respond_to(now, source, sender, message)
-        self.anti_entropy.compare(now, source, message.digest, returned)
+        self.anti_entropy.compare_digests(now, source, message.digest, returned)
 
     def respond_to(self, now: float, source: Address, sender: Member, message: Message) -> None:
         """Do what a message wants."""
@@ -272,22 +272,22 @@
             case Kind.ACK:
                 self.handle_ack(now, sender, message)
             case Kind.ASK:
-                self.prober.probe_for(now, source, message)
+                self.prober.probe_on_behalf(now, source, message)
             case Kind.NACK:
-                self.prober.note_nack(message.nonce)
+                self.prober.handle_nack(message.nonce)
             case Kind.LIST_ASK:
-                self.anti_entropy.give(sender, message)
+                self.anti_entropy.send_page(sender, message)
             case Kind.LIST:
-                self.anti_entropy.take(now, source, message)
+                self.anti_entropy.handle_page(now, source, message)
 
     def handle_ack(self, now: float, sender: Member, message: Message) -> None:
         """An answer to a ping: somebody heard this front and said so, so it is not alone."""
         if self.conflicts.check_nonce and message.nonce == self.conflicts.check_nonce:
             return
-        if not self.prober.acknowledge(now, sender, message):
+        if not self.prober.handle_ack(now, sender, message):
             return
         sender.answered_at = now
-        self.health.heard_from_others(now)
+        self.health.note_contact(now)
         if not self.joined:
             self.joined = True
-            self.anti_entropy.ask(now, sender.address)
+            self.anti_entropy.request(now, sender.address)
--- a/thistlelever/membership/gossip.py
+++ b/thistlelever/membership/gossip.py
@@ -9,7 +9,7 @@
 from thistlelever.wire.peers import GossipUpdate, packed
 
 # No frame has room for more.
-MAX_UPDATES_A_FRAME = 12
+MAX_UPDATES_PER_FRAME = 12
 
 
 class QueuedUpdate:
@@ -43,7 +43,7 @@
         """Pass on nothing more of this member."""
         self.updates.pop(name, None)
 
-    def take(self, room: int, sends: int, first: GossipUpdate | None = None) -> tuple[Raw, ...]:
+    def take(self, room: int, max_sends: int, first: GossipUpdate | None = None) -> tuple[Raw, ...]:
         """As many as fit in `room` bytes; each is dropped once it was sent so many times.
 
         `first` goes in any case: what is said of the receiver, which alone can refute it.
@@ -52,13 +52,13 @@
         if first is not None:
             taken.append(packed(first))
             room -= len(taken[0])
-        due = nsmallest(MAX_UPDATES_A_FRAME, self.updates.values(), key=lambda u: (u.sent, -u.sequence))
+        due = nsmallest(MAX_UPDATES_PER_FRAME, self.updates.values(), key=lambda u: (u.sent, -u.sequence))
         for queued in due:
             if first is not None and queued.update.name == first.name or len(queued.encoded) > room:
                 continue
             room -= len(queued.encoded)
             taken.append(queued.encoded)
             queued.sent += 1
-            if queued.sent >= sends:
+            if queued.sent >= max_sends:
                 del self.updates[queued.update.name]
         return tuple(taken)
--- a/thistlelever/membership/local.py
+++ b/thistlelever/membership/local.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistlelever.membership.facts import Identity
+from thistlelever.membership.types import Identity
 from thistlelever.wire.peers import GossipUpdate, State, address_bytes, tag
 
 
@@ -14,7 +14,7 @@
         self.identity, self.tag = identity, tag(identity.name)
         self.incarnation, self.state = identity.life, State.ALIVE
 
-    def record(self) -> GossipUpdate:
+    def to_update(self) -> GossipUpdate:
         """What it says of itself."""
         name, address, life = self.identity
         return GossipUpdate(name, address_bytes(address), self.incarnation, life, self.state)
--- a/thistlelever/membership/member.py
+++ b/thistlelever/membership/member.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistlelever.membership.facts import Address, Change
+from thistlelever.membership.types import Address, Change
 from thistlelever.wire.peers import GossipUpdate, State, address_bytes
 
 # So many changes of each member are remembered, for those who ask why.
@@ -49,11 +49,11 @@
         self.changes: tuple[Change, ...] = ()
 
     @property
-    def lives(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether it is taken to be alive, suspected or not."""
         return self.state < State.DEAD
 
-    def record(self, accuser: int = 0) -> GossipUpdate:
+    def to_update(self, accuser: int = 0) -> GossipUpdate:
         """What is believed of it, as it is told to others."""
         if self.state is State.SUSPECTED and not accuser:
             accuser = min(self.accusers)
@@ -65,7 +65,7 @@
         self.accusers, self.deadline = frozenset(), float("inf")
 
 
-def is_fresh(member: Member, number: int) -> bool:
+def accept_sequence_number(member: Member, number: int) -> bool:
     """Whether a datagram of this number has not come before, and is none of long ago; it is noted."""
     ahead = number - member.last_number
     if ahead > 0:
--- a/thistlelever/membership/merge.py
+++ b/thistlelever/membership/merge.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from thistlelever.membership.context import Context
-from thistlelever.membership.facts import Address
-from thistlelever.membership.member import Member, is_fresh
+from thistlelever.membership.member import Member, accept_sequence_number
 from thistlelever.membership.name_conflict import NameConflicts
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import Message, GossipUpdate, State, address_of, tag
+from thistlelever.membership.types import Address
+from thistlelever.wire.peers import GossipUpdate, Message, State, address_of, tag
 
 BY_GOSSIP = "rumour"
 BY_DEATH_GOSSIP = "rumour of its death"
@@ -33,17 +33,17 @@
             if len(self.table.members) >= self.config.max_members:
                 return None
             member = Member(name, source, incarnation, life, now)
-            is_fresh(member, message.count)
+            accept_sequence_number(member, message.count)
             self.table.add(now, member, name, BY_ITSELF)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
         elif incarnation > member.incarnation:
-            self.table.renew(now, member, source, incarnation, life)
-            is_fresh(member, message.count)
+            self.table.raise_incarnation(now, member, source, incarnation, life)
+            accept_sequence_number(member, message.count)
             self.table.set_state(now, member, State.ALIVE, name, BY_ITSELF)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
         return member
 
-    def learn(self, now: float, update: GossipUpdate, by: str) -> None:
+    def merge(self, now: float, update: GossipUpdate, by: str) -> None:
         """Merge one update that another front passed on."""
         if update.name == self.table.local.identity.name:
             self.conflicts.refute(now, update)
@@ -70,22 +70,24 @@
         address = address_of(update.address)
         member = Member(update.name, address, update.incarnation, update.life, now)
         self.table.add(now, member, by, BY_GOSSIP)
-        self.gossip.add(member.record())
+        self.gossip.add(member.to_update())
         return member
 
     def replace(self, now: float, member: Member, update: GossipUpdate, newer: bool, by: str) -> None:
         """Believe the update in place of what was believed."""
         if newer:
-            self.table.renew(now, member, address_of(update.address), update.incarnation, update.life)
+            self.table.raise_incarnation(
+                now, member, address_of(update.address), update.incarnation, update.life
+            )
         if update.state is State.SUSPECTED:
             if newer:
                 self.table.set_state(now, member, State.ALIVE, by, BY_GOSSIP)
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
-        elif update.state is State.DEAD and member.lives:
+        elif update.state is State.DEAD and member.is_alive:
             # Departs from SWIM: a death by hearsay is one more accuser. Who passes it on may be of the other
             # side of a cut that has just healed, where the member was out of reach and could refute nothing.
             self.counts["deaths by hearsay"] += 1
-            self.suspicions.hear_of_death(now, member, tag(by), by, BY_DEATH_GOSSIP)
+            self.suspicions.accuse_by_reported_death(now, member, tag(by), by, BY_DEATH_GOSSIP)
         else:
             self.table.set_state(now, member, update.state, by, BY_GOSSIP)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
--- a/thistlelever/membership/name_conflict.py
+++ b/thistlelever/membership/name_conflict.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from thistlelever.membership.context import Context
-from thistlelever.membership.facts import Address
 from thistlelever.membership.member import NEVER
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.prober import Prober
-from thistlelever.wire.peers import Kind, Message, GossipUpdate, State, address_of
+from thistlelever.membership.types import Address
+from thistlelever.wire.peers import GossipUpdate, Kind, Message, State, address_of
 
 # Another process under this name is asked for at most this often, in seconds.
 CHECK_INTERVAL = 1.0
@@ -20,7 +20,7 @@
         """No other process is known of."""
         self.outbox, self.prober = outbox, prober
         self.local, self.table = outbox.local, outbox.table
-        self.chance, self.health, self.counts = context.chance, context.health, context.counts
+        self.random, self.health, self.counts = context.random, context.health, context.counts
         # Where a process under this name lives that started later, once it has answered: then this front
         # stands down.
         self.newer_process = ""
@@ -49,7 +49,7 @@
         """At another address is a former life, or another process that lives. It is asked."""
         if address == self.local.identity.address or now - self.checked_at < CHECK_INTERVAL:
             return
-        self.checked_at, self.check_nonce = now, self.chance.nonce()
+        self.checked_at, self.check_nonce = now, self.random.nonce()
         self.prober.ping_address(now, address, self.check_nonce)
 
     def handle_namesake(self, now: float, source: Address, message: Message) -> None:
--- a/thistlelever/membership/outbox.py
+++ b/thistlelever/membership/outbox.py
@@ -6,15 +6,15 @@
 
 from msgspec import structs
 
-from thistlelever.membership.facts import Address, Send
 from thistlelever.membership.gossip import GossipQueue
 from thistlelever.membership.local import LocalMember
 from thistlelever.membership.member import Member
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import ROOM, Kind, Message, GossipUpdate, State, size
+from thistlelever.membership.types import Address, Send
+from thistlelever.wire.peers import ROOM, GossipUpdate, Kind, Message, State, size
 
 # How often an update is sent: so many times the logarithm of the tier's size.
-SENDS_FACTOR = 3
+RETRANSMIT_FACTOR = 3
 
 
 class Outbox:
@@ -26,7 +26,7 @@
         self.number = 0
         self.sends: list[Send] = []
 
-    def start(self) -> None:
+    def begin_event(self) -> None:
         """Another event: what the one before it sent was handed on."""
         self.sends = []
 
@@ -35,7 +35,7 @@
     ) -> None:
         """To a member goes first what is held against it, which it alone can refute."""
         accused = member.state in (State.SUSPECTED, State.DEAD, State.LEFT)
-        first = member.record() if accused else None
+        first = member.to_update() if accused else None
         self.send_to(to or member.address, kind, nonce, place, first)
 
     def send_to(
@@ -44,12 +44,12 @@
         """To an address, whoever is there."""
         self.number += 1
         if self.local.state is State.LEFT:
-            first = first or self.local.record()
+            first = first or self.local.to_update()
         bare = self.message(kind, nonce, place)
-        updates = self.gossip.take(ROOM - size(bare), self.sends_an_update(), first)
+        updates = self.gossip.take(ROOM - size(bare), self.transmissions_per_update(), first)
         self.sends.append(Send(address, structs.replace(bare, updates=updates)))
 
-    def send_whole(self, address: Address, kind: Kind, nonce: int, place: str, records: tuple) -> None:
+    def send_records(self, address: Address, kind: Kind, nonce: int, place: str, records: tuple) -> None:
         """To an address, with these records in place of updates."""
         self.number += 1
         self.sends.append(Send(address, self.message(kind, nonce, place, records)))
@@ -57,14 +57,14 @@
     def message(self, kind: Kind, nonce: int, place: str = "", records: tuple = ()) -> Message:
         """A message of this front under the latest number."""
         name, _, life = self.local.identity
-        digest = self.table.shown_digest()
+        digest = self.table.full_digest()
         return Message(kind, name, life, self.local.incarnation, self.number, nonce, digest, place, records)
 
     def announce(self, incarnation: int) -> None:
         """Tell others what this front says of itself, at this incarnation at least."""
         self.local.incarnation = max(self.local.incarnation, incarnation)
-        self.gossip.add(self.local.record())
+        self.gossip.add(self.local.to_update())
 
-    def sends_an_update(self) -> int:
+    def transmissions_per_update(self) -> int:
         """How often each update is sent before it is dropped."""
-        return SENDS_FACTOR * int(1 + log2(self.table.living_count + 2))
+        return RETRANSMIT_FACTOR * int(1 + log2(self.table.alive_count + 2))
--- a/thistlelever/membership/chance.py
+++ b/thistlelever/membership/random_source.py
@@ -1,11 +1,11 @@
-"""Chance for the failure detector: the same seed and calls give the same draws."""
+"""RandomSource for the failure detector: the same seed and calls give the same draws."""
 
 from __future__ import annotations
 
 from zlib import crc32
 
 
-class Chance:
+class RandomSource:
     """Draws from a seed and two counters."""
 
     def __init__(self, seed: int) -> None:
--- a/thistlelever/membership/service_health.py
+++ b/thistlelever/membership/service_health.py
@@ -6,8 +6,8 @@
 from collections import deque
 from typing import NamedTuple
 
-# Nothing returned for so many seconds, though so many queries were taken: the front serves nobody.
-STUCK_AFTER, MIN_TAKEN = 5.0, 5
+# Nothing returned for so many seconds, though so many queries were received: the front serves nobody.
+STUCK_AFTER, MIN_RECEIVED = 5.0, 5
 
 
 class Observation(NamedTuple):
@@ -16,7 +16,7 @@
     at: float
     # Whether the front takes queries at all.
     ready: bool
-    taken: int
+    received: int
     answered: int
     returned: int
     open_queries: int
@@ -34,18 +34,18 @@
         """Whether the front serves.
 
         Risk: a quiet front and one among engines that are all down look alike by their returns; only what was
-        taken and not returned counts, and a single return ends it.
+        received and not returned counts, and a single return ends it.
         """
         self.observations.append(latest)
         while len(self.observations) > 1 and self.observations[1].at <= latest.at - STUCK_AFTER:
             self.observations.popleft()
         before = self.observations[0]
-        taken = latest.taken - before.taken
+        received = latest.received - before.received
         if not latest.ready:
             self.serves = False
-        elif latest.returned > before.returned or not taken and not latest.open_queries:
+        elif latest.returned > before.returned or not received and not latest.open_queries:
             self.serves = True
         elif latest.at - before.at >= STUCK_AFTER:
             stuck = latest.open_queries > 0 and latest.answered == before.answered
-            self.serves = not (stuck or taken >= MIN_TAKEN)
+            self.serves = not (stuck or received >= MIN_RECEIVED)
         return self.serves
--- a/thistlelever/membership/suspicion.py
+++ b/thistlelever/membership/suspicion.py
@@ -22,7 +22,7 @@
     def __init__(self, context: Context, table: MemberTable, prober: Prober) -> None:
         """Nobody is suspected; the names of those that are stand in the table."""
         self.table, self.prober = table, prober
-        self.config, self.chance, self.health = context.config, context.chance, context.health
+        self.config, self.random, self.health = context.config, context.random, context.health
         self.gossip, self.counts = context.gossip, context.counts
 
     def accuse(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
@@ -38,7 +38,7 @@
             member.deadline -= before - self.duration(member)
         else:
             return
-        self.gossip.add(member.record(accuser))
+        self.gossip.add(member.to_update(accuser))
 
     def begin(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
         """The first accusation of a member; perhaps this front sees for itself."""
@@ -47,12 +47,12 @@
         self.table.suspected[member.name] = None
         member.deadline = now + self.duration(member)
         own = by == self.table.local.identity.name
-        if not own and self.chance.below(self.table.living_count or 1) < self.config.witnesses:
+        if not own and self.random.below(self.table.alive_count or 1) < self.config.verifiers:
             # Not in SWIM: some of those that hear of a suspicion see for themselves. Each is one more way for
             # the refutation to get out, and one more accuser where there is none.
             self.prober.probe(now, member)
 
-    def hear_of_death(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
+    def accuse_by_reported_death(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
         """One more accuser, and this front sees for itself: its ping tells the member what to refute.
 
         From the beginning of this front's own suspicion it has as long as with all accusers, as whoever says
@@ -62,7 +62,7 @@
         confirmed = member.since + self.base_duration(self.config.accusers)
         unanswered = member.answered_at + ANSWERED_FACTOR * self.base_duration(1)
         member.deadline = min(member.deadline, max(confirmed, unanswered))
-        if member.name not in self.prober.probed():
+        if member.name not in self.prober.probed_names():
             self.prober.probe(now, member)
 
     def duration(self, member: Member) -> float:
@@ -77,8 +77,8 @@
         Longer in a larger tier, where word takes longer (SWIM), shorter with each further accuser
         (Lifeguard).
         """
-        size_factor = max(1.0, log10(self.table.living_count + 2))
-        longest = self.config.suspicion_timeout * size_factor * self.health.patience()
+        size_factor = max(1.0, log10(self.table.alive_count + 2))
+        longest = self.config.suspicion_timeout * size_factor * self.health.multiplier()
         confirmed = log(accusers) / log(self.config.accusers) if accusers > 1 else 0.0
         return longest * (1 - confirmed / 2)
 
@@ -89,7 +89,7 @@
             member = members[name]
             if isolated:
                 member.deadline = now + self.duration(member)
-            elif self.health.may_be_unheard(now, self.config.isolation_timeout):
+            elif self.health.may_be_isolated(now, self.config.isolation_timeout):
                 # Risk: a suspicion may end before a patient front knows that it is alone.
                 member.deadline = now + self.config.period
             elif member.answered_at > member.since:
@@ -100,7 +100,7 @@
             else:
                 by, path = self.table.local.identity.name, f"{len(member.accusers)} accusers"
                 self.table.set_state(now, member, State.DEAD, by, path)
-                self.gossip.add(member.record())
+                self.gossip.add(member.to_update())
 
     def postpone(self, seconds: float) -> None:
         """All who are suspected have so much longer to refute."""
--- a/thistlelever/membership/table.py
+++ b/thistlelever/membership/table.py
@@ -4,11 +4,11 @@
 
 from zlib import crc32
 
-from thistlelever.membership.chance import Chance
-from thistlelever.membership.facts import Address, Change
 from thistlelever.membership.local import LocalMember
 from thistlelever.membership.member import MAX_CHANGES, NEVER, Member
 from thistlelever.membership.probe_order import ProbeOrder
+from thistlelever.membership.random_source import RandomSource
+from thistlelever.membership.types import Address, Change
 from thistlelever.wire.peers import State
 
 # Refutations of the last so many seconds make a further suspicion of the same member longer.
@@ -23,12 +23,12 @@
 class MemberTable:
     """All members that this front knows, without itself."""
 
-    def __init__(self, local: LocalMember, chance: Chance, now: float) -> None:
+    def __init__(self, local: LocalMember, random: RandomSource, now: float) -> None:
         """Nobody is known yet."""
         self.local = local
         self.members: dict[str, Member] = {}
         self.by_address: dict[Address, str] = {}
-        self.order = ProbeOrder((local.tag, local.identity.name), chance)
+        self.order = ProbeOrder((local.tag, local.identity.name), random)
         # Names in the order in which they were suspected: a set's order would hang on the process.
         self.suspected: dict[str, None] = {}
         # Changes that the carrier has not taken yet.
@@ -36,7 +36,7 @@
         self.digest, self.changed_at = 0, now
 
     @property
-    def living_count(self) -> int:
+    def alive_count(self) -> int:
         """How many members are taken to be alive."""
         return len(self.order.ring)
 
@@ -48,10 +48,10 @@
         """The member that is known at that address, if any."""
         return self.members.get(self.by_address.get(address, ""))
 
-    def is_living(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether a member of that name is known and taken to be alive."""
         member = self.members.get(name)
-        return member is not None and member.lives
+        return member is not None and member.is_alive
 
     def add(self, now: float, member: Member, by: str, path: str) -> None:
         """A member that was not known, taken to be alive."""
@@ -61,9 +61,11 @@
         self.toggle_in_digest(now, member)
         self.record_change(Change(now, member.name, State.ALIVE, None, by, path, 0.0))
 
-    def renew(self, now: float, member: Member, address: Address, incarnation: int, life: int) -> None:
+    def raise_incarnation(
+        self, now: float, member: Member, address: Address, incarnation: int, life: int
+    ) -> None:
         """A higher incarnation: the member has refuted, returned, or has another life."""
-        if member.lives:
+        if member.is_alive:
             self.toggle_in_digest(now, member)
         if member.state in (State.SUSPECTED, State.DEAD) and life == member.life:
             member.refuted_at = (*member.refuted_at, now)
@@ -72,12 +74,12 @@
         self.release_address(member)
         member.address, member.incarnation, member.life = address, incarnation, life
         self.by_address[address] = member.name
-        if member.lives:
+        if member.is_alive:
             self.toggle_in_digest(now, member)
 
     def set_state(self, now: float, member: Member, state: State, by: str, path: str) -> None:
         """The one place where a member's state changes."""
-        was, lived = member.state, member.lives
+        was, was_alive = member.state, member.is_alive
         if state is not State.SUSPECTED:
             self.suspected.pop(member.name, None)
             member.clear_accusations()
@@ -85,9 +87,9 @@
             return
         late = now - member.since if state is State.DEAD else 0.0
         member.state, member.since = state, now
-        if lived != member.lives:
+        if was_alive != member.is_alive:
             self.toggle_in_digest(now, member)
-            if lived:
+            if was_alive:
                 self.order.remove(member.name)
             else:
                 self.order.add(member.name)
@@ -111,7 +113,7 @@
 
     def forget(self, now: float, after: float) -> list[str]:
         """Drop members that have been dead or gone for so long; their names."""
-        gone = [m for m in self.members.values() if not m.lives and now - m.since > after]
+        gone = [m for m in self.members.values() if not m.is_alive and now - m.since > after]
         for member in gone:
             del self.members[member.name]
             self.release_address(member)
@@ -127,6 +129,6 @@
         self.digest ^= digest_of(member.name, member.incarnation)
         self.changed_at = now
 
-    def shown_digest(self) -> int:
+    def full_digest(self) -> int:
         """The digest as it is told to others: with this front itself."""
         return self.digest ^ digest_of(self.local.identity.name, self.local.incarnation)
--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from thistlelever.membership.facts import Change
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
+from thistlelever.membership.types import Change
 
 
 def show(detector: FailureDetector, now: float) -> dict:
