--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -18,7 +18,7 @@
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
 from thistlelever.membership.types import Identity, TierSettings
-from thistlelever.wire.peers import State, decode, encode, opened, tag
+from thistlelever.wire.peers import State, decode, decode_frame, encode, tag
 
 TIER = tag("model")
 # One way between two members, in seconds: of the platform's kind.
@@ -128,7 +128,7 @@
 
     def hand(self, name, detector, source, data):
         begun = process_time()
-        message, updates = decode(opened(data, TIER)[1]) if self.check else data
+        message, updates = decode(decode_frame(data, TIER)[1]) if self.check else data
         sends = detector.handle_message(self.now, source, message, updates)
         self.cpu += process_time() - begun
         self.carry(name, detector, sends)
@@ -158,7 +158,7 @@
                 continue
             if not self.check:
                 # Bytes were counted; decoding them again would only take time.
-                data = decode(opened(data, TIER)[1])
+                data = decode(decode_frame(data, TIER)[1])
             delay = SHORT + (LONG - SHORT) * self.share() ** 3
             self.at(self.now + delay, "datagram", detector.identity.address, target, data)
 
--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -119,8 +119,8 @@
         case = self.case
         if not case or self.owner.place not in (sender, target):
             return False
-        matter, body = peers.opened(data, peers.tag(TIER))
-        if matter != work.WORK:
+        protocol, body = peers.decode_frame(data, peers.tag(TIER))
+        if protocol != work.WORK:
             return False
         if case.hit.is_set():
             return False
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,14 +20,14 @@
 from thistlelever.membership.service_health import MIN_RECEIVED, STUCK_AFTER, Observation, ServiceHealth
 from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.wire import peers as wire
-from thistlelever.wire.peers import GossipUpdate, Kind, Message, State
+from thistlelever.wire.peers import GossipUpdate, Message, MessageKind, State
 
 WORD = GossipUpdate("front-1", bytes((127, 0, 0, 1, 0, 9)), 7, 7, State.ALIVE)
 
 
 def message(updates=(), **words):
     facts = {
-        "kind": Kind.PING,
+        "kind": MessageKind.PING,
         "name": "front-0",
         "life": 5,
         "incarnation": 5,
@@ -35,20 +35,20 @@
         "nonce": 3,
         "digest": 9,
     } | words
-    return Message(**facts, updates=tuple(wire.packed(u) for u in updates))
+    return Message(**facts, updates=tuple(wire.encode_update(u) for u in updates))
 
 
 def test_a_message_comes_back_as_it_went():
     data = wire.encode(message([WORD], place="front-2"), TIER)
-    matter, body = wire.opened(data, TIER)
+    protocol, body = wire.decode_frame(data, TIER)
     told, updates = wire.decode(body)
-    assert (matter, told.name, told.place, updates) == (wire.MEMBERSHIP, "front-0", "front-2", (WORD,))
+    assert (protocol, told.name, told.place, updates) == (wire.MEMBERSHIP, "front-0", "front-2", (WORD,))
 
 
 @pytest.mark.parametrize(
     "spoil, kind",
     [
-        (lambda d: d + bytes(wire.LONGEST), "too long"),
+        (lambda d: d + bytes(wire.MAX_DATAGRAM_SIZE), "too long"),
         (lambda d: d[:5], "too short"),
         (lambda d: bytes((2,)) + d[1:], "of another version"),
         (lambda d: d[:2] + b"xxxx" + d[6:], "of another tier"),
@@ -58,9 +58,9 @@
     ],
 )
 def test_what_is_no_word_of_this_tier_says_why(spoil, kind):
-    with pytest.raises(wire.Unfit) as why:
-        wire.opened(spoil(wire.encode(message(), TIER)), TIER)
-    assert why.value.kind == kind
+    with pytest.raises(wire.InvalidDatagram) as why:
+        wire.decode_frame(spoil(wire.encode(message(), TIER)), TIER)
+    assert why.value.reason == kind
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
     ],
 )
 def test_a_body_out_of_form_raises_nothing_else(body):
-    with pytest.raises(wire.Unfit, match="out of form"):
+    with pytest.raises(wire.InvalidDatagram, match="out of form"):
         wire.decode(body)
 
 
@@ -87,8 +87,8 @@
     for place in range(len(data) * 8):
         spoilt = bytearray(data)
         spoilt[place // 8] ^= 1 << place % 8
-        with pytest.raises(wire.Unfit):
-            wire.opened(bytes(spoilt), TIER)
+        with pytest.raises(wire.InvalidDatagram):
+            wire.decode_frame(bytes(spoilt), TIER)
 
 
 def test_rumours_fit_their_frame_and_each_gets_its_turn():
@@ -98,9 +98,9 @@
         news.add(GossipUpdate(f"front-{n}", bytes(6), 2**31, 2**31, State.SUSPECTED, 2**31))
     for _ in range(60):
         bare = message()
-        updates = news.take(wire.ROOM - wire.size(bare), 5)
+        updates = news.take(wire.MAX_BODY_SIZE - wire.encoded_size(bare), 5)
         told = Message(*(getattr(bare, f) for f in bare.__struct_fields__[:-1]), updates)
-        assert len(wire.encode(told, TIER)) <= wire.LONGEST
+        assert len(wire.encode(told, TIER)) <= wire.MAX_DATAGRAM_SIZE
         seen |= {u.name for u in wire.decode(wire._pack(told))[1]}
     assert len(seen) == 60 and not news.updates
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -43,8 +43,8 @@
 def test_words_come_back_as_they_went_as_many_to_a_datagram_as_fit():
     words = [word(nonce=n) for n in range(1, 12)]
     frames = work.encode(words, peers.tag("yard"))
-    assert all(len(frame) <= peers.LONGEST for frame in frames) and len(frames) < len(words)
-    opened = [peers.opened(frame, peers.tag("yard")) for frame in frames]
+    assert all(len(frame) <= peers.MAX_DATAGRAM_SIZE for frame in frames) and len(frames) < len(words)
+    opened = [peers.decode_frame(frame, peers.tag("yard")) for frame in frames]
     assert {matter for matter, _ in opened} == {work.WORK}
     assert [w for _, body in opened for w in work.decode(body)] == words
 
@@ -62,7 +62,7 @@
         heir=True,
         young=True,
     )
-    assert len(work.encode([longest], 1)[0]) <= peers.LONGEST
+    assert len(work.encode([longest], 1)[0]) <= peers.MAX_DATAGRAM_SIZE
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     ],
 )
 def test_a_word_out_of_form_raises_nothing_else(body):
-    with pytest.raises(peers.Unfit, match="out of form"):
+    with pytest.raises(peers.InvalidDatagram, match="out of form"):
         work.decode(body)
 
 
@@ -139,7 +139,7 @@
                     moved = True
                     if self.dead & {front, send.address} or self.lost(front, send.address, send.word):
                         continue
-                    body = peers.opened(work.encode([send.word], 1)[0], 1)[1]
+                    body = peers.decode_frame(work.encode([send.word], 1)[0], 1)[1]
                     self.judges[send.address].heard(self.now, front, work.decode(body))
                 for ward, told in judge.done:
                     self.said[ward.owner.txn] = told
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -23,7 +23,7 @@
         self.detector, self.peers, self.tally, self.log, self.on_view = detector, peers, tally, log, on_view
         self.timer: asyncio.TimerHandle | None = None
         self.told: View | None = None
-        peers.matters[wire.MEMBERSHIP] = self.heard
+        peers.handlers[wire.MEMBERSHIP] = self.heard
         peers.fresh = self.fresh
 
     def open(self) -> None:
--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -23,7 +23,7 @@
 
     def __init__(self, address: Address, tier: str, tally: Tally) -> None:
         self.address, self.tier, self.tally = address, wire.tag(tier), tally
-        self.matters: dict[int, Callable[[Address, bytes], None]] = {}
+        self.handlers: dict[int, Callable[[Address, bytes], None]] = {}
         self.fresh: Callable[[], bool] = lambda: True
         self.raw: socket.socket | None = None
 
@@ -53,7 +53,7 @@
             if self.raw is None:
                 return
             try:
-                data, source = self.raw.recvfrom(wire.LONGEST + 1)
+                data, source = self.raw.recvfrom(wire.MAX_DATAGRAM_SIZE + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -64,16 +64,19 @@
                 self.tally.add("peers: older than a pause")
                 continue
             try:
-                matter, body = wire.opened(data, self.tier)
-                self.matters[matter](source, body)
-            except wire.Unfit as why:
-                self.tally.add(f"peers: {why.kind}")
+                protocol, body = wire.decode_frame(data, self.tier)
+                self.handlers[protocol](source, body)
+            except wire.InvalidDatagram as why:
+                self.tally.add(f"peers: {why.reason}")
             except KeyError:
                 self.tally.add("peers: of another matter")
 
     def send(self, address: Address, data: bytes) -> None:
         """Risk: a datagram longer than the platform's bound voids a run; none is sent."""
-        if not self.tally.must(len(data) <= wire.LONGEST, "datagrams within their bound") or self.raw is None:
+        if (
+            not self.tally.must(len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their bound")
+            or self.raw is None
+        ):
             return
         try:
             self.raw.sendto(data, address)
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -136,7 +136,7 @@
         self.pending = False
         # How long batches' paths waited for their places, of the last ones.
         self.waited: deque[float] = deque(maxlen=1_000)
-        peers.matters[wire.WORK] = self.heard
+        peers.handlers[wire.WORK] = self.heard
 
     # A batch's path.
 
--- a/thistlelever/membership/anti_entropy.py
+++ b/thistlelever/membership/anti_entropy.py
@@ -11,7 +11,7 @@
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.table import MemberTable
 from thistlelever.membership.types import Address
-from thistlelever.wire.peers import ROOM, Kind, Message, packed, size
+from thistlelever.wire.peers import MAX_BODY_SIZE, Message, MessageKind, encode_update, encoded_size
 
 # A piece of a list is asked for again after so many seconds, so often.
 PULL_TIMEOUT, MAX_PULL_RETRIES = 0.15, 6
@@ -58,7 +58,7 @@
             self.pull = None
             return
         self.pull = Pull(address, place, now + PULL_TIMEOUT * self.health.multiplier(), retries)
-        self.outbox.send_to(address, Kind.LIST_ASK, self.random.nonce(), place)
+        self.outbox.send_to(address, MessageKind.LIST_REQUEST, self.random.nonce(), place)
 
     def retry(self, now: float) -> None:
         """Ask again for the piece that has not come in time."""
@@ -74,14 +74,16 @@
         others = (name for name in self.table.members if name > message.place and name != member.name)
         # One more than fits tells whether there is more.
         names = nsmallest(MAX_UPDATES_PER_FRAME + 1, others)
-        room = ROOM - size(self.outbox.message(Kind.LIST, message.nonce, LONGEST_NAME))
+        room = MAX_BODY_SIZE - encoded_size(
+            self.outbox.message(MessageKind.LIST, message.nonce, LONGEST_NAME)
+        )
         records, place = [], ""
         if not message.place:
-            records.append(packed(self.outbox.local.to_update()))
-            records.append(packed(member.to_update()))
+            records.append(encode_update(self.outbox.local.to_update()))
+            records.append(encode_update(member.to_update()))
             room -= sum(map(len, records))
         for name in names:
-            raw = packed(self.table.members[name].to_update())
+            raw = encode_update(self.table.members[name].to_update())
             if len(raw) > room:
                 break
             room -= len(raw)
@@ -89,7 +91,7 @@
             place = name
         if not names or place == names[-1]:
             place = ""
-        self.outbox.send_records(member.address, Kind.LIST, message.nonce, place, tuple(records))
+        self.outbox.send_records(member.address, MessageKind.LIST, message.nonce, place, tuple(records))
 
     def handle_page(self, now: float, source: Address, message: Message) -> None:
         """A piece came, its records are merged; ask for the next, or have the whole."""
--- a/thistlelever/membership/failure_detector.py
+++ b/thistlelever/membership/failure_detector.py
@@ -31,7 +31,7 @@
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
 from thistlelever.membership.types import Address, Identity, Send, TierSettings, View
-from thistlelever.wire.peers import GossipUpdate, Kind, Message, State
+from thistlelever.wire.peers import GossipUpdate, Message, MessageKind, State
 
 # Whether this front serves is told to others at most this often, and a front that stands down looks about
 # this often, in seconds.
@@ -159,7 +159,7 @@
         living = [member for member in self.members.values() if member.is_alive]
         for _ in range(min(len(living), self.outbox.transmissions_per_update())):
             member = living.pop(self.random.below(len(living)))
-            self.outbox.send(member, Kind.PING, self.random.nonce())
+            self.outbox.send(member, MessageKind.PING, self.random.nonce())
         return self.outbox.sends
 
     def set_peers(self, now: float, peers: tuple[Address, ...]) -> None:
@@ -239,9 +239,9 @@
         if message.life != member.life and message.incarnation <= member.incarnation:
             # Risk: what a former life sent late passes for word of the present one.
             self.counts["of a former life"] += 1
-            if message.kind is Kind.PING:
+            if message.kind is MessageKind.PING:
                 # Risk: one that was started again with its clock set back never learns what to outbid.
-                self.outbox.send_to(source, Kind.ACK, message.nonce, first=member.to_update())
+                self.outbox.send_to(source, MessageKind.ACK, message.nonce, first=member.to_update())
             return False
         if message.life == member.life and not accept_sequence_number(member, message.count):
             self.counts["replayed or too late"] += 1
@@ -267,17 +267,17 @@
     def respond_to(self, now: float, source: Address, sender: Member, message: Message) -> None:
         """Do what a message wants."""
         match message.kind:
-            case Kind.PING:
-                self.outbox.send(sender, Kind.ACK, message.nonce, to=source)
-            case Kind.ACK:
+            case MessageKind.PING:
+                self.outbox.send(sender, MessageKind.ACK, message.nonce, to=source)
+            case MessageKind.ACK:
                 self.handle_ack(now, sender, message)
-            case Kind.ASK:
+            case MessageKind.PING_REQUEST:
                 self.prober.probe_on_behalf(now, source, message)
-            case Kind.NACK:
+            case MessageKind.NACK:
                 self.prober.handle_nack(message.nonce)
-            case Kind.LIST_ASK:
+            case MessageKind.LIST_REQUEST:
                 self.anti_entropy.send_page(sender, message)
-            case Kind.LIST:
+            case MessageKind.LIST:
                 self.anti_entropy.handle_page(now, source, message)
 
     def handle_ack(self, now: float, sender: Member, message: Message) -> None:
--- a/thistlelever/membership/gossip.py
+++ b/thistlelever/membership/gossip.py
@@ -6,7 +6,7 @@
 
 from msgspec import Raw
 
-from thistlelever.wire.peers import GossipUpdate, packed
+from thistlelever.wire.peers import GossipUpdate, encode_update
 
 # No frame has room for more.
 MAX_UPDATES_PER_FRAME = 12
@@ -19,7 +19,7 @@
 
     def __init__(self, update: GossipUpdate, sequence: int) -> None:
         """An update that was never sent."""
-        self.update, self.encoded, self.sent, self.sequence = update, packed(update), 0, sequence
+        self.update, self.encoded, self.sent, self.sequence = update, encode_update(update), 0, sequence
 
 
 class GossipQueue:
@@ -50,7 +50,7 @@
         """
         taken: list[Raw] = []
         if first is not None:
-            taken.append(packed(first))
+            taken.append(encode_update(first))
             room -= len(taken[0])
         due = nsmallest(MAX_UPDATES_PER_FRAME, self.updates.values(), key=lambda u: (u.sent, -u.sequence))
         for queued in due:
--- a/thistlelever/membership/name_conflict.py
+++ b/thistlelever/membership/name_conflict.py
@@ -7,7 +7,7 @@
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.prober import Prober
 from thistlelever.membership.types import Address
-from thistlelever.wire.peers import GossipUpdate, Kind, Message, State, address_of
+from thistlelever.wire.peers import GossipUpdate, Message, MessageKind, State, address_of
 
 # Another process under this name is asked for at most this often, in seconds.
 CHECK_INTERVAL = 1.0
@@ -56,11 +56,11 @@
         """A datagram under this front's own name."""
         if message.life == self.local.identity.life:
             self.counts["own words back"] += 1
-        elif message.kind is Kind.PING:
+        elif message.kind is MessageKind.PING:
             # It asks whether somebody lives here under its name.
             self.counts["namesakes"] += 1
-            self.outbox.send_to(source, Kind.ACK, message.nonce)
-        elif message.kind is Kind.ACK and message.nonce == self.check_nonce:
+            self.outbox.send_to(source, MessageKind.ACK, message.nonce)
+        elif message.kind is MessageKind.ACK and message.nonce == self.check_nonce:
             self.counts["namesakes"] += 1
             if message.life > self.local.identity.life:
                 self.newer_process = f"{source[0]}:{source[1]}"
--- a/thistlelever/membership/outbox.py
+++ b/thistlelever/membership/outbox.py
@@ -11,7 +11,7 @@
 from thistlelever.membership.member import Member
 from thistlelever.membership.table import MemberTable
 from thistlelever.membership.types import Address, Send
-from thistlelever.wire.peers import ROOM, GossipUpdate, Kind, Message, State, size
+from thistlelever.wire.peers import MAX_BODY_SIZE, GossipUpdate, Message, MessageKind, State, encoded_size
 
 # How often an update is sent: so many times the logarithm of the tier's size.
 RETRANSMIT_FACTOR = 3
@@ -31,7 +31,7 @@
         self.sends = []
 
     def send(
-        self, member: Member, kind: Kind, nonce: int, place: str = "", to: Address | None = None
+        self, member: Member, kind: MessageKind, nonce: int, place: str = "", to: Address | None = None
     ) -> None:
         """To a member goes first what is held against it, which it alone can refute."""
         accused = member.state in (State.SUSPECTED, State.DEAD, State.LEFT)
@@ -39,22 +39,29 @@
         self.send_to(to or member.address, kind, nonce, place, first)
 
     def send_to(
-        self, address: Address, kind: Kind, nonce: int, place: str = "", first: GossipUpdate | None = None
+        self,
+        address: Address,
+        kind: MessageKind,
+        nonce: int,
+        place: str = "",
+        first: GossipUpdate | None = None,
     ) -> None:
         """To an address, whoever is there."""
         self.number += 1
         if self.local.state is State.LEFT:
             first = first or self.local.to_update()
         bare = self.message(kind, nonce, place)
-        updates = self.gossip.take(ROOM - size(bare), self.transmissions_per_update(), first)
+        updates = self.gossip.take(MAX_BODY_SIZE - encoded_size(bare), self.transmissions_per_update(), first)
         self.sends.append(Send(address, structs.replace(bare, updates=updates)))
 
-    def send_records(self, address: Address, kind: Kind, nonce: int, place: str, records: tuple) -> None:
+    def send_records(
+        self, address: Address, kind: MessageKind, nonce: int, place: str, records: tuple
+    ) -> None:
         """To an address, with these records in place of updates."""
         self.number += 1
         self.sends.append(Send(address, self.message(kind, nonce, place, records)))
 
-    def message(self, kind: Kind, nonce: int, place: str = "", records: tuple = ()) -> Message:
+    def message(self, kind: MessageKind, nonce: int, place: str = "", records: tuple = ()) -> Message:
         """A message of this front under the latest number."""
         name, _, life = self.local.identity
         digest = self.table.full_digest()
--- a/thistlelever/membership/prober.py
+++ b/thistlelever/membership/prober.py
@@ -9,7 +9,7 @@
 from thistlelever.membership.outbox import Outbox
 from thistlelever.membership.table import MemberTable
 from thistlelever.membership.types import Address
-from thistlelever.wire.peers import Kind, Message
+from thistlelever.wire.peers import Message, MessageKind
 
 # How often a probe without an answer is tried again, straight and by way of others, before it has failed.
 MAX_RETRIES = 2
@@ -100,7 +100,7 @@
         due_at = now + self.config.probe_timeout * self.health.multiplier()
         self.probes[nonce] = Probe(member.name, now, due_at)
         self.health.unanswered += 1
-        self.outbox.send(member, Kind.PING, nonce)
+        self.outbox.send(member, MessageKind.PING, nonce)
 
     def probe_on_behalf(self, now: float, requester: Address, message: Message) -> None:
         """Another front has no answer from a member and asks this one to try."""
@@ -112,16 +112,16 @@
         nonce = self.random.nonce()
         due_at = now + self.config.probe_timeout
         self.probes[nonce] = Probe(member.name, now, due_at, requester, message.nonce)
-        self.outbox.send(member, Kind.PING, nonce)
+        self.outbox.send(member, MessageKind.PING, nonce)
 
     def ping_address(self, now: float, address: Address, nonce: int = 0) -> None:
         """Ping whoever is at an address; no probe waits for the answer."""
         nonce = nonce or self.random.nonce()
         self.unawaited[nonce] = now
         if member := self.table.at_address(address):
-            self.outbox.send(member, Kind.PING, nonce)
+            self.outbox.send(member, MessageKind.PING, nonce)
         else:
-            self.outbox.send_to(address, Kind.PING, nonce)
+            self.outbox.send_to(address, MessageKind.PING, nonce)
 
     def expire(self, now: float) -> Iterator[tuple[Member, Probe]]:
         """Retry the probes that are due; those that have failed are handed out one by one."""
@@ -129,7 +129,7 @@
             member = self.table.get(probe.name)
             if probe.requester is not None:
                 del self.probes[nonce]
-                self.reply_to_requester(probe, Kind.NACK)
+                self.reply_to_requester(probe, MessageKind.NACK)
             elif member is None or not member.is_alive:
                 del self.probes[nonce]
             elif probe.retries < max_retries(member):
@@ -144,7 +144,7 @@
         probe.retries += 1
         probe.indirect_requests += self.request_indirect_probes(nonce, member)
         # And once more straight: of all that fails, a single loss is the likeliest.
-        self.outbox.send(member, Kind.PING, nonce)
+        self.outbox.send(member, MessageKind.PING, nonce)
         share = 1 if probe.retries == max_retries(member) else 2
         probe.due_at = now + self.config.indirect_timeout / share * self.health.multiplier()
 
@@ -155,10 +155,10 @@
         asked = min(self.config.indirect_probes, len(names))
         for _ in range(asked):
             helper = self.table.members[names.pop(self.random.below(len(names)))]
-            self.outbox.send(helper, Kind.ASK, nonce, place=member.name)
+            self.outbox.send(helper, MessageKind.PING_REQUEST, nonce, place=member.name)
         return asked
 
-    def reply_to_requester(self, probe: Probe, kind: Kind) -> None:
+    def reply_to_requester(self, probe: Probe, kind: MessageKind) -> None:
         """Tell who asked for the probe whether the member answered."""
         if requester := self.table.at_address(probe.requester):
             self.outbox.send(requester, kind, probe.requester_nonce, place=probe.name, to=probe.requester)
@@ -176,7 +176,7 @@
             return now - self.unawaited.pop(message.nonce, NEVER) < LATE_ACK_LIMIT and not message.place
         del self.probes[message.nonce]
         if probe.requester is not None:
-            self.reply_to_requester(probe, Kind.ACK)
+            self.reply_to_requester(probe, MessageKind.ACK)
             sender.answered_at = now
             return False
         self.counts["probes answered by way of others" if message.place else "probes answered"] += 1
--- a/thistlelever/wire/peers.py
+++ b/thistlelever/wire/peers.py
@@ -15,30 +15,30 @@
 from msgspec import Raw, Struct
 
 # The most that a datagram between fronts may hold on the platform; longer ones are neither sent nor read.
-LONGEST = 256
+MAX_DATAGRAM_SIZE = 256
 VERSION = 1
-HEAD = struct.Struct(">BBII")
+HEADER = struct.Struct(">BBII")
 MEMBERSHIP = 1
 
 
-class Unfit(Exception):
+class InvalidDatagram(Exception):
     """A datagram that is no word of this tier; `kind` says why, and is what is counted."""
 
-    def __init__(self, kind: str) -> None:
-        super().__init__(kind)
-        self.kind = kind
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message of membership wants."""
 
     PING = 0
     ACK = 1
     # Please ping another for me; and: it did not answer me either.
-    ASK = 2
+    PING_REQUEST = 2
     NACK = 3
     # The records after a name, whole; and a piece of them.
-    LIST_ASK = 4
+    LIST_REQUEST = 4
     LIST = 5
 
 
@@ -69,7 +69,7 @@
     """One word of membership. `count` numbers the sender's datagrams from 1, `nonce` ties an answer to its
     question, `digest` is that of the sender's view, `place` a member or where in the list to go on."""
 
-    kind: Kind
+    kind: MessageKind
     name: str
     life: int
     incarnation: int
@@ -84,70 +84,70 @@
 _message = msgspec.msgpack.Decoder(Message).decode
 _update = msgspec.msgpack.Decoder(GossipUpdate).decode
 # An array of more than 15 updates has a longer head; no frame has room for so many that it matters.
-ROOM = LONGEST - HEAD.size - 2
+MAX_BODY_SIZE = MAX_DATAGRAM_SIZE - HEADER.size - 2
 
 
-def tag(word: str) -> int:
+def tag(name: str) -> int:
     """A word's 32 bits: of a tier's name, or of an accuser's."""
-    return crc32(word.encode())
+    return crc32(name.encode())
 
 
-def frame(matter: int, tier: int, body: bytes) -> bytes:
+def encode_frame(protocol: int, tier: int, body: bytes) -> bytes:
     """The datagram; `ValueError` where the body is too long for one."""
-    if HEAD.size + len(body) > LONGEST:
-        raise ValueError(f"{HEAD.size + len(body)} bytes in a datagram of {LONGEST}")
-    check = crc32(body, crc32(HEAD.pack(VERSION, matter, tier, 0)))
-    return HEAD.pack(VERSION, matter, tier, check) + body
-
-
-def opened(data: bytes, tier: int) -> tuple[int, bytes]:
-    """The matter and the body of a datagram; `Unfit` where it is not of this tier or not whole."""
-    if len(data) > LONGEST:
-        raise Unfit("too long")
-    if len(data) < HEAD.size:
-        raise Unfit("too short")
-    version, matter, whose, check = HEAD.unpack_from(data)
+    if HEADER.size + len(body) > MAX_DATAGRAM_SIZE:
+        raise ValueError(f"{HEADER.size + len(body)} bytes in a datagram of {MAX_DATAGRAM_SIZE}")
+    check = crc32(body, crc32(HEADER.pack(VERSION, protocol, tier, 0)))
+    return HEADER.pack(VERSION, protocol, tier, check) + body
+
+
+def decode_frame(data: bytes, tier: int) -> tuple[int, bytes]:
+    """The matter and the body of a datagram; `InvalidDatagram` where it is not of this tier or not whole."""
+    if len(data) > MAX_DATAGRAM_SIZE:
+        raise InvalidDatagram("too long")
+    if len(data) < HEADER.size:
+        raise InvalidDatagram("too short")
+    version, protocol, whose, check = HEADER.unpack_from(data)
     if version != VERSION:
-        raise Unfit("of another version")
+        raise InvalidDatagram("of another version")
     if whose != tier:
-        raise Unfit("of another tier")
-    body = data[HEAD.size :]
-    if check != crc32(body, crc32(HEAD.pack(version, matter, whose, 0))):
-        raise Unfit("damaged")
-    return matter, body
+        raise InvalidDatagram("of another tier")
+    body = data[HEADER.size :]
+    if check != crc32(body, crc32(HEADER.pack(version, protocol, whose, 0))):
+        raise InvalidDatagram("damaged")
+    return protocol, body
 
 
-def packed(update: GossipUpdate) -> Raw:
+def encode_update(update: GossipUpdate) -> Raw:
     """An update as it goes on the wire, made once and sent often."""
     return Raw(_pack(update))
 
 
-def size(message: Message) -> int:
+def encoded_size(message: Message) -> int:
     """Bytes of a message without updates."""
     return len(_pack(message))
 
 
 def encode(message: Message, tier: int) -> bytes:
-    return frame(MEMBERSHIP, tier, _pack(message))
+    return encode_frame(MEMBERSHIP, tier, _pack(message))
 
 
 def decode(body: bytes) -> tuple[Message, tuple[GossipUpdate, ...]]:
-    """A message and its updates; `Unfit` where either is out of form."""
+    """A message and its updates; `InvalidDatagram` where either is out of form."""
     try:
         message = _message(body)
         updates = tuple(_update(raw) for raw in message.updates)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
-        raise Unfit("out of form") from why
+        raise InvalidDatagram("out of form") from why
     numbers = (message.life, message.incarnation, message.count, message.nonce, message.digest)
-    bad = not sound(message.name, *numbers) or any(
-        not sound(u.name, u.incarnation, u.life, u.accuser) or len(u.address) != 6 for u in updates
+    bad = not is_valid(message.name, *numbers) or any(
+        not is_valid(u.name, u.incarnation, u.life, u.accuser) or len(u.address) != 6 for u in updates
     )
     if bad:
-        raise Unfit("out of form")
+        raise InvalidDatagram("out of form")
     return message, updates
 
 
-def sound(name: str, *numbers: int) -> bool:
+def is_valid(name: str, *numbers: int) -> bool:
     """Risk: an incarnation without measure can never be outbid, and its member never refute anything."""
     return 0 < len(name) <= 64 and all(0 <= number < 2**32 for number in numbers)
 
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from thistlelever.wire.peers import ROOM, Unfit, frame
+from thistlelever.wire.peers import MAX_BODY_SIZE, InvalidDatagram, encode_frame
 
 # The matter that frames of `wire.peers` name.
 WORK = 2
@@ -98,29 +98,29 @@
     """As few datagrams as hold the words, in their order. Each word is packed once: a list of up to fifteen
     of them is a byte that counts them, and they."""
     found: list[bytes] = []
-    some, room = b"", ROOM
+    some, room = b"", MAX_BODY_SIZE
     count = 0
     for word in words:
         raw = _pack(word)
         if count and (len(raw) > room or count == 15):
-            found.append(frame(WORK, tier, bytes((0x90 | count,)) + some))
-            some, room, count = b"", ROOM, 0
+            found.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + some))
+            some, room, count = b"", MAX_BODY_SIZE, 0
         some += raw
         room -= len(raw)
         count += 1
     if count:
-        found.append(frame(WORK, tier, bytes((0x90 | count,)) + some))
+        found.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + some))
     return found
 
 
 def decode(body: bytes) -> tuple[Word, ...]:
-    """The words of one datagram; `Unfit` where they are out of form."""
+    """The words of one datagram; `InvalidDatagram` where they are out of form."""
     try:
         words = _words(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
-        raise Unfit("out of form") from why
+        raise InvalidDatagram("out of form") from why
     if not all(sound(word) for word in words):
-        raise Unfit("out of form")
+        raise InvalidDatagram("out of form")
     return words
 
 
