--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.peers import Peers
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.tally import Tally
@@ -14,59 +14,64 @@
 from thistlelever.wire import peers as wire
 
 
-class Members:
+class MembershipDriver:
     """One detector on the loop's clock. `on_view` is told whenever what others may act on has changed."""
 
     def __init__(
-        self, detector: FailureDetector, peers: Peers, tally: Tally, log: Log, on_view: Callable[[View], None]
+        self,
+        detector: FailureDetector,
+        peers: PeerSocket,
+        tally: Tally,
+        log: Log,
+        on_view: Callable[[View], None],
     ) -> None:
         self.detector, self.peers, self.tally, self.log, self.on_view = detector, peers, tally, log, on_view
         self.timer: asyncio.TimerHandle | None = None
-        self.told: View | None = None
-        peers.handlers[wire.MEMBERSHIP] = self.heard
-        peers.fresh = self.fresh
+        self.last_view: View | None = None
+        peers.handlers[wire.MEMBERSHIP] = self.handle_datagram
+        peers.is_backlog_current = self.is_backlog_current
 
     def open(self) -> None:
         self.detector.last_tick_at = clock.now()
-        self.turn()
+        self.tick()
 
     def close(self) -> None:
         if self.timer:
             self.timer.cancel()
 
-    def fresh(self) -> bool:
+    def is_backlog_current(self) -> bool:
         return not self.detector.check_for_pause(clock.now())
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         # What waits at the socket came before this moment: read after the timers, answers that are there
         # would count as missing.
         self.peers.read()
         now = clock.now()
-        self.carry(self.detector.tick(now))
+        self.deliver(self.detector.tick(now))
         view = self.detector.view(now)
-        if view != self.told:
-            self.told = view
+        if view != self.last_view:
+            self.last_view = view
             self.on_view(view)
         at = max(self.detector.next_tick_at(), now + 0.001)
-        self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.turn)
+        self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
 
-    def heard(self, source: tuple[str, int], body: bytes) -> None:
+    def handle_datagram(self, source: tuple[str, int], body: bytes) -> None:
         message, updates = wire.decode(body)
-        self.carry(self.detector.handle_message(clock.now(), source, message, updates))
+        self.deliver(self.detector.handle_message(clock.now(), source, message, updates))
 
     def leave(self) -> None:
-        self.carry(self.detector.leave(clock.now()))
+        self.deliver(self.detector.leave(clock.now()))
 
-    def carry(self, sends: list[Send]) -> None:
+    def deliver(self, sends: list[Send]) -> None:
         for send in sends:
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
         for change in self.detector.changes:
-            mine, state = change.name == self.detector.identity.name, change.state.name.lower()
-            self.tally.add(f"membership: {change.path}" if mine else f"members: {state}")
+            own, state = change.name == self.detector.identity.name, change.state.name.lower()
+            self.tally.add(f"membership: {change.path}" if own else f"members: {state}")
             # A kind of line for each state: the log bounds lines by kind, and doubts must not crowd out
             # deaths.
             self.log(
-                "membership" if mine else f"member {state}",
+                "membership" if own else f"member {state}",
                 member=change.name,
                 by=change.by,
                 was=change.was.name.lower() if change.was is not None else "",
--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -12,55 +12,55 @@
 
 Address = tuple[str, int]
 # One turn of the loop must not go to datagrams alone; after a pause all that waits is let go at once.
-A_TURN, MOST_OLD = 64, 8_192
+MAX_READS_PER_EVENT, MAX_STALE_READS = 64, 8_192
 # What the kernel keeps while the loop is busy.
-KEPT = 262_144
+RECEIVE_BUFFER_SIZE = 262_144
 
 
-class Peers:
-    """Reads and writes datagrams of one tier. `fresh` is asked before what waits is read: where it says no,
+class PeerSocket:
+    """Reads and writes datagrams of one tier. `current` is asked before what waits is read: where it says no,
     what waits is older than a pause of this front and is let go."""
 
     def __init__(self, address: Address, tier: str, tally: Tally) -> None:
         self.address, self.tier, self.tally = address, wire.tag(tier), tally
         self.handlers: dict[int, Callable[[Address, bytes], None]] = {}
-        self.fresh: Callable[[], bool] = lambda: True
-        self.raw: socket.socket | None = None
+        self.is_backlog_current: Callable[[], bool] = lambda: True
+        self.socket: socket.socket | None = None
 
     def open(self) -> None:
         """Bind; `OSError` names the address."""
-        raw = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        raw.setblocking(False)
+        opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        opened.setblocking(False)
         try:
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KEPT)
-            raw.bind(self.address)
+            opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_SIZE)
+            opened.bind(self.address)
         except OSError as why:
-            raw.close()
+            opened.close()
             raise OSError(f"peer_listen: {self.address[0]}:{self.address[1]}: {why.strerror}") from None
-        self.raw = raw
-        asyncio.get_running_loop().add_reader(raw, self.read)
+        self.socket = opened
+        asyncio.get_running_loop().add_reader(opened, self.read)
 
     def close(self) -> None:
-        if self.raw:
-            asyncio.get_running_loop().remove_reader(self.raw)
-            self.raw.close()
-            self.raw = None
+        if self.socket:
+            asyncio.get_running_loop().remove_reader(self.socket)
+            self.socket.close()
+            self.socket = None
 
     def read(self) -> None:
         """All that waits, as far as one turn goes."""
-        fresh = self.fresh()
-        for _ in range(A_TURN if fresh else MOST_OLD):
-            if self.raw is None:
+        current = self.is_backlog_current()
+        for _ in range(MAX_READS_PER_EVENT if current else MAX_STALE_READS):
+            if self.socket is None:
                 return
             try:
-                data, source = self.raw.recvfrom(wire.MAX_DATAGRAM_SIZE + 1)
+                data, source = self.socket.recvfrom(wire.MAX_DATAGRAM_SIZE + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
                 # What was sent to nobody comes back as an error of the next read.
                 self.tally.add("peers: out of reach")
                 continue
-            if not fresh:
+            if not current:
                 self.tally.add("peers: older than a pause")
                 continue
             try:
@@ -72,13 +72,13 @@
                 self.tally.add("peers: of another matter")
 
     def send(self, address: Address, data: bytes) -> None:
-        """Risk: a datagram longer than the platform's bound voids a run; none is sent."""
+        """Risk: a datagram longer than the platform's opened voids a run; none is sent."""
         if (
-            not self.tally.must(len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their bound")
-            or self.raw is None
+            not self.tally.must(len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their opened")
+            or self.socket is None
         ):
             return
         try:
-            self.raw.sendto(data, address)
+            self.socket.sendto(data, address)
         except OSError:
             self.tally.add("peers: could not be sent")
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -7,9 +7,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from thistlelever.carrier.dispatch import End, Ended, Sending, Speech
-from thistlelever.carrier.peers import Peers
 from thistlelever.admission.decide import NEVER_RAN
+from thistlelever.carrier.dispatch import End, Ended, Sending, Speech
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.carrier.recollection import goes_on_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
@@ -115,7 +115,7 @@
     def __init__(
         self,
         judge: Judge,
-        peers: Peers,
+        peers: PeerSocket,
         manifest: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.members import Members
-from thistlelever.carrier.peers import Peers
+from thistlelever.carrier.members import MembershipDriver
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.manifest import Unreadable
@@ -41,7 +41,7 @@
         # Behind a relay or an address translation others know this front by another address than it binds.
         rank = papers.rank
         known_as = papers.peers[rank] if 0 <= rank < len(papers.peers) else papers.peer_listen
-        self.peers = Peers(papers.peer_listen, section.tier, parts.tally)
+        self.peers = PeerSocket(papers.peer_listen, section.tier, parts.tally)
         config = MembershipConfig(
             period=section.period_s,
             suspicion_timeout=section.suspect_s,
@@ -50,7 +50,7 @@
         identity = Identity(papers.name, known_as, int((clock.wall() - EPOCH) * 8))
         tier = TierSettings(papers.peers, papers.manifest.fronts)
         detector = FailureDetector(config, identity, tier, papers.seed, clock.now())
-        self.members = Members(detector, self.peers, parts.tally, parts.log, self.counted)
+        self.members = MembershipDriver(detector, self.peers, parts.tally, parts.log, self.counted)
         self.fronts, self.task, self.left = papers.manifest.fronts, None, False
 
     async def open(self) -> dict:
