--- a/thistlelever/membership/config.py
+++ b/thistlelever/membership/config.py
@@ -6,30 +6,32 @@
 
 
 class MembershipConfig(NamedTuple):
-    """Times in seconds. The figures follow from each other as `docs/membership.md` says."""
+    """Settings of the failure detector; all times in seconds. `docs/membership.md` derives the defaults from
+    each other.
+    """
 
-    # Between two rounds of probes.
+    # Interval between two rounds of probes.
     period: float = 0.1
-    # How long an answer to a probe may take, and then one by way of others.
+    # Timeout of a direct probe, and then of the indirect probes through other members.
     probe_timeout: float = 0.05
     indirect_timeout: float = 0.1
-    # How long a suspicion lasts without a second accuser, in a tier of ten or fewer.
+    # Duration of a suspicion with a single accuser, in a tier of ten members or fewer.
     suspicion_timeout: float = 0.4
-    # Between two pings of members that are held dead and addresses that were never met.
+    # Interval between pings to dead members and to addresses at which no member is known.
     reconnect_interval: float = 1.0
-    # A turn that comes this late is a pause: what was believed before it is old.
+    # A tick that comes later than this means the process was paused, and its view is stale.
     pause_threshold: float = 0.3
-    # No answer from anybody for so long: this front is alone, whatever it believes of others.
+    # This front considers itself isolated after this long without any acknowledgement.
     isolation_timeout: float = 0.35
-    # How many others are asked to probe a member that does not answer this front.
+    # Number of members asked to probe a member that does not acknowledge a direct probe.
     indirect_probes: int = 3
-    # How many accusers make a suspicion as short as it gets.
+    # Number of independent accusers that shortens a suspicion to its minimum.
     accusers: int = 3
-    # How many of those that hear of a suspicion probe the member themselves.
+    # Expected number of members that probe a newly suspected member themselves.
     verifiers: int = 6
-    # A death younger than this still counts where shares are reckoned.
+    # A member that died more recently than this still counts as a front in `View.fronts`.
     death_grace: float = 2.0
-    # A member that is dead or has left is forgotten after this.
+    # A member that is dead or has left is dropped from the table after this.
     forget_after: float = 60.0
-    # The most members that are known at once.
+    # Maximum number of members in the table.
     max_members: int = 8_192
--- a/thistlelever/membership/context.py
+++ b/thistlelever/membership/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the failure detector share."""
+"""State shared by all parts of the failure detector."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Context(NamedTuple):
-    """One for each failure detector, handed to its parts."""
+    """One per failure detector, passed to its parts."""
 
     config: MembershipConfig
     random: RandomSource
     health: LocalHealth
     gossip: GossipQueue
-    # How often each thing happened since the start.
+    # Event counters since the start, shown by `views.show`.
     counts: Counter[str]
--- a/thistlelever/membership/local.py
+++ b/thistlelever/membership/local.py
@@ -1,4 +1,4 @@
-"""This front as it tells others of itself."""
+"""The local member: what this front says about itself."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class LocalMember:
-    """Its identity, and the incarnation and state that it claims."""
+    """Identity, incarnation and state that this front announces."""
 
     def __init__(self, identity: Identity) -> None:
-        """A front that has just started; its first incarnation is its life."""
+        """A front that has just started: alive, with its start time as first incarnation."""
         self.identity, self.tag = identity, tag(identity.name)
         self.incarnation, self.state = identity.life, State.ALIVE
 
     def to_update(self) -> GossipUpdate:
-        """What it says of itself."""
+        """The gossip update that describes this front."""
         name, address, life = self.identity
         return GossipUpdate(name, address_bytes(address), self.incarnation, life, self.state)
--- a/thistlelever/membership/local_health.py
+++ b/thistlelever/membership/local_health.py
@@ -1,50 +1,55 @@
-"""This front's own health, as Lifeguard's local health multiplier: who is slow itself accuses others late."""
+"""This front's own health (Lifeguard's local health multiplier): a slow front waits longer before it accuses
+others.
+"""
 
 from __future__ import annotations
 
 from thistlelever.membership.member import NEVER
 
-# The score goes from 0, healthy, to this; each point makes this front half as patient again.
+# The score ranges from 0 (healthy) to this; each point adds one half to the multiplier.
 MAX_SCORE = 8
-# So many probes without any answer, at least, before this front may hold that nobody answers it.
+# Minimum number of unacknowledged probes before this front may consider itself isolated.
 MIN_UNANSWERED = 3
-# Patience lengthens the silence that it takes by this factor at most.
+# Upper bound of the multiplier applied to the isolation timeout.
 MAX_ISOLATION_MULTIPLIER = 1.5
 
 
 class LocalHealth:
-    """The score, when anybody last answered, and how many probes went out since."""
+    """Health score, time of the last acknowledgement, and number of probes sent since."""
 
     def __init__(self) -> None:
-        """Healthy, and not answered yet."""
+        """Healthy, with no acknowledgement yet."""
         self.score = 0
         self.answered_at, self.unanswered = NEVER, 0
-        # How late this front's latest turn came.
+        # How late the latest tick came, in seconds.
         self.lateness = 0.0
 
     def multiplier(self) -> float:
-        """The factor by which this front waits longer than a healthy one."""
+        """The factor by which timeouts are longer than on a healthy front; at least 1."""
         return 1 + self.score / 2
 
     def worsen(self, by: int) -> None:
-        """Something says that this front itself may be slow."""
+        """Raise the score by `by`, after a sign that this front may be slow."""
         self.score = min(self.score + by, MAX_SCORE)
 
     def improve(self) -> None:
-        """A probe was answered in time."""
+        """Lower the score, after a probe was acknowledged in time."""
         self.score = max(self.score - 1, 0)
 
     def note_contact(self, now: float) -> None:
-        """Somebody heard this front and said so, or nothing could be heard until now."""
+        """Restart the isolation timeout: a member acknowledged this front, or this front was paused and could
+        receive nothing.
+        """
         self.answered_at, self.unanswered = now, 0
 
     def is_isolated(self, now: float, timeout: float) -> bool:
-        """Whether nobody has answered for longer than the timeout.
+        """Whether no acknowledgement has come for `timeout` seconds times the bounded multiplier.
 
-        Risk: patience grows just while nobody answers; it counts up to a bound here.
+        The bound is needed because the score rises precisely while nothing is acknowledged; without it
+        isolation would be noticed too late.
         """
         return self.may_be_isolated(now, timeout * min(self.multiplier(), MAX_ISOLATION_MULTIPLIER))
 
     def may_be_isolated(self, now: float, timeout: float) -> bool:
-        """Whether nobody has answered for the timeout itself, however patient this front is."""
+        """Whether no acknowledgement has come for `timeout` seconds, whatever the multiplier."""
         return self.unanswered >= MIN_UNANSWERED and now - self.answered_at > timeout
--- a/thistlelever/membership/member.py
+++ b/thistlelever/membership/member.py
@@ -1,20 +1,20 @@
-"""One other front, as this front believes it to be."""
+"""What this front believes about one other member, and detection of replayed datagrams."""
 
 from __future__ import annotations
 
 from thistlelever.membership.types import Address, Change
 from thistlelever.wire.peers import GossipUpdate, State, address_bytes
 
-# So many changes of each member are remembered, for those who ask why.
+# State changes kept per member, for `views.explain`.
 MAX_CHANGES = 24
-# A datagram so many behind its sender's latest is too late to mean anything.
+# Datagrams whose sequence number is this far behind the latest are dropped.
 REPLAY_WINDOW = 128
-# Before any moment of the clock.
+# A time before any value of the clock.
 NEVER = -1e9
 
 
 class Member:
-    """The state, address and incarnation believed of a member, and what supports the belief."""
+    """State, address and incarnation of a member, and the evidence for its state."""
 
     __slots__ = (
         "name",
@@ -33,40 +33,44 @@
     )
 
     def __init__(self, name: str, address: Address, incarnation: int, life: int, now: float) -> None:
-        """A member that was met just now and is taken to be alive."""
+        """A member that was discovered at `now` and is taken to be alive."""
         self.name, self.address, self.incarnation, self.life = name, address, incarnation, life
         self.state, self.since = State.ALIVE, now
-        # Tags of those that suspect it, and until when it has to refute them. Most members never have any of
-        # these, and thousands of empty ones would be most of what a view takes.
+        # Tags of its accusers, and the time until which it can refute them. Most members are never suspected,
+        # so both share one empty default: with thousands of members separate empty sets would take most of
+        # the memory of a view.
         self.accusers: frozenset[int] = frozenset()
         self.deadline = float("inf")
-        # When it last answered a question of this front, itself or by way of others.
+        # When it last acknowledged a probe of this front, direct or indirect.
         self.answered_at = NEVER
-        # When it lately refuted a suspicion or its death.
+        # Times of its recent refutations of a suspicion or of its death.
         self.refuted_at: tuple[float, ...] = ()
-        # The latest number of its datagrams, and a bit for each of those before it that came.
+        # Highest sequence number received from it, and a bitmap of the numbers before it that were received.
         self.last_number, self.numbers_seen = 0, 0
         self.changes: tuple[Change, ...] = ()
 
     @property
     def is_alive(self) -> bool:
-        """Whether it is taken to be alive, suspected or not."""
+        """Whether the member is taken to be alive, including unfit and suspected."""
         return self.state < State.DEAD
 
     def to_update(self, accuser: int = 0) -> GossipUpdate:
-        """What is believed of it, as it is told to others."""
+        """The gossip update that describes this member.
+
+        Of a suspected member it names one accuser: the given tag, or the smallest known one.
+        """
         if self.state is State.SUSPECTED and not accuser:
             accuser = min(self.accusers)
         address = address_bytes(self.address)
         return GossipUpdate(self.name, address, self.incarnation, self.life, self.state, accuser)
 
     def clear_accusations(self) -> None:
-        """It is no longer suspected."""
+        """Remove all accusers and the deadline."""
         self.accusers, self.deadline = frozenset(), float("inf")
 
 
 def accept_sequence_number(member: Member, number: int) -> bool:
-    """Whether a datagram of this number has not come before, and is none of long ago; it is noted."""
+    """Record the sequence number of a datagram; whether it is new and within the replay window."""
     ahead = number - member.last_number
     if ahead > 0:
         shifted = member.numbers_seen << min(ahead, REPLAY_WINDOW) | 1
--- a/thistlelever/membership/merge.py
+++ b/thistlelever/membership/merge.py
@@ -1,4 +1,4 @@
-"""What other fronts say of members, merged into this front's table."""
+"""Merges messages and gossip from other fronts into the member table."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 
 
 class Merger:
-    """A newer incarnation, or a worse state of the same, replaces what was believed."""
+    """Merge rules: a higher incarnation wins, and at the same incarnation the worse state."""
 
     def __init__(
         self, context: Context, table: MemberTable, suspicions: Suspicions, conflicts: NameConflicts
     ) -> None:
-        """Merges into the table; what is said of this front itself goes to `conflicts`."""
+        """Merge into `table`; updates about this front itself go to `conflicts`."""
         self.table, self.suspicions, self.conflicts = table, suspicions, conflicts
         self.config, self.gossip, self.counts = context.config, context.gossip, context.counts
 
     def observe_sender(self, now: float, source: Address, message: Message) -> Member | None:
-        """Who sends is there, at the incarnation that it names; None where there is no room to know it."""
+        """The sender of a message, added or updated: it is alive at the incarnation that it names.
+
+        None if the table is full.
+        """
         name, incarnation, life = message.name, message.incarnation, message.life
         member = self.table.get(name)
         if member is None:
@@ -44,7 +47,7 @@
         return member
 
     def merge(self, now: float, update: GossipUpdate, by: str) -> None:
-        """Merge one update that another front passed on."""
+        """Merge one gossip update that `by` passed on."""
         if update.name == self.table.local.identity.name:
             self.conflicts.refute(now, update)
             return
@@ -63,7 +66,7 @@
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
 
     def add(self, now: float, update: GossipUpdate, by: str) -> Member | None:
-        """A member that was not known; None where it is not to be known."""
+        """Add an unknown member; None if it is dead or has left, or if the table is full."""
         gone = update.state in (State.DEAD, State.LEFT)
         if gone or len(self.table.members) >= self.config.max_members:
             return None
@@ -74,7 +77,7 @@
         return member
 
     def replace(self, now: float, member: Member, update: GossipUpdate, newer: bool, by: str) -> None:
-        """Believe the update in place of what was believed."""
+        """Apply an update that outweighs the current belief."""
         if newer:
             self.table.raise_incarnation(
                 now, member, address_of(update.address), update.incarnation, update.life
@@ -84,8 +87,9 @@
                 self.table.set_state(now, member, State.ALIVE, by, BY_GOSSIP)
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
         elif update.state is State.DEAD and member.is_alive:
-            # Departs from SWIM: a death by hearsay is one more accuser. Who passes it on may be of the other
-            # side of a cut that has just healed, where the member was out of reach and could refute nothing.
+            # Departs from SWIM: a gossiped death counts as one more accusation instead of being believed at
+            # once. After a network partition has healed it may come from the other side, where the member was
+            # unreachable and could not refute it.
             self.counts["deaths by hearsay"] += 1
             self.suspicions.accuse_by_reported_death(now, member, tag(by), by, BY_DEATH_GOSSIP)
         else:
--- a/thistlelever/membership/name_conflict.py
+++ b/thistlelever/membership/name_conflict.py
@@ -1,4 +1,4 @@
-"""What others say of this front, and other processes under its name."""
+"""Refutes what others say about this front, and detects another process under the same name."""
 
 from __future__ import annotations
 
@@ -9,25 +9,31 @@
 from thistlelever.membership.types import Address
 from thistlelever.wire.peers import GossipUpdate, Message, MessageKind, State, address_of
 
-# Another process under this name is asked for at most this often, in seconds.
+# Minimum seconds between two checks for another process under this name.
 CHECK_INTERVAL = 1.0
 
 
 class NameConflicts:
-    """Refutes what is wrong of this front, and finds out whether a later process has its name."""
+    """Refutes wrong updates about this front; makes it stand down if a process under its name started
+    later.
+    """
 
     def __init__(self, context: Context, outbox: Outbox, prober: Prober) -> None:
-        """No other process is known of."""
+        """No other process is known."""
         self.outbox, self.prober = outbox, prober
         self.local, self.table = outbox.local, outbox.table
         self.random, self.health, self.counts = context.random, context.health, context.counts
-        # Where a process under this name lives that started later, once it has answered: then this front
-        # stands down.
+        # Address of a process under this name that started later, once it has acknowledged a check; this
+        # front then stands down.
         self.newer_process = ""
         self.check_nonce, self.checked_at = 0, NEVER
 
     def refute(self, now: float, update: GossipUpdate) -> None:
-        """What others say of this front. All but what it says itself is refuted by a higher incarnation."""
+        """Refute an update about this front by announcing a higher incarnation.
+
+        Ignored are updates that are older than what this front announces or agree with it, and all updates
+        once it has left.
+        """
         if update.incarnation < self.local.incarnation or self.local.state is State.LEFT:
             return
         same_life = update.life == self.local.identity.life
@@ -35,7 +41,7 @@
         if own and update.state <= self.local.state:
             return
         if update.state in (State.SUSPECTED, State.DEAD) and same_life:
-            # Who is accused may be slow itself (Lifeguard).
+            # Lifeguard: an accused member may itself be the slow one, so its local health gets worse.
             self.health.worsen(1)
             self.counts["refuted"] += 1
             accuser = f"accuser {update.accuser:08x}"
@@ -46,18 +52,20 @@
         self.outbox.announce(update.incarnation + 1)
 
     def check_address(self, now: float, address: Address) -> None:
-        """At another address is a former life, or another process that lives. It is asked."""
+        """Ping an address that an update names for this front: either an earlier start of this front or
+        another live process under its name used it.
+        """
         if address == self.local.identity.address or now - self.checked_at < CHECK_INTERVAL:
             return
         self.checked_at, self.check_nonce = now, self.random.nonce()
         self.prober.ping_address(now, address, self.check_nonce)
 
     def handle_namesake(self, now: float, source: Address, message: Message) -> None:
-        """A datagram under this front's own name."""
+        """Handle a datagram that carries this front's own name."""
         if message.life == self.local.identity.life:
             self.counts["own words back"] += 1
         elif message.kind is MessageKind.PING:
-            # It asks whether somebody lives here under its name.
+            # The other process checks whether this one is alive.
             self.counts["namesakes"] += 1
             self.outbox.send_to(source, MessageKind.ACK, message.nonce)
         elif message.kind is MessageKind.ACK and message.nonce == self.check_nonce:
@@ -68,7 +76,7 @@
                 self.table.record_own_change(now, self.local.state, by, self.stand_down_reason())
 
     def stand_down_reason(self) -> str:
-        """Why this front stands down, or empty."""
+        """Why this front stands down, or an empty string."""
         if not self.newer_process:
             return ""
         return f"another process under this name, at {self.newer_process}, started later"
--- a/thistlelever/membership/random_source.py
+++ b/thistlelever/membership/random_source.py
@@ -1,4 +1,4 @@
-"""RandomSource for the failure detector: the same seed and calls give the same draws."""
+"""Deterministic randomness for the failure detector: the same seed and calls give the same numbers."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RandomSource:
-    """Draws from a seed and two counters."""
+    """Numbers hashed from a seed and a counter; one counter for nonces, one for choices."""
 
     def __init__(self, seed: int) -> None:
-        """A fresh source; nothing is drawn yet."""
+        """Start both counters at 0."""
         self.seed, self.draws, self.nonces = seed, 0, 0
 
     def nonce(self) -> int:
-        """A number that can't be guessed, so that an answer is one to this question; never 0."""
+        """A non-zero 32-bit number that ties an acknowledgement to its ping."""
         self.nonces += 1
         return crc32(b"%d nonce %d" % (self.seed, self.nonces)) or 1
 
     def below(self, bound: int) -> int:
-        """A whole number from 0 to below the bound."""
+        """An integer from 0 up to, but not including, `bound`."""
         self.draws += 1
         return crc32(b"%d %d" % (self.seed, self.draws)) * bound >> 32
--- a/thistlelever/membership/service_health.py
+++ b/thistlelever/membership/service_health.py
@@ -1,20 +1,23 @@
-"""Whether a front serves whom it takes. One that answers probes and serves nobody is alive and not healthy:
-others are told the second, and that it is so by its own word."""
+"""Whether a front serves its clients.
+
+A front that acknowledges probes but returns no results is alive but unfit; it announces that itself.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-# Nothing returned for so many seconds, though so many queries were received: the front serves nobody.
+# The front is unfit if it returned nothing for this many seconds while it received at least this many
+# queries.
 STUCK_AFTER, MIN_RECEIVED = 5.0, 5
 
 
 class Observation(NamedTuple):
-    """What is seen of a front at one moment; the queries are counted since its start."""
+    """Counters of a front at one moment; queries are counted since its start."""
 
     at: float
-    # Whether the front takes queries at all.
+    # Whether the front accepts queries at all.
     ready: bool
     received: int
     answered: int
@@ -23,18 +26,19 @@
 
 
 class ServiceHealth:
-    """Judges a front by what is observed of it now and then."""
+    """Derives the service health of a front from periodic observations."""
 
     def __init__(self) -> None:
-        """Healthy until shown otherwise."""
+        """Healthy until observations say otherwise."""
         self.observations: deque[Observation] = deque()
         self.serves = True
 
     def observe(self, latest: Observation) -> bool:
-        """Whether the front serves.
+        """Whether the front serves its clients, given the latest observation.
 
-        Risk: a quiet front and one among engines that are all down look alike by their returns; only what was
-        received and not returned counts, and a single return ends it.
+        Returns alone cannot tell an idle front, or one whose engines are all down, from a stuck one. Only
+        queries that were received and not returned count against a front, and a single return makes it
+        healthy again.
         """
         self.observations.append(latest)
         while len(self.observations) > 1 and self.observations[1].at <= latest.at - STUCK_AFTER:
--- a/thistlelever/membership/types.py
+++ b/thistlelever/membership/types.py
@@ -1,4 +1,4 @@
-"""What passes between the failure detector and whatever carries it."""
+"""Values passed between the failure detector and `carrier.members`, which drives it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 
 class Identity(NamedTuple):
-    """This front. `life` is when it started, in eighths of a second: a later life has a larger one."""
+    """This front. `life` is its start time in eighths of a second, so that a restarted process under the same
+    name has a larger one.
+    """
 
     name: str
     address: Address
@@ -18,9 +20,9 @@
 
 
 class TierSettings(NamedTuple):
-    """What the settings say of the tier: addresses to meet it at, and how many fronts it has.
+    """What the configuration says about the tier: addresses of other fronts, and the number of fronts.
 
-    The number holds as long as this front is alone; its own address may be among the others.
+    `peers` may contain this front's own address. `fronts` is used as long as this front is isolated.
     """
 
     peers: tuple[Address, ...]
@@ -28,14 +30,16 @@
 
 
 class Send(NamedTuple):
-    """A message that is to go to an address."""
+    """A message to send to an address."""
 
     address: Address
     message: Message
 
 
 class Change(NamedTuple):
-    """A member's state that changed: who said so, over which path, how late."""
+    """A state change of one member: `by` whom and over which `path` it was learned, and for a death how many
+    seconds `late` after the suspicion began.
+    """
 
     at: float
     name: str
@@ -47,10 +51,12 @@
 
 
 class View(NamedTuple):
-    """What others may act on. `alone` is why nothing of it may be acted on, or empty."""
+    """What callers may act on. While `isolation_reason` is not empty, the view must not be acted on and
+    `fronts` is the configured number.
+    """
 
     isolation_reason: str
-    # Fronts taken to be alive, this one included; where `alone`, how many the settings name.
+    # Number of fronts including this one; recent deaths still count.
     fronts: int
     alive: int
     suspected: int
