--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -1,4 +1,4 @@
-"""Where membership is on: hands datagrams, turns and facts to its detector, and carries out what it says."""
+"""Drives the failure detector of membership: its clock, its datagrams, and the reporting of changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MembershipDriver:
-    """One detector on the loop's clock. `on_view` is told whenever what others may act on has changed."""
+    """One failure detector on the event loop. `on_view` is called whenever its view has changed."""
 
     def __init__(
         self,
@@ -25,6 +25,7 @@
         log: Log,
         on_view: Callable[[View], None],
     ) -> None:
+        """Register with the peer socket for datagrams of membership."""
         self.detector, self.peers, self.tally, self.log, self.on_view = detector, peers, tally, log, on_view
         self.timer: asyncio.TimerHandle | None = None
         self.last_view: View | None = None
@@ -32,19 +33,23 @@
         peers.is_backlog_current = self.is_backlog_current
 
     def open(self) -> None:
+        """Start ticking; needs a running event loop."""
         self.detector.last_tick_at = clock.now()
         self.tick()
 
     def close(self) -> None:
+        """Stop ticking."""
         if self.timer:
             self.timer.cancel()
 
     def is_backlog_current(self) -> bool:
+        """Whether waiting datagrams may be read; False if the process was paused."""
         return not self.detector.check_for_pause(clock.now())
 
     def tick(self) -> None:
-        # What waits at the socket came before this moment: read after the timers, answers that are there
-        # would count as missing.
+        """Read waiting datagrams, let the detector do what is due, and schedule the next tick."""
+        # Datagrams that already wait at the socket arrived before this moment. If the tick came first,
+        # acknowledgements among them would count as missing.
         self.peers.read()
         now = clock.now()
         self.deliver(self.detector.tick(now))
@@ -56,19 +61,22 @@
         self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
 
     def handle_datagram(self, source: tuple[str, int], body: bytes) -> None:
+        """Hand a membership message to the detector; `InvalidDatagram` if it is malformed."""
         message, updates = wire.decode(body)
         self.deliver(self.detector.handle_message(clock.now(), source, message, updates))
 
     def leave(self) -> None:
+        """Announce to other fronts that this one leaves."""
         self.deliver(self.detector.leave(clock.now()))
 
     def deliver(self, sends: list[Send]) -> None:
+        """Send messages, and count and log the state changes that came with them."""
         for send in sends:
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
         for change in self.detector.changes:
             own, state = change.name == self.detector.identity.name, change.state.name.lower()
             self.tally.add(f"membership: {change.path}" if own else f"members: {state}")
-            # A kind of line for each state: the log bounds lines by kind, and doubts must not crowd out
+            # One event name per state: the log limits lines per event, so frequent suspicions cannot suppress
             # deaths.
             self.log(
                 "membership" if own else f"member {state}",
--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -1,5 +1,7 @@
-"""The one carrier of datagrams between fronts: a socket, and who is told what comes of which matter. It does
-not know what a message means. Imported only where something beyond the platform's own front wants peers."""
+"""The UDP socket shared by all peer protocols between fronts, which passes datagrams to their handlers.
+
+It does not interpret message bodies, and is imported only if an optional part needs other fronts.
+"""
 
 from __future__ import annotations
 
@@ -11,24 +13,30 @@
 from thistlelever.wire import peers as wire
 
 Address = tuple[str, int]
-# One turn of the loop must not go to datagrams alone; after a pause all that waits is let go at once.
+# Datagrams read per event, so that they do not occupy the loop; and outdated ones discarded at once after a
+# pause.
 MAX_READS_PER_EVENT, MAX_STALE_READS = 64, 8_192
-# What the kernel keeps while the loop is busy.
+# Bytes that the kernel buffers while the loop is busy.
 RECEIVE_BUFFER_SIZE = 262_144
 
 
 class PeerSocket:
-    """Reads and writes datagrams of one tier. `current` is asked before what waits is read: where it says no,
-    what waits is older than a pause of this front and is let go."""
+    """Sends and receives datagrams of one tier.
+
+    `handlers` maps a protocol number to the function that takes the source address and the body.
+    `is_backlog_current` is called before waiting datagrams are read; if it returns False they are older than
+    a pause of this process and are discarded.
+    """
 
     def __init__(self, address: Address, tier: str, tally: Tally) -> None:
+        """Not bound yet; `tier` is the name of the tier."""
         self.address, self.tier, self.tally = address, wire.tag(tier), tally
         self.handlers: dict[int, Callable[[Address, bytes], None]] = {}
         self.is_backlog_current: Callable[[], bool] = lambda: True
         self.socket: socket.socket | None = None
 
     def open(self) -> None:
-        """Bind; `OSError` names the address."""
+        """Bind and start reading; `OSError` with the address if that fails."""
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         opened.setblocking(False)
         try:
@@ -41,13 +49,14 @@
         asyncio.get_running_loop().add_reader(opened, self.read)
 
     def close(self) -> None:
+        """Stop reading and close the socket."""
         if self.socket:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
             self.socket = None
 
     def read(self) -> None:
-        """All that waits, as far as one turn goes."""
+        """Read waiting datagrams, up to the limit per event; invalid ones are counted and dropped."""
         current = self.is_backlog_current()
         for _ in range(MAX_READS_PER_EVENT if current else MAX_STALE_READS):
             if self.socket is None:
@@ -57,7 +66,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # What was sent to nobody comes back as an error of the next read.
+                # An ICMP error for an earlier datagram (nothing listens there) is reported by the next read.
                 self.tally.add("peers: out of reach")
                 continue
             if not current:
@@ -72,7 +81,10 @@
                 self.tally.add("peers: of another matter")
 
     def send(self, address: Address, data: bytes) -> None:
-        """Risk: a datagram longer than the platform's opened voids a run; none is sent."""
+        """Send a datagram; failures are counted.
+
+        One that is longer than the platform allows is not sent, as it would invalidate a whole run.
+        """
         if (
             not self.tally.must(len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their opened")
             or self.socket is None
--- a/thistlelever/membership/anti_entropy.py
+++ b/thistlelever/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: where two views differ for long, one front asks the other for its whole list."""
+"""Anti-entropy: if two views keep differing, one front pulls the other's member list, page by page."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from thistlelever.membership.types import Address
 from thistlelever.wire.peers import MAX_BODY_SIZE, Message, MessageKind, encode_update, encoded_size
 
-# A piece of a list is asked for again after so many seconds, so often.
+# Seconds until a page is requested again, and the maximum number of such retries.
 PULL_TIMEOUT, MAX_PULL_RETRIES = 0.15, 6
-# Where views only differ, nothing must have changed here for so long before a list is asked for.
+# Seconds without a local change before a differing digest alone starts a pull.
 MIN_QUIET_TIME = 1.0
-# The longest name of a member, which the room for a piece of a list reckons with.
+# The longest member name, as placeholder when the room for a page is computed.
 LONGEST_NAME = "x" * 64
 
 
 class Pull(NamedTuple):
-    """A list that is being asked for: of whom, from which name on, when again, how often it was tried."""
+    """A running pull: from whom, after which name, when to retry, and the retries so far."""
 
     address: Address
     cursor: str
@@ -31,20 +31,21 @@
 
 
 class AntiEntropy:
-    """Asks for lists and gives them, a piece at a time."""
+    """Pulls member lists from others and serves pages of its own."""
 
     def __init__(self, context: Context, table: MemberTable, outbox: Outbox) -> None:
-        """No list was read yet."""
+        """No pull is running."""
         self.table, self.outbox = table, outbox
         self.random, self.health = context.random, context.health
         self.pull: Pull | None = None
-        # Whether this front's own view is old, until somebody's whole list was read.
+        # Whether this front's view is outdated until a whole list has been read.
         self.stale = False
 
     def compare_digests(self, now: float, source: Address, digest: int, returned: bool) -> None:
-        """Ask for another's list where its view differs and nothing has changed here for long.
+        """Start a pull from `source` if the view there differs and nothing has changed here for some time.
 
-        At once where one that was held dead is back: the link between two parts of the tier has healed.
+        The pull starts at once if the own view is stale, or if a member that was held dead is back
+        (`returned`): then a network partition has healed.
         """
         differs = digest != self.table.full_digest()
         overdue = differs and now - self.table.changed_at > MIN_QUIET_TIME
@@ -53,7 +54,7 @@
             self.request(now, source)
 
     def request(self, now: float, address: Address, place: str = "", retries: int = 0) -> None:
-        """Ask for the list from a name on, or give up after too many tries."""
+        """Request the page after the name `place`, or give up after too many retries."""
         if retries > MAX_PULL_RETRIES:
             self.pull = None
             return
@@ -61,18 +62,22 @@
         self.outbox.send_to(address, MessageKind.LIST_REQUEST, self.random.nonce(), place)
 
     def retry(self, now: float) -> None:
-        """Ask again for the piece that has not come in time."""
+        """Request the outstanding page again once its timeout has passed."""
         if self.pull and now >= self.pull.retry_at:
             self.request(now, self.pull.address, self.pull.cursor, self.pull.retries + 1)
 
     def abandon(self) -> None:
-        """What was asked for is no longer waited for."""
+        """Stop waiting for the current pull."""
         self.pull = None
 
     def send_page(self, member: Member, message: Message) -> None:
-        """Send one piece: the records after a name, as many as fit, and where to go on."""
+        """Send one page: the records of members after `message.place`, as many as fit, in the order of names.
+
+        The first page also contains this front and the receiver. The answer names the last member of the
+        page, or an empty string on the last page.
+        """
         others = (name for name in self.table.members if name > message.place and name != member.name)
-        # One more than fits tells whether there is more.
+        # One name more than fits shows whether there is another page.
         names = nsmallest(MAX_UPDATES_PER_FRAME + 1, others)
         room = MAX_BODY_SIZE - encoded_size(
             self.outbox.message(MessageKind.LIST, message.nonce, LONGEST_NAME)
@@ -94,7 +99,9 @@
         self.outbox.send_records(member.address, MessageKind.LIST, message.nonce, place, tuple(records))
 
     def handle_page(self, now: float, source: Address, message: Message) -> None:
-        """A piece came, its records are merged; ask for the next, or have the whole."""
+        """Request the next page, or finish the pull. The records of the page were merged like gossip
+        before.
+        """
         if not self.pull or self.pull.address != source:
             return
         if message.place:
--- a/thistlelever/membership/discovery.py
+++ b/thistlelever/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Configured addresses of other fronts: how a front meets its tier, and finds it again after a cut."""
+"""Finds members at configured addresses: at startup, and again after a network partition."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from thistlelever.membership.table import MemberTable
 from thistlelever.membership.types import Address
 
-# How many addresses that were never met are pinged in a round at a start.
+# Number of configured addresses without a known member that are pinged per round at startup.
 PINGS_PER_ROUND = 8
 
 
 class PeerDiscovery:
-    """Pings addresses at which nobody is known, and members that are held dead."""
+    """Pings configured addresses at which no member is known, and members held dead."""
 
     def __init__(self, table: MemberTable, prober: Prober, addresses: tuple[Address, ...]) -> None:
-        """The addresses may hold this front's own."""
+        """Start with these addresses; this front's own may be among them."""
         self.table, self.prober = table, prober
         self.pinged, self.reconnects = 0, 0
         self.peers: tuple[Address, ...] = ()
         self.set_peers(addresses)
 
     def set_peers(self, addresses: tuple[Address, ...]) -> None:
-        """Take another list of addresses; members that were met live on as long as they answer."""
+        """Replace the configured addresses; known members stay as long as they answer."""
         own = self.table.local.identity.address
         self.peers = tuple(address for address in addresses if address != own)
 
     def ping_unknown(self, now: float) -> None:
-        """In each round of a start: ping some addresses at which nobody is known."""
+        """Ping some configured addresses at which no member is known; called per round during startup."""
         for _ in range(min(PINGS_PER_ROUND, len(self.peers))):
             self.pinged += 1
             address = self.peers[self.pinged % len(self.peers)]
@@ -34,9 +34,10 @@
                 self.prober.ping_address(now, address)
 
     def reconnect(self, now: float) -> None:
-        """Ping one that is held dead, or an address that nobody lives at.
+        """Ping one dead member or one configured address without a known member, in turn.
 
-        That is how the two sides of a cut find each other again, and how a start without peers ends.
+        This reunites the two sides of a healed partition, and completes a startup at which no peer was
+        reachable.
         """
         away = sorted(member.address for member in self.table.members.values() if not member.is_alive)
         away += sorted(address for address in self.peers if address not in self.table.by_address)
--- a/thistlelever/membership/failure_detector.py
+++ b/thistlelever/membership/failure_detector.py
@@ -1,14 +1,16 @@
-"""Who is alive: probes in rounds, by way of others where there is no answer, a suspicion before each death,
-and this front's own health before all.
+"""The failure detector of one front. Composes the parts of this package and has no I/O of its own.
+
+Members are probed in rounds, directly and through others; before a member is held dead it is suspected for
+some time; and a front in poor health delays its own accusations.
 
     detector = FailureDetector(config, identity, tier, seed, now)
     sends = detector.tick(now)                        # whenever `next_tick_at` has come
     sends = detector.handle_message(now, address, message, updates)
     view = detector.view(now)
 
-Follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018); what departs from them
-is named where it acts and weighed in `docs/membership.md`. Times are seconds of a clock that never goes back.
-The same calls give the same sends: chance comes from the seed and a counter.
+Follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018). Departures from them
+are marked where they apply and discussed in `docs/membership.md`. Times are seconds of a monotonic clock. The
+same calls produce the same messages: random choices depend only on the seed and a counter.
 """
 
 from __future__ import annotations
@@ -33,19 +35,19 @@
 from thistlelever.membership.types import Address, Identity, Send, TierSettings, View
 from thistlelever.wire.peers import GossipUpdate, Message, MessageKind, State
 
-# Whether this front serves is told to others at most this often, and a front that stands down looks about
-# this often, in seconds.
+# Minimum seconds between two announcements of the service health, and between two ticks of a front that has
+# stood down.
 SERVING_INTERVAL, STOOD_DOWN_INTERVAL = 1.0, 1.0
 NOT_JOINED = "no word yet"
 
 
 class FailureDetector:
-    """The failure detector of one front: takes events, gives what is to be sent and what is believed."""
+    """Takes messages, ticks and settings; returns messages to send and a view of the tier."""
 
     def __init__(
         self, config: MembershipConfig, identity: Identity, tier: TierSettings, seed: int, now: float
     ) -> None:
-        """A front that starts now and has heard of nobody yet."""
+        """A front that starts at `now` and knows no members yet."""
         self.config, self.identity, self.configured_fronts = config, identity, tier.fronts
         context = Context(config, RandomSource(seed), LocalHealth(), GossipQueue(), Counter())
         self.random, self.health = context.random, context.health
@@ -61,22 +63,26 @@
         self.merger = Merger(context, self.table, self.suspicions, self.conflicts)
         self.discovery = PeerDiscovery(self.table, self.prober, tier.peers)
         self.round_at, self.reconnect_at, self.last_tick_at = now, now, now
-        # Whether anybody has answered since the start.
+        # Whether any member has acknowledged this front since the start.
         self.joined = False
         self.last_isolation_reason = NOT_JOINED
         self.serving_changed_at = NEVER
 
-    # Events.
+    # Events
 
     def check_for_pause(self, now: float) -> bool:
-        """Called before anything else of a moment. Whether the front was held up: then what waits at its
-        socket is old and must not be heard."""
+        """Must be called before any other event of the same moment.
+
+        Whether the process was paused: then datagrams that wait at its socket are outdated and must be
+        discarded.
+        """
         gap, self.last_tick_at = now - self.last_tick_at, now
         late = gap - self.config.period
         self.health.lateness = max(late, 0.0)
         if gap <= self.config.pause_threshold:
             if late > self.config.period / 2:
-                # Risk: answers wait at the socket while the loop was held up; nobody is accused for that.
+                # While the event loop was blocked, acknowledgements waited at the socket, so no member may be
+                # accused for their absence.
                 self.health.worsen(1)
                 self.postpone(late)
             return False
@@ -86,18 +92,18 @@
         self.prober.probes.clear()
         self.anti_entropy.abandon()
         self.suspicions.withdraw(now)
-        # Nothing that was believed is acted on until somebody's whole list was read.
+        # The view must not be acted on until the whole list of another member has been read.
         self.anti_entropy.stale = self.joined
         self.health.note_contact(now)
         return True
 
     def postpone(self, seconds: float) -> None:
-        """What is due of others is due so much later, as this front itself was late."""
+        """Extend probe timeouts and suspicions by as much as this front itself was late."""
         self.prober.postpone(seconds)
         self.suspicions.postpone(seconds)
 
     def tick(self, now: float) -> list[Send]:
-        """What is due by now. The carrier has handed on all that came before."""
+        """Do what is due at `now`. All datagrams received before must have been handled."""
         self.outbox.begin_event()
         if self.conflicts.newer_process:
             return []
@@ -121,7 +127,7 @@
         return self.outbox.sends
 
     def next_tick_at(self) -> float:
-        """When the next turn is."""
+        """The time of the next tick."""
         if self.conflicts.newer_process:
             return self.last_tick_at + STOOD_DOWN_INTERVAL
         return min(self.round_at, self.prober.next_due(self.round_at))
@@ -129,7 +135,7 @@
     def handle_message(
         self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
     ) -> list[Send]:
-        """A datagram of this tier, in form."""
+        """Handle a valid message of this tier; returns the messages to send."""
         self.outbox.begin_event()
         if self.conflicts.newer_process:
             return []
@@ -140,7 +146,7 @@
         return self.outbox.sends
 
     def set_serving(self, now: float, serves: bool) -> None:
-        """Whether this front serves whom it takes; its own word, told to all."""
+        """Announce whether this front serves its clients; at most once per `SERVING_INTERVAL`."""
         state = State.ALIVE if serves else State.UNFIT
         if self.local.state not in (State.ALIVE, State.UNFIT) or state is self.local.state:
             return
@@ -152,7 +158,7 @@
         self.table.record_own_change(now, state, BY_ITSELF, path)
 
     def leave(self, now: float) -> list[Send]:
-        """SIGTERM: said at once to as many as it takes for all to hear."""
+        """Announce that this front leaves (on SIGTERM) to enough members for gossip to reach the rest."""
         self.outbox.begin_event()
         self.local.state = State.LEFT
         self.outbox.announce(self.local.incarnation)
@@ -163,14 +169,16 @@
         return self.outbox.sends
 
     def set_peers(self, now: float, peers: tuple[Address, ...]) -> None:
-        """Another list of peers: new ones are met at once, old ones live on as long as they answer."""
+        """Replace the configured peers. New ones are contacted at the next tick; known members stay as long
+        as they answer.
+        """
         self.discovery.set_peers(peers)
         self.reconnect_at = min(self.reconnect_at, now)
 
-    # What is believed.
+    # View
 
     def isolation_reason(self, now: float) -> str:
-        """Why nothing that this front believes of others may be acted on, or empty."""
+        """Why this front must not act on its view, or an empty string."""
         if self.conflicts.newer_process:
             return self.conflicts.stand_down_reason()
         if not self.discovery.peers and not self.members:
@@ -182,10 +190,11 @@
         return "held up, view not renewed" if self.anti_entropy.stale else ""
 
     def view(self, now: float) -> View:
-        """How many fronts there are, as far as this front may act on it."""
+        """The number of fronts by state; the configured number if the view must not be acted on."""
         reason = self.isolation_reason(now)
         living = [member for member in self.members.values() if member.is_alive]
-        # Risk: a share grows by a death that is taken back a moment later.
+        # Recent deaths still count as fronts: if a death were refuted a moment later, the shares of the
+        # remaining fronts would have grown in between.
         unsure = sum(
             member.state is State.DEAD and now - member.since < self.config.death_grace
             for member in self.members.values()
@@ -199,27 +208,31 @@
             sum(member.state is State.UNFIT for member in living) + (self.local.state is State.UNFIT),
         )
 
-    # Steps of a turn.
+    # Steps of a tick
 
     def begin_round(self, now: float) -> None:
-        """Meet who was not met yet, and probe two members."""
-        # Rounds missed are not made up for.
+        """Contact peers that are not known yet, and probe two members."""
+        # Missed rounds are not made up for.
         self.round_at = max(self.round_at + self.config.period, now + self.config.period / 2)
         if not self.joined or len(self.members) < len(self.discovery.peers):
             self.discovery.ping_unknown(now)
         self.prober.begin_round(now)
 
     def forget(self, now: float) -> None:
-        """Drop members that are long gone, refutations of long ago, and pings that nobody will answer."""
+        """Drop members long gone, old refutations, and pings that can no longer be acknowledged."""
         for name in self.table.forget(now, self.config.forget_after):
             self.gossip.drop(name)
         self.table.forget_refutations(now)
         self.prober.forget_unawaited(now)
 
     def handle_probe_failure(self, now: float, member: Member, probe: Probe) -> None:
-        """A probe had no answer, nor had those that were asked: accuse the member, if this front can tell."""
+        """Accuse a member that acknowledged neither directly nor through others.
+
+        No accusation is made if the fault may lie with this front.
+        """
         self.counts["probes failed"] += 1
-        # Those asked owe word either way: where none comes, it is this front that nothing reaches.
+        # Members that are asked to probe always reply. If none of them did, it is this front that receives
+        # nothing.
         nobody_replied = probe.indirect_requests and not probe.nacks
         if nobody_replied:
             self.health.worsen(1)
@@ -229,18 +242,21 @@
         path = f"no answer in {waited:.3f} s, nor to {probe.indirect_requests} others ({probe.nacks} said so)"
         self.suspicions.accuse(now, member, self.local.tag, self.identity.name, path)
 
-    # Steps of taking a datagram.
+    # Steps of handling a message
 
     def is_current(self, source: Address, message: Message) -> bool:
-        """Whether a datagram is of its sender's present life, and new; what is not is counted."""
+        """Whether a message is from its sender's present start and not a replay. Rejected ones are
+        counted.
+        """
         member = self.members.get(message.name)
         if member is None:
             return True
         if message.life != member.life and message.incarnation <= member.incarnation:
-            # Risk: what a former life sent late passes for word of the present one.
+            # A late datagram from before a restart must not pass for one from the present process.
             self.counts["of a former life"] += 1
             if message.kind is MessageKind.PING:
-                # Risk: one that was started again with its clock set back never learns what to outbid.
+                # A process that restarted with its clock set back has a lower `life`. The reply tells it
+                # which incarnation it has to exceed; otherwise it would never rejoin.
                 self.outbox.send_to(source, MessageKind.ACK, message.nonce, first=member.to_update())
             return False
         if message.life == member.life and not accept_sequence_number(member, message.count):
@@ -251,9 +267,10 @@
     def process(
         self, now: float, source: Address, message: Message, updates: tuple[GossipUpdate, ...]
     ) -> None:
-        """A datagram of another front's present life: learn from it, answer it, compare the views."""
+        """Handle a current message: merge its updates, respond to it, and compare digests."""
         known = self.members.get(message.name)
-        # Risk: one that leaves and still answers is asked for its list by each answer to that.
+        # Only a dead member counts as returned. A leaving member still answers, and each answer would start
+        # another pull of its list.
         returned = known is not None and known.state is State.DEAD
         sender = self.merger.observe_sender(now, source, message)
         if sender is None:
@@ -265,7 +282,7 @@
         self.anti_entropy.compare_digests(now, source, message.digest, returned)
 
     def respond_to(self, now: float, source: Address, sender: Member, message: Message) -> None:
-        """Do what a message wants."""
+        """Respond to a message according to its kind."""
         match message.kind:
             case MessageKind.PING:
                 self.outbox.send(sender, MessageKind.ACK, message.nonce, to=source)
@@ -281,7 +298,7 @@
                 self.anti_entropy.handle_page(now, source, message)
 
     def handle_ack(self, now: float, sender: Member, message: Message) -> None:
-        """An answer to a ping: somebody heard this front and said so, so it is not alone."""
+        """Handle the acknowledgement of a ping: it shows that messages from this front arrive."""
         if self.conflicts.check_nonce and message.nonce == self.conflicts.check_nonce:
             return
         if not self.prober.handle_ack(now, sender, message):
--- a/thistlelever/membership/gossip.py
+++ b/thistlelever/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that are to be passed on: of each member the newest, the least often sent first."""
+"""Queue of gossip updates to piggyback on messages: the newest per member, the least often sent first."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from thistlelever.wire.peers import GossipUpdate, encode_update
 
-# No frame has room for more.
+# More updates than this never fit into one frame.
 MAX_UPDATES_PER_FRAME = 12
 
 
 class QueuedUpdate:
-    """One update in the queue, packed once, and how often it was sent."""
+    """An update, its encoding, how often it was sent, and its position in the order of arrival."""
 
     __slots__ = ("update", "encoded", "sent", "sequence")
 
     def __init__(self, update: GossipUpdate, sequence: int) -> None:
-        """An update that was never sent."""
+        """An update that has not been sent yet."""
         self.update, self.encoded, self.sent, self.sequence = update, encode_update(update), 0, sequence
 
 
 class GossipQueue:
-    """At most one update a member, so never more than there are members.
+    """At most one update per member, so the queue is bounded by the size of the tier.
 
-    Under churn what was sent least goes first and the newest of these: each gets its turns, and none is sent
-    for ever.
+    Updates that were sent least often go first, and the newest among those. Under churn every update is still
+    sent its full number of times, and none is sent for ever.
     """
 
     def __init__(self) -> None:
@@ -35,18 +35,19 @@
         self.sequence = 0
 
     def add(self, update: GossipUpdate) -> None:
-        """Queue an update in place of any older one of the same member."""
+        """Queue an update; it replaces an older one about the same member."""
         self.sequence += 1
         self.updates[update.name] = QueuedUpdate(update, self.sequence)
 
     def drop(self, name: str) -> None:
-        """Pass on nothing more of this member."""
+        """Remove the update about a member, if there is one."""
         self.updates.pop(name, None)
 
     def take(self, room: int, max_sends: int, first: GossipUpdate | None = None) -> tuple[Raw, ...]:
-        """As many as fit in `room` bytes; each is dropped once it was sent so many times.
+        """The encoded updates to send next, in at most `room` bytes.
 
-        `first` goes in any case: what is said of the receiver, which alone can refute it.
+        An update is removed once it has been sent `max_sends` times. `first` is always included: an
+        accusation of the receiver, which only the receiver can refute, or the notice that this front leaves.
         """
         taken: list[Raw] = []
         if first is not None:
--- a/thistlelever/membership/outbox.py
+++ b/thistlelever/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages to other fronts, each with as many updates behind it as its frame has room for."""
+"""Builds outgoing messages, each with as many gossip updates as fit into its frame."""
 
 from __future__ import annotations
 
@@ -13,27 +13,31 @@
 from thistlelever.membership.types import Address, Send
 from thistlelever.wire.peers import MAX_BODY_SIZE, GossipUpdate, Message, MessageKind, State, encoded_size
 
-# How often an update is sent: so many times the logarithm of the tier's size.
+# Each update is sent this many times the binary logarithm of the size of the tier.
 RETRANSMIT_FACTOR = 3
 
 
 class Outbox:
-    """Collects what one event makes this front send, and numbers it."""
+    """Collects and numbers the messages that one event produces."""
 
     def __init__(self, local: LocalMember, table: MemberTable, gossip: GossipQueue) -> None:
-        """Nothing to send yet."""
+        """No messages yet."""
         self.local, self.table, self.gossip = local, table, gossip
         self.number = 0
         self.sends: list[Send] = []
 
     def begin_event(self) -> None:
-        """Another event: what the one before it sent was handed on."""
+        """Start a new list of messages; the previous event handed out its own."""
         self.sends = []
 
     def send(
         self, member: Member, kind: MessageKind, nonce: int, place: str = "", to: Address | None = None
     ) -> None:
-        """To a member goes first what is held against it, which it alone can refute."""
+        """Send to a member, at `to` if given, otherwise at its known address.
+
+        If the member is suspected, dead or gone, that comes first, since only the member itself can refute
+        it.
+        """
         accused = member.state in (State.SUSPECTED, State.DEAD, State.LEFT)
         first = member.to_update() if accused else None
         self.send_to(to or member.address, kind, nonce, place, first)
@@ -46,7 +50,7 @@
         place: str = "",
         first: GossipUpdate | None = None,
     ) -> None:
-        """To an address, whoever is there."""
+        """Send to an address, whichever member is there, with `first` before other updates."""
         self.number += 1
         if self.local.state is State.LEFT:
             first = first or self.local.to_update()
@@ -57,18 +61,18 @@
     def send_records(
         self, address: Address, kind: MessageKind, nonce: int, place: str, records: tuple
     ) -> None:
-        """To an address, with these records in place of updates."""
+        """Send a page of encoded member records instead of queued updates."""
         self.number += 1
         self.sends.append(Send(address, self.message(kind, nonce, place, records)))
 
     def message(self, kind: MessageKind, nonce: int, place: str = "", records: tuple = ()) -> Message:
-        """A message of this front under the latest number."""
+        """A message from this front with the current sequence number."""
         name, _, life = self.local.identity
         digest = self.table.full_digest()
         return Message(kind, name, life, self.local.incarnation, self.number, nonce, digest, place, records)
 
     def announce(self, incarnation: int) -> None:
-        """Tell others what this front says of itself, at this incarnation at least."""
+        """Queue this front's own update, at the given incarnation or a higher one."""
         self.local.incarnation = max(self.local.incarnation, incarnation)
         self.gossip.add(self.local.to_update())
 
--- a/thistlelever/membership/probe_order.py
+++ b/thistlelever/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""Whom to probe next: by a ring of name hashes, and by an order that is shuffled anew each time."""
+"""Selects the members to probe: the successor on a hash ring, and the next in a shuffled order."""
 
 from __future__ import annotations
 
@@ -8,43 +8,48 @@
 from thistlelever.membership.random_source import RandomSource
 from thistlelever.wire.peers import tag
 
-# So many members after this front on the ring are looked at for one that may be probed.
+# Number of ring positions after this front that are searched for a member to probe.
 RING_LOOKAHEAD = 4
 
 
 class ProbeOrder:
-    """The living members, in the two orders in which they are probed."""
+    """The living members, on the ring and in the shuffled order."""
 
     def __init__(self, own_position: tuple[int, str], random: RandomSource) -> None:
-        """Nobody to probe yet; `own_position` is the tag and name of this front."""
+        """No members yet; `own_position` is the tag and the name of this front."""
         self.own_position, self.random = own_position, random
-        # The living by the hash of their names: each is the next one's to probe in every round.
+        # Living members by the hash of their names: each is probed in every round by its predecessor.
         self.ring: list[tuple[int, str]] = []
         self.shuffled: list[str] = []
 
     def add(self, name: str) -> None:
-        """A member that lives, new or back."""
+        """Add a member that is new or alive again."""
         insort(self.ring, (tag(name), name))
         self.shuffled.insert(self.random.below(len(self.shuffled) + 1), name)
 
     def remove(self, name: str) -> None:
-        """A member that lives no more; the shuffled order passes it over."""
+        """Remove a member that is no longer alive; the shuffled order skips it when its turn comes."""
         self.ring.remove((tag(name), name))
 
     def next_in_ring(self, probed: Container[str], suspected: Container[str]) -> str | None:
-        """The living member after this front: each is probed in each round by who stands before it."""
+        """The ring's next living member after this front, or None; so that every member is probed in each
+        round.
+        """
         if not self.ring:
             return None
         position = bisect_right(self.ring, self.own_position)
         for step in range(min(len(self.ring), RING_LOOKAHEAD)):
             _, name = self.ring[(position + step) % len(self.ring)]
-            # Risk: in a mass death the one before it is dead too; who is suspected is passed over.
+            # If many members die at once, the predecessor of a member may be dead too, so suspected members
+            # are skipped.
             if name not in probed and name not in suspected:
                 return name
         return None
 
     def next_shuffled(self, probed: Container[str], is_alive: Callable[[str], bool]) -> str | None:
-        """The next of the shuffled order (SWIM's bound on how long one is missed)."""
+        """The next member in the shuffled order, or None. This is SWIM's bound on the time a member goes
+        unprobed.
+        """
         for _ in range(2):
             while self.shuffled:
                 name = self.shuffled.pop()
@@ -54,7 +59,7 @@
         return None
 
     def shuffle(self) -> list[str]:
-        """The living in a random order, by Fisher and Yates."""
+        """All living members in random order (Fisher-Yates)."""
         names = [name for _, name in self.ring]
         for last in range(len(names) - 1, 0, -1):
             other = self.random.below(last + 1)
--- a/thistlelever/membership/prober.py
+++ b/thistlelever/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes of other fronts: straight, and by way of others where there is no answer (SWIM)."""
+"""Probes of members: direct, and through other members if there is no acknowledgement (SWIM)."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 from thistlelever.membership.types import Address
 from thistlelever.wire.peers import Message, MessageKind
 
-# How often a probe without an answer is tried again, straight and by way of others, before it has failed.
+# Number of times a probe is retried, directly and indirectly, before it fails.
 MAX_RETRIES = 2
-# Once more for each time that the member refuted a suspicion lately, up to so many times.
+# Extra retries, one per recent refutation by the member, up to this number.
 MAX_EXTRA_RETRIES = 2
-# An answer that comes so long after it was given up still says that its sender lives.
+# An acknowledgement up to this many seconds after the probe ended still shows that the sender is alive.
 LATE_ACK_LIMIT = 1.0
-# Probes in flight beyond which none is begun for others: so many, and so many for each witness.
+# No probe on behalf of others starts while more than this many are in flight, plus so many per verifier.
 MAX_IN_FLIGHT, MAX_IN_FLIGHT_PER_VERIFIER = 64, 4
 
 
 def max_retries(member: Member) -> int:
-    """How often a probe of this member is tried again before it has failed.
+    """Number of retries before a probe of this member fails.
 
-    Risk: over a link that is broken for long all depends on detours, which loss breaks again and again.
+    Over a link that stays broken every probe depends on indirect paths, which packet loss often breaks;
+    without extra retries the member would be suspected again and again.
     """
     return MAX_RETRIES + min(len(member.refuted_at), MAX_EXTRA_RETRIES)
 
 
 class Probe:
-    """A ping that is in flight: for this front's own sake, or for another's that asked."""
+    """A ping in flight, sent for this front itself or on behalf of another."""
 
     __slots__ = (
         "name",
@@ -46,42 +47,42 @@
     def __init__(
         self, name: str, at: float, due_at: float, requester: Address | None = None, requester_nonce: int = 0
     ) -> None:
-        """A probe that was sent just now; `requester` is who wants it, where that is not this front."""
+        """A probe that has just been sent; `requester` is the front that asked for it, if any."""
         self.name, self.at, self.due_at = name, at, due_at
         self.retries, self.indirect_requests, self.nacks = 0, 0, 0
         self.requester, self.requester_nonce = requester, requester_nonce
 
 
 class Prober:
-    """All probes in flight, and the pings that no probe waits for."""
+    """All probes in flight, and pings that no probe waits for."""
 
     def __init__(self, context: Context, table: MemberTable, outbox: Outbox) -> None:
-        """Nothing in flight yet."""
+        """No probes in flight."""
         self.table, self.outbox = table, outbox
         self.config, self.random, self.health = context.config, context.random, context.health
         self.counts = context.counts
         self.probes: dict[int, Probe] = {}
-        # Pings that no probe waits for, by when they were sent or given up: to members that are not known,
-        # and those that failed a moment ago.
+        # Pings without a probe, with the time at which they were sent or given up: pings to configured
+        # addresses, and probes that failed recently.
         self.unawaited: dict[int, float] = {}
 
     def next_due(self, default: float) -> float:
-        """When the first probe in flight is due, or the default where that is none."""
+        """The time at which the first probe is due, or `default` if none is in flight."""
         return min((probe.due_at for probe in self.probes.values()), default=default)
 
     def postpone(self, seconds: float) -> None:
-        """All probes in flight are due later."""
+        """Extend the timeouts of all probes in flight."""
         for probe in self.probes.values():
             probe.due_at += seconds
 
     def probed_names(self) -> set[str]:
-        """The names of members that this front waits for an answer from, for its own sake."""
+        """Names of the members that this front currently probes for itself."""
         return {probe.name for probe in self.probes.values() if probe.requester is None}
 
     def begin_round(self, now: float) -> None:
-        """Probe two members: the next in the ring and the next of the shuffled order.
+        """Probe two members: the next on the ring and the next in the shuffled order.
 
-        Nobody is probed twice at once.
+        A member that is already being probed is skipped.
         """
         probed = self.probed_names()
         order, members = self.table.order, self.table.members
@@ -95,7 +96,7 @@
                 self.probe(now, members[name])
 
     def probe(self, now: float, member: Member) -> None:
-        """Ping a member and wait for its answer."""
+        """Ping a member and wait for its acknowledgement."""
         nonce = self.random.nonce()
         due_at = now + self.config.probe_timeout * self.health.multiplier()
         self.probes[nonce] = Probe(member.name, now, due_at)
@@ -103,7 +104,7 @@
         self.outbox.send(member, MessageKind.PING, nonce)
 
     def probe_on_behalf(self, now: float, requester: Address, message: Message) -> None:
-        """Another front has no answer from a member and asks this one to try."""
+        """Probe a member for another front that got no acknowledgement from it."""
         member = self.table.get(message.place)
         bound = MAX_IN_FLIGHT_PER_VERIFIER * self.config.verifiers + MAX_IN_FLIGHT
         if member is None or len(self.probes) > bound:
@@ -115,7 +116,7 @@
         self.outbox.send(member, MessageKind.PING, nonce)
 
     def ping_address(self, now: float, address: Address, nonce: int = 0) -> None:
-        """Ping whoever is at an address; no probe waits for the answer."""
+        """Ping an address without waiting for the acknowledgement."""
         nonce = nonce or self.random.nonce()
         self.unawaited[nonce] = now
         if member := self.table.at_address(address):
@@ -124,7 +125,7 @@
             self.outbox.send_to(address, MessageKind.PING, nonce)
 
     def expire(self, now: float) -> Iterator[tuple[Member, Probe]]:
-        """Retry the probes that are due; those that have failed are handed out one by one."""
+        """Handle the probes that are due: retry them, or yield those that have failed."""
         for nonce, probe in [(n, p) for n, p in self.probes.items() if p.due_at <= now]:
             member = self.table.get(probe.name)
             if probe.requester is not None:
@@ -140,16 +141,19 @@
                 yield member, probe
 
     def retry(self, now: float, nonce: int, probe: Probe, member: Member) -> None:
-        """Ask others to probe the member, and ping it once more."""
+        """Ask other members to probe this one, and ping it directly once more."""
         probe.retries += 1
         probe.indirect_requests += self.request_indirect_probes(nonce, member)
-        # And once more straight: of all that fails, a single loss is the likeliest.
+        # Also directly: the loss of a single datagram is the most likely reason.
         self.outbox.send(member, MessageKind.PING, nonce)
         share = 1 if probe.retries == max_retries(member) else 2
         probe.due_at = now + self.config.indirect_timeout / share * self.health.multiplier()
 
     def request_indirect_probes(self, nonce: int, member: Member) -> int:
-        """How many were asked to probe it for this front: a broken link between two is nobody's death."""
+        """Ask randomly chosen members to probe this one; returns how many were asked.
+
+        A broken link between two fronts must not make either of them look dead.
+        """
         suspected = self.table.suspected
         names = [n for _, n in self.table.order.ring if n != member.name and n not in suspected]
         asked = min(self.config.indirect_probes, len(names))
@@ -159,20 +163,21 @@
         return asked
 
     def reply_to_requester(self, probe: Probe, kind: MessageKind) -> None:
-        """Tell who asked for the probe whether the member answered."""
+        """Tell the requester of a probe whether the member acknowledged it."""
         if requester := self.table.at_address(probe.requester):
             self.outbox.send(requester, kind, probe.requester_nonce, place=probe.name, to=probe.requester)
 
     def handle_nack(self, nonce: int) -> None:
-        """One that was asked had no answer from the member either."""
+        """A member that was asked to probe got no acknowledgement either."""
         if probe := self.probes.get(nonce):
             probe.nacks += 1
 
     def handle_ack(self, now: float, sender: Member, message: Message) -> bool:
-        """Take an answer to a ping; whether it says that the sender hears this front."""
+        """Handle an acknowledgement; whether it shows that the sender receives messages from this front."""
         probe = self.probes.get(message.nonce)
         if probe is None or probe.name not in (message.name, message.place):
-            # To a ping of who was not known, or late by a moment; later it says nothing of now.
+            # The acknowledgement of a ping without a probe, or one that is slightly late. A much later one
+            # says nothing about the present.
             return now - self.unawaited.pop(message.nonce, NEVER) < LATE_ACK_LIMIT and not message.place
         del self.probes[message.nonce]
         if probe.requester is not None:
@@ -186,5 +191,5 @@
         return True
 
     def forget_unawaited(self, now: float) -> None:
-        """Forget pings whose answers would come too late."""
+        """Drop pings whose acknowledgements would come too late."""
         self.unawaited = {nonce: at for nonce, at in self.unawaited.items() if now - at < LATE_ACK_LIMIT}
--- a/thistlelever/membership/suspicion.py
+++ b/thistlelever/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: before a member is held dead it is accused for a while, and can refute it."""
+"""Suspicions: a member is accused for some time, in which it can refute, before it is held dead."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from thistlelever.membership.table import MemberTable
 from thistlelever.wire.peers import State
 
-# A member that was suspected and refuted it lately is given longer, up to so many times.
+# Recent refutations lengthen the next suspicion of a member by up to this factor.
 MAX_REFUTATION_FACTOR = 4
-# A death by hearsay is believed at the earliest so many suspicions after the member's last answer.
+# A gossiped death is believed no earlier than this many suspicion times after the last acknowledgement by the
+# member.
 ANSWERED_FACTOR = 2
 
 
 class Suspicions:
-    """Begins, shortens, withdraws and ends suspicions."""
+    """Starts, shortens, withdraws and ends suspicions."""
 
     def __init__(self, context: Context, table: MemberTable, prober: Prober) -> None:
-        """Nobody is suspected; the names of those that are stand in the table."""
+        """No suspicions. The table holds the names of suspected members."""
         self.table, self.prober = table, prober
         self.config, self.random, self.health = context.config, context.random, context.health
         self.gossip, self.counts = context.gossip, context.counts
 
     def accuse(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
-        """One more accuser; the first begins a suspicion."""
+        """Add an accuser; the first one starts a suspicion, further ones shorten it."""
         accusable = member.state in (State.ALIVE, State.UNFIT, State.SUSPECTED)
         if not accusable or accuser in member.accusers:
             return
@@ -41,22 +42,23 @@
         self.gossip.add(member.to_update(accuser))
 
     def begin(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
-        """The first accusation of a member; perhaps this front sees for itself."""
+        """Start the suspicion of a member, and perhaps probe it from here."""
         member.accusers = frozenset((accuser,))
         self.table.set_state(now, member, State.SUSPECTED, by, path)
         self.table.suspected[member.name] = None
         member.deadline = now + self.duration(member)
         own = by == self.table.local.identity.name
         if not own and self.random.below(self.table.alive_count or 1) < self.config.verifiers:
-            # Not in SWIM: some of those that hear of a suspicion see for themselves. Each is one more way for
-            # the refutation to get out, and one more accuser where there is none.
+            # Not in SWIM: some members that hear of a suspicion verify it with a probe of their own. Each
+            # probe is another way for the refutation to spread, or yields another accuser.
             self.prober.probe(now, member)
 
     def accuse_by_reported_death(self, now: float, member: Member, accuser: int, by: str, path: str) -> None:
-        """One more accuser, and this front sees for itself: its ping tells the member what to refute.
+        """Count a gossiped death as an accusation, and probe the member, so that it learns what to refute.
 
-        From the beginning of this front's own suspicion it has as long as with all accusers, as whoever says
-        that it is dead has waited for the rest; and longer where it answered this front a moment ago.
+        The deadline moves forward to that of a suspicion with all accusers, as the front that declared the
+        death has waited for the rest; it moves less far if the member acknowledged a probe of this front
+        recently.
         """
         self.accuse(now, member, accuser, by, path)
         confirmed = member.since + self.base_duration(self.config.accusers)
@@ -66,16 +68,18 @@
             self.prober.probe(now, member)
 
     def duration(self, member: Member) -> float:
-        """How long it has to refute; longer for who refuted lately: a bound on how often one flaps."""
+        """Seconds a member has to refute. Recent refutations lengthen it, which limits how often a member can
+        flap between states.
+        """
         return self.base_duration(len(member.accusers)) * min(
             1 + len(member.refuted_at), MAX_REFUTATION_FACTOR
         )
 
     def base_duration(self, accusers: int) -> float:
-        """How long one that did not refute lately has, with so many accusers.
+        """Seconds a member without recent refutations has to refute, given the number of accusers.
 
-        Longer in a larger tier, where word takes longer (SWIM), shorter with each further accuser
-        (Lifeguard).
+        The time grows with the size of the tier, as gossip takes longer (SWIM), and shrinks with each further
+        accuser (Lifeguard).
         """
         size_factor = max(1.0, log10(self.table.alive_count + 2))
         longest = self.config.suspicion_timeout * size_factor * self.health.multiplier()
@@ -83,17 +87,19 @@
         return longest * (1 - confirmed / 2)
 
     def expire(self, now: float, isolated: bool) -> None:
-        """Members whose time to refute is over are held dead, unless this front can't tell."""
+        """Declare members dead whose suspicion has expired, unless this front may be the one at fault."""
         members = self.table.members
         for name in [name for name in self.table.suspected if members[name].deadline <= now]:
             member = members[name]
             if isolated:
                 member.deadline = now + self.duration(member)
             elif self.health.may_be_isolated(now, self.config.isolation_timeout):
-                # Risk: a suspicion may end before a patient front knows that it is alone.
+                # With a raised multiplier isolation is detected late, and a suspicion could expire before it
+                # is.
                 member.deadline = now + self.config.period
             elif member.answered_at > member.since:
-                # Departs from SWIM: nobody takes for dead whom it has itself heard since the suspicion began.
+                # Departs from SWIM: a member that has acknowledged a probe of this front since the suspicion
+                # began is probed again instead.
                 self.counts["doubts that an answer put off"] += 1
                 member.since, member.deadline = now, now + self.duration(member)
                 self.prober.probe(now, member)
@@ -103,12 +109,12 @@
                 self.gossip.add(member.to_update())
 
     def postpone(self, seconds: float) -> None:
-        """All who are suspected have so much longer to refute."""
+        """Extend the deadlines of all suspicions."""
         for name in self.table.suspected:
             self.table.members[name].deadline += seconds
 
     def withdraw(self, now: float) -> None:
-        """Take back what this front alone holds against others: it was not in a state to tell."""
+        """End the suspicions whose only accuser is this front, as it was unable to tell."""
         local = self.table.local
         for name in list(self.table.suspected):
             member = self.table.members[name]
--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -1,4 +1,4 @@
-"""What a front says of its tier to those who ask it."""
+"""Membership reports for the administration socket."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def show(detector: FailureDetector, now: float) -> dict:
-    """The whole view, with counts."""
+    """The whole view with counters."""
     view = detector.view(now)
     return {
         "name": detector.identity.name,
@@ -27,7 +27,7 @@
 
 
 def explain(detector: FailureDetector, name: str, now: float) -> dict:
-    """Why a member is held to be what it is: who said so, over which path, how late."""
+    """The recorded state changes of one member: who reported them, over which path, how late."""
     member = detector.members.get(name)
     if member is None:
         state = "this front itself" if name == detector.identity.name else "not known here"
@@ -37,7 +37,7 @@
 
 
 def describe_member(member: Member, now: float) -> dict:
-    """One member as it is believed to be."""
+    """One member: state, address and evidence; times in seconds."""
     answered = round(now - member.answered_at, 3) if member.answered_at > 0 else None
     return {
         "name": member.name,
@@ -53,7 +53,7 @@
 
 
 def describe_change(change: Change, now: float) -> dict:
-    """One change of a member's state."""
+    """One state change of a member; times in seconds."""
     return {
         "ago_s": round(now - change.at, 3),
         "state": change.state.name.lower(),
--- a/thistlelever/wire/peers.py
+++ b/thistlelever/wire/peers.py
@@ -1,8 +1,8 @@
-"""Datagrams between fronts: frames of 256 bytes at most, and the messages of membership in them.
+"""Datagrams between fronts: the frame common to all peer protocols, and the messages of membership.
 
-A frame is its version, the matter that it is about, the tier's tag, a CRC-32 of all that (zlib) and a body. A
-body of membership is one `Message` as MessagePack (msgspec), with as many updates behind it as the frame has
-room for. Pure functions: no socket, no clock.
+A frame has at most 256 bytes: version, protocol number, tag of the tier, CRC-32 of all that and the body
+(zlib), then the body. The body of the membership protocol is one `Message` in MessagePack (msgspec), with as
+many gossip updates as fit. Pure functions without I/O or clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Raw, Struct
 
-# The most that a datagram between fronts may hold on the platform; longer ones are neither sent nor read.
+# Maximum size in bytes of a datagram between fronts on the platform; longer ones are neither sent nor read.
 MAX_DATAGRAM_SIZE = 256
 VERSION = 1
 HEADER = struct.Struct(">BBII")
@@ -22,31 +22,34 @@
 
 
 class InvalidDatagram(Exception):
-    """A datagram that is no word of this tier; `kind` says why, and is what is counted."""
+    """A datagram that is not valid in this tier; `reason` is a short text, also used as the name of a
+    counter.
+    """
 
     def __init__(self, reason: str) -> None:
+        """`reason` says what is wrong, such as "damaged"."""
         super().__init__(reason)
         self.reason = reason
 
 
 class MessageKind(IntEnum):
-    """What a message of membership wants."""
+    """The purpose of a membership message."""
 
     PING = 0
     ACK = 1
-    # Please ping another for me; and: it did not answer me either.
+    # A request to ping another member (ping-req in SWIM), and the reply that it did not acknowledge.
     PING_REQUEST = 2
     NACK = 3
-    # The records after a name, whole; and a piece of them.
+    # A request for a page of the member list, and such a page.
     LIST_REQUEST = 4
     LIST = 5
 
 
 class State(IntEnum):
-    """What is said of a member. At one incarnation a later one outweighs an earlier one."""
+    """The state of a member. At the same incarnation a higher value outweighs a lower one."""
 
     ALIVE = 0
-    # It answers probes and serves nobody, by its own word.
+    # Acknowledges probes but does not serve clients, as it announces itself.
     UNFIT = 1
     SUSPECTED = 2
     DEAD = 3
@@ -54,8 +57,9 @@
 
 
 class GossipUpdate(Struct, array_like=True, frozen=True):
-    """What is said of one member: its address as four bytes and a port, and of a suspicion the tag of who
-    accuses."""
+    """The state of one member. `address` is four bytes and a port in big-endian order; `accuser` is the tag
+    of the front that suspects the member, or 0.
+    """
 
     name: str
     address: bytes
@@ -66,8 +70,11 @@
 
 
 class Message(Struct, array_like=True, frozen=True):
-    """One word of membership. `count` numbers the sender's datagrams from 1, `nonce` ties an answer to its
-    question, `digest` is that of the sender's view, `place` a member or where in the list to go on."""
+    """One membership message, with encoded gossip updates.
+
+    `count` is the sequence number of the datagram, from 1; `nonce` ties a reply to its request; `digest` is
+    that of the sender's view. `place` is the name of a member: the one to probe, or the last one of a page.
+    """
 
     kind: MessageKind
     name: str
@@ -83,17 +90,18 @@
 _pack = msgspec.msgpack.Encoder().encode
 _message = msgspec.msgpack.Decoder(Message).decode
 _update = msgspec.msgpack.Decoder(GossipUpdate).decode
-# An array of more than 15 updates has a longer head; no frame has room for so many that it matters.
+# Bytes for a message with its updates. The 2 bytes cover the longer array header from 16 updates up, which no
+# frame has room for anyway.
 MAX_BODY_SIZE = MAX_DATAGRAM_SIZE - HEADER.size - 2
 
 
 def tag(name: str) -> int:
-    """A word's 32 bits: of a tier's name, or of an accuser's."""
+    """The 32-bit hash of the name of a tier or a front."""
     return crc32(name.encode())
 
 
 def encode_frame(protocol: int, tier: int, body: bytes) -> bytes:
-    """The datagram; `ValueError` where the body is too long for one."""
+    """The datagram with that body; `ValueError` if it is longer than `MAX_DATAGRAM_SIZE`."""
     if HEADER.size + len(body) > MAX_DATAGRAM_SIZE:
         raise ValueError(f"{HEADER.size + len(body)} bytes in a datagram of {MAX_DATAGRAM_SIZE}")
     check = crc32(body, crc32(HEADER.pack(VERSION, protocol, tier, 0)))
@@ -101,7 +109,9 @@
 
 
 def decode_frame(data: bytes, tier: int) -> tuple[int, bytes]:
-    """The matter and the body of a datagram; `InvalidDatagram` where it is not of this tier or not whole."""
+    """The protocol number and the body; `InvalidDatagram` if the frame is damaged or of another tier or
+    version.
+    """
     if len(data) > MAX_DATAGRAM_SIZE:
         raise InvalidDatagram("too long")
     if len(data) < HEADER.size:
@@ -118,21 +128,22 @@
 
 
 def encode_update(update: GossipUpdate) -> Raw:
-    """An update as it goes on the wire, made once and sent often."""
+    """The update in MessagePack, encoded once and sent several times."""
     return Raw(_pack(update))
 
 
 def encoded_size(message: Message) -> int:
-    """Bytes of a message without updates."""
+    """The size of a message without updates, in bytes."""
     return len(_pack(message))
 
 
 def encode(message: Message, tier: int) -> bytes:
+    """The datagram of a membership message; `ValueError` if it is too long."""
     return encode_frame(MEMBERSHIP, tier, _pack(message))
 
 
 def decode(body: bytes) -> tuple[Message, tuple[GossipUpdate, ...]]:
-    """A message and its updates; `InvalidDatagram` where either is out of form."""
+    """The message in a body and its updates; `InvalidDatagram` if either is malformed."""
     try:
         message = _message(body)
         updates = tuple(_update(raw) for raw in message.updates)
@@ -148,14 +159,19 @@
 
 
 def is_valid(name: str, *numbers: int) -> bool:
-    """Risk: an incarnation without measure can never be outbid, and its member never refute anything."""
+    """Whether a name has 1 to 64 characters and all numbers fit into 32 bits.
+
+    Without the bound a forged incarnation could not be exceeded, and its member could never refute anything.
+    """
     return 0 < len(name) <= 64 and all(0 <= number < 2**32 for number in numbers)
 
 
 def address_bytes(address: tuple[str, int]) -> bytes:
+    """An IPv4 address and port as six bytes."""
     host, port = address
     return bytes(int(part) for part in host.split(".")) + port.to_bytes(2, "big")
 
 
 def address_of(data: bytes) -> tuple[str, int]:
+    """The IPv4 address and port from six bytes."""
     return ".".join(map(str, data[:4])), int.from_bytes(data[4:], "big")
