--- a/thistlelever/membership/anti_entropy.py
+++ b/thistlelever/membership/anti_entropy.py
@@ -99,9 +99,7 @@
         self.outbox.send_records(member.address, MessageKind.LIST, message.nonce, place, tuple(records))
 
     def handle_page(self, now: float, source: Address, message: Message) -> None:
-        """Request the next page, or finish the pull. The records of the page were merged like gossip
-        before.
-        """
+        """Request the next page, or finish the pull. The records of the page have already been merged."""
         if not self.pull or self.pull.address != source:
             return
         if message.place:
--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -27,7 +27,9 @@
 
 
 def explain(detector: FailureDetector, name: str, now: float) -> dict:
-    """The recorded state changes of one member: who reported them, over which path, how late."""
+    """The recorded state changes of one member: who reported them, over which path, how late; none for an
+    unknown name.
+    """
     member = detector.members.get(name)
     if member is None:
         state = "this front itself" if name == detector.identity.name else "not known here"
