--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -8,7 +8,7 @@
 from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.types import Send, View
 from thistlelever.wire import peers as wire
@@ -21,12 +21,18 @@
         self,
         detector: FailureDetector,
         peers: PeerSocket,
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
         on_view: Callable[[View], None],
     ) -> None:
         """Register with the peer socket for datagrams of membership."""
-        self.detector, self.peers, self.tally, self.log, self.on_view = detector, peers, tally, log, on_view
+        self.detector, self.peers, self.metrics, self.log, self.on_view = (
+            detector,
+            peers,
+            metrics,
+            log,
+            on_view,
+        )
         self.timer: asyncio.TimerHandle | None = None
         self.last_view: View | None = None
         peers.handlers[wire.MEMBERSHIP] = self.handle_datagram
@@ -75,7 +81,7 @@
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
         for change in self.detector.changes:
             own, state = change.name == self.detector.identity.name, change.state.name.lower()
-            self.tally.add(f"membership: {change.path}" if own else f"members: {state}")
+            self.metrics.add(f"membership: {change.path}" if own else f"members: {state}")
             # One event name per state: the log limits lines per event, so frequent suspicions cannot suppress
             # deaths.
             self.log(
--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import peers as wire
 
 Address = tuple[str, int]
@@ -28,9 +28,9 @@
     a pause of this process and are discarded.
     """
 
-    def __init__(self, address: Address, tier: str, tally: Tally) -> None:
+    def __init__(self, address: Address, tier: str, metrics: Metrics) -> None:
         """Not bound yet; `tier` is the name of the tier."""
-        self.address, self.tier, self.tally = address, wire.tag(tier), tally
+        self.address, self.tier, self.metrics = address, wire.tag(tier), metrics
         self.handlers: dict[int, Callable[[Address, bytes], None]] = {}
         self.is_backlog_current: Callable[[], bool] = lambda: True
         self.socket: socket.socket | None = None
@@ -67,18 +67,18 @@
                 return
             except OSError:
                 # An ICMP error for an earlier datagram (nothing listens there) is reported by the next read.
-                self.tally.add("peers: out of reach")
+                self.metrics.add("peers: out of reach")
                 continue
             if not current:
-                self.tally.add("peers: older than a pause")
+                self.metrics.add("peers: older than a pause")
                 continue
             try:
                 protocol, body = wire.decode_frame(data, self.tier)
                 self.handlers[protocol](source, body)
             except wire.InvalidDatagram as why:
-                self.tally.add(f"peers: {why.reason}")
+                self.metrics.add(f"peers: {why.reason}")
             except KeyError:
-                self.tally.add("peers: of another matter")
+                self.metrics.add("peers: of another matter")
 
     def send(self, address: Address, data: bytes) -> None:
         """Send a datagram; failures are counted.
@@ -86,11 +86,13 @@
         One that is longer than the platform allows is not sent, as it would invalidate a whole run.
         """
         if (
-            not self.tally.must(len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their opened")
+            not self.metrics.check_invariant(
+                len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their opened"
+            )
             or self.socket is None
         ):
             return
         try:
             self.socket.sendto(data, address)
         except OSError:
-            self.tally.add("peers: could not be sent")
+            self.metrics.add("peers: could not be sent")
