--- a/thistlelever/budgets/estimates.py
+++ b/thistlelever/budgets/estimates.py
@@ -1,85 +1,92 @@
-"""What each leaf's queries cost, and how long they will wait, from what the leaf was sent lately."""
+"""Estimates, for each leaf, what its batches cost and how long they wait, from recent arrivals and
+completions."""
 
 from __future__ import annotations
 
-from thistlelever.budgets.fair import Node
-from thistlelever.budgets.forecast import MOST_LEAVES, Forecast, Inflow
-from thistlelever.budgets.waits import Waits
+from thistlelever.budgets.forecast import MAX_LEAVES, ArrivalRate, Forecast
+from thistlelever.budgets.node import Node
+from thistlelever.budgets.wait_estimator import WaitEstimator
 
-# A correction of a leaf's costs follows its samples at this pace, and never past this factor.
-COST_PACE, MAX_COST_FACTOR = 0.125, 16.0
-# The least work that a query is charged, in core-seconds.
+# The weight of one sample in the correction of a leaf's costs, and the largest correction, as a factor.
+COST_LEARNING_RATE, MAX_COST_FACTOR = 0.125, 16.0
+# The least work that a batch is charged, in core-seconds.
 MIN_WORK = 1e-3
-# A forecast serves for so many seconds.
+# Seconds for which a forecast is reused.
 FORECAST_LIFETIME = 0.02
-# What was sent nothing of late is dropped this often, in seconds; nothing is below this rate of work.
+# Seconds between two removals of inactive leaves; the rate, in core-seconds a second, below which one is
+# inactive.
 PRUNE_INTERVAL, MIN_RATE = 0.4, 1e-3
 
 
 class Estimates:
-    """Costs, inflow and forecasts of all leaves."""
+    """Cost corrections, arrival rates and forecasts of all leaves."""
 
     def __init__(self) -> None:
-        """Nothing was sent to any leaf yet."""
-        self.waits = Waits()
-        # What each leaf was sent lately, and what is foreseen from that and from what is held.
-        self.inflow: dict[Node, Inflow] = {}
+        """Nothing has arrived for any leaf yet."""
+        self.wait_estimator = WaitEstimator()
+        # Of the active leaves: recent arrivals, and forecasts of their service.
+        self.arrivals: dict[Node, ArrivalRate] = {}
         self.forecasts: dict[Node, Forecast] = {}
         self.pruned_at = float("-inf")
-        # A leaf's true costs over those told.
-        self.cost: dict[tuple[str, ...], float] = {}
+        # By the path of a leaf: actual cost over its clients' estimates.
+        self.cost_factors: dict[tuple[str, ...], float] = {}
 
     def charge(self, leaf: Node, work: float) -> float:
-        """What a query of the leaf is charged, where its client told so much work."""
-        return max(work, MIN_WORK) * self.cost.get(leaf.path(), 1.0)
+        """The core-seconds that a batch of the leaf is charged, given its client's estimate of its work."""
+        return max(work, MIN_WORK) * self.cost_factors.get(leaf.path(), 1.0)
 
-    def learn_cost(self, leaf: Node, told: float, true: float) -> None:
-        """A query has ended and truly cost so much.
+    def learn_cost(self, leaf: Node, estimated: float, actual: float) -> None:
+        """A batch has completed: correct the leaf's later charges by its actual cost, in core-seconds.
 
-        Against what was told, not against what was charged: a factor that is corrected by charges which an
-        older one made swings without end.
+        The actual cost is compared with the client's estimate, not with the charge: a factor corrected by
+        charges that an older factor produced would oscillate.
         """
-        ratio = min(max(true / max(told, MIN_WORK), 1 / MAX_COST_FACTOR), MAX_COST_FACTOR)
+        ratio = min(max(actual / max(estimated, MIN_WORK), 1 / MAX_COST_FACTOR), MAX_COST_FACTOR)
         path = leaf.path()
-        old = self.cost.get(path, 1.0)
-        self.cost[path] = old * (ratio / old) ** COST_PACE
+        old = self.cost_factors.get(path, 1.0)
+        self.cost_factors[path] = old * (ratio / old) ** COST_LEARNING_RATE
 
-    def sent(self, leaf: Node, charge: float, now: float) -> None:
-        """The leaf was sent a query."""
-        if leaf not in self.inflow:
-            self.inflow[leaf] = Inflow(now)
-        self.inflow[leaf].sent(charge, now)
+    def record_arrival(self, leaf: Node, charge: float, now: float) -> None:
+        """A batch charged `charge` core-seconds has arrived for the leaf."""
+        if leaf not in self.arrivals:
+            self.arrivals[leaf] = ArrivalRate(now)
+        self.arrivals[leaf].add(charge, now)
 
-    def wait(self, leaf: Node, ahead: float, pace: float, now: float) -> float:
-        """How long until the leaf's turn for what comes behind so much of its own.
+    def estimate_wait(self, leaf: Node, ahead: float, total_rate: float, now: float) -> float:
+        """Seconds until a batch of the leaf is released that has `ahead` core-seconds before it in its
+        leaf; `total_rate` is in core-seconds a second.
 
-        With few leaves at work all of them are looked at, a moment's view serving all that come in it; with
-        many their pace so far tells.
+        With up to `MAX_LEAVES` active leaves it comes from a forecast, which serves all batches of the leaf
+        for `FORECAST_LIFETIME`; with more, from the leaf's recent rate.
         """
-        if len(self.inflow) > MOST_LEAVES:
-            return self.waits.estimate(leaf, ahead, pace, now)
+        if len(self.arrivals) > MAX_LEAVES:
+            return self.wait_estimator.estimate(leaf, ahead, total_rate, now)
         forecast = self.forecasts.get(leaf)
         if forecast is None or now > forecast.at + FORECAST_LIFETIME:
-            forecast = self.forecasts[leaf] = Forecast(leaf, list(self.inflow), self.inflow, pace, now)
+            forecast = self.forecasts[leaf] = Forecast(
+                leaf, list(self.arrivals), self.arrivals, total_rate, now
+            )
         return forecast.wait(ahead)
 
     def prune(self, now: float) -> None:
-        """What has been sent nothing of late takes nothing from the others."""
+        """Drop the leaves with nothing queued and no recent arrivals, which take no capacity from others."""
         if now <= self.pruned_at + PRUNE_INTERVAL:
             return
         self.pruned_at = now
-        self.inflow = {
-            leaf: sent for leaf, sent in self.inflow.items() if leaf.held or sent.lately(now) > MIN_RATE
+        self.arrivals = {
+            leaf: rate for leaf, rate in self.arrivals.items() if leaf.queued or rate.current(now) > MIN_RATE
+        }
+        self.forecasts = {
+            leaf: forecast for leaf, forecast in self.forecasts.items() if leaf in self.arrivals
         }
-        self.forecasts = {leaf: found for leaf, found in self.forecasts.items() if leaf in self.inflow}
 
     def clear(self) -> None:
-        """Another tree: its leaves were sent nothing yet."""
-        self.inflow.clear()
+        """The tree was replaced: its leaves have no arrivals yet."""
+        self.arrivals.clear()
         self.forecasts.clear()
 
     def forget(self, leaf: Node) -> None:
-        """The leaf was idle for long: nothing is remembered of it."""
-        self.inflow.pop(leaf, None)
+        """The leaf was removed from the tree: drop its arrivals, its forecast and its cost correction."""
+        self.arrivals.pop(leaf, None)
         self.forecasts.pop(leaf, None)
-        self.cost.pop(leaf.path(), None)
+        self.cost_factors.pop(leaf.path(), None)
--- a/thistlelever/budgets/key_order.py
+++ b/thistlelever/budgets/key_order.py
@@ -1,41 +1,42 @@
-"""Queries of one key keep their order: only the first of them takes part in the turns."""
+"""Keeps the order of batches that share an ordering key: only the first of them is scheduled."""
 
 from __future__ import annotations
 
-from thistlelever.budgets.held import Held
+from thistlelever.budgets.queued_batch import QueuedBatch
 
 
 class KeyOrder:
-    """The queries of each key that were not released yet, in the order in which they came; key 0 has none."""
+    """The unreleased batches of each ordering key, in order of submission. Key 0 means no order."""
 
     def __init__(self) -> None:
-        """No key has any."""
-        self.lines: dict[int, list[Held]] = {}
+        """No key has any batch."""
+        self.queues: dict[int, list[QueuedBatch]] = {}
 
-    def add(self, held: Held) -> bool:
-        """The query comes behind those of its key; whether it is the first of them."""
-        if not held.entry.key:
+    def add(self, batch: QueuedBatch) -> bool:
+        """Append the batch to those of its key; returns whether it may be scheduled."""
+        if not batch.spec.key:
             return True
-        line = self.lines.setdefault(held.entry.key, [])
-        line.append(held)
-        return len(line) == 1
-
-    def is_first(self, held: Held) -> bool:
-        """Whether nothing of its key stands before it."""
-        return not held.entry.key or self.lines[held.entry.key][0] is held
-
-    def remove(self, held: Held) -> Held | None:
-        """It stands in its key's line no more; the query that is first now because of that, if any."""
-        line = self.lines.get(held.entry.key) if held.entry.key else None
-        if not line or held not in line:
+        queue = self.queues.setdefault(batch.spec.key, [])
+        queue.append(batch)
+        return len(queue) == 1
+
+    def is_head(self, batch: QueuedBatch) -> bool:
+        """Whether no batch of its key comes before it."""
+        return not batch.spec.key or self.queues[batch.spec.key][0] is batch
+
+    def remove(self, batch: QueuedBatch) -> QueuedBatch | None:
+        """Remove the batch, if it is there; returns the batch that becomes the first of its key by that, if
+        any."""
+        queue = self.queues.get(batch.spec.key) if batch.spec.key else None
+        if not queue or batch not in queue:
             return None
-        was_first = line[0] is held
-        line.remove(held)
-        if not line:
-            del self.lines[held.entry.key]
+        was_head = queue[0] is batch
+        queue.remove(batch)
+        if not queue:
+            del self.queues[batch.spec.key]
             return None
-        return line[0] if was_first else None
+        return queue[0] if was_head else None
 
-    def behind_first(self) -> int:
-        """How many queries wait for another of their key."""
-        return sum(len(line) - 1 for line in self.lines.values())
+    def count_blocked(self) -> int:
+        """The number of batches that wait for another one of their key."""
+        return sum(len(queue) - 1 for queue in self.queues.values())
