--- a/thistlelever/membership/views.py
+++ b/thistlelever/membership/views.py
@@ -1,43 +1,45 @@
-"""What a front says of its tier to those who ask it."""
+"""Membership reports for the administration socket."""
 
 from __future__ import annotations
 
-from thistlelever.membership.facts import Change
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
+from thistlelever.membership.types import Change
 
 
-def show(judge: Judge, now: float) -> dict:
-    """The whole view, with counts."""
-    view = judge.view(now)
+def show(detector: FailureDetector, now: float) -> dict:
+    """The whole view with counters."""
+    view = detector.view(now)
     return {
-        "name": judge.me.name,
-        "state": judge.local.state.name.lower(),
-        "alone": view.alone,
+        "name": detector.identity.name,
+        "state": detector.local.state.name.lower(),
+        "alone": view.isolation_reason,
         "fronts": view.fronts,
         "alive": view.alive,
         "suspected": view.suspected,
         "unfit": view.unfit,
-        "incarnation": judge.local.incarnation,
-        "health": judge.health.score,
-        "digest": f"{judge.table.digest:08x}",
-        "members": [describe_member(member, now) for _, member in sorted(judge.members.items())],
-        "counts": dict(sorted(judge.counts.items())),
+        "incarnation": detector.local.incarnation,
+        "health": detector.health.score,
+        "digest": f"{detector.table.digest:08x}",
+        "members": [describe_member(member, now) for _, member in sorted(detector.members.items())],
+        "counts": dict(sorted(detector.counts.items())),
     }
 
 
-def explain(judge: Judge, name: str, now: float) -> dict:
-    """Why a member is held to be what it is: who said so, over which path, how late."""
-    member = judge.members.get(name)
+def explain(detector: FailureDetector, name: str, now: float) -> dict:
+    """The recorded state changes of one member: who reported them, over which path, how late; none for an
+    unknown name.
+    """
+    member = detector.members.get(name)
     if member is None:
-        state = "this front itself" if name == judge.me.name else "not known here"
+        state = "this front itself" if name == detector.identity.name else "not known here"
         return {"name": name, "state": state, "story": []}
     changes = [describe_change(change, now) for change in member.changes]
     return describe_member(member, now) | {"story": changes}
 
 
 def describe_member(member: Member, now: float) -> dict:
-    """One member as it is believed to be."""
+    """One member: state, address and evidence; times in seconds."""
     answered = round(now - member.answered_at, 3) if member.answered_at > 0 else None
     return {
         "name": member.name,
@@ -53,7 +55,7 @@
 
 
 def describe_change(change: Change, now: float) -> dict:
-    """One change of a member's state."""
+    """One state change of a member; times in seconds."""
     return {
         "ago_s": round(now - change.at, 3),
         "state": change.state.name.lower(),
