--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -116,7 +116,11 @@
             self.later(action.delay, it.TimerDue(action.token))
 
     def attempt(self, action):
-        number = next(n for n, sent in self.front.open[action.batch].out.items() if sent.at == self.now)
+        number = next(
+            n
+            for n, sent in self.front.open_batches[action.batch].open_dispatches.items()
+            if sent.sent_at == self.now
+        )
         outcomes = (it.DispatchOutcome.RETURNED,) * 12 + (
             it.DispatchOutcome.FULL,
             it.DispatchOutcome.RESET,
@@ -140,7 +144,10 @@
         found = []
         while self.due and self.due[0][0] <= self.now:
             event = heapq.heappop(self.due)[2]
-            if type(event) is it.DispatchEnded and (event.batch, event.number) not in self.front.sent:
+            if (
+                type(event) is it.DispatchEnded
+                and (event.batch, event.number) not in self.front.open_dispatches
+            ):
                 continue
             found.append(event)
         return found
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -222,7 +222,7 @@
 
     async def do_at_ease(self, name):
         front = self.office.desk.front
-        assert not front.doubt[front.index[name.encode()]]
+        assert not front.backoffs[front.engine_index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
         await self.until(lambda: [c for c, _, _ in self.engines[name].calls].count(call) >= int(count))
@@ -259,7 +259,7 @@
 
     async def do_up(self, name):
         front = self.office.desk.front
-        assert not front.down[front.index[name.encode()]]
+        assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
         assert len(self.office.links.kept.get(name.encode(), ())) == int(count)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
-    # Risk: the engine runs on, and the next dispatch is a second copy (`Front.patience`).
+    # Risk: the engine runs on, and the next dispatch is a second copy (`Front.dispatch_timeout`).
     front = Front(MANIFEST._replace(tariffs=(GROUP,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
@@ -77,13 +77,13 @@
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     front.handle(10.0, [it.EngineListReceived(it.ListKind.CACHED, 1, engines)])
     for outcome in outcomes:
-        front.fared(0, outcome)
+        front.apply_outcome(0, outcome)
     return front.down[0]
 
 
 def test_one_connection_that_comes_up_late_is_no_engine_that_was_down():
     # Risk: on a day on which a third of all connections come up late every engine counts as cold, and the
-    # fleet carries a third of its work (`Front.fared`).
+    # fleet carries a third of its work (`Front.apply_outcome`).
     assert not down_after(it.DispatchOutcome.LATE)
     assert not down_after(*[it.DispatchOutcome.LATE, it.DispatchOutcome.RETURNED] * 9)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -216,10 +216,12 @@
         assert self.front.draws - self.draws <= int(most), self.front.draws - self.draws
 
     def do_successes(self, group, number):
-        assert sum(self.front.success[list(self.groups).index(group)]) == int(number)
+        assert sum(self.front.success_history[list(self.groups).index(group)]) == int(number)
 
     def do_rows(self, number):
-        assert len(self.front.index) == int(number) and len(self.front.id) <= 2, self.front.index
+        assert len(self.front.engine_index) == int(number) and len(self.front.engine_ids) <= 2, (
+            self.front.engine_index
+        )
 
     def do_counts(self, number, *words):
         found = [s for s in self.seen if s.startswith(" ".join(words))]
--- a/tests/test_subset_decisions.py
+++ b/tests/test_subset_decisions.py
@@ -5,7 +5,7 @@
 import pytest
 from test_scenarios import GROUP, MANIFEST
 
-from thistlelever.admission.decide import BUSY, Front
+from thistlelever.admission.decide import BUSY_THRESHOLD, Front
 from thistlelever.ground import interface as it
 
 FRONTS, SHARING, CORES = 3200, 64, 64
@@ -64,7 +64,7 @@
                     self.sent.append(self.now)
 
     def numbers_of(self, place: int, batch: int) -> int:
-        return self.fronts[place].open[batch].dispatches - 1
+        return self.fronts[place].open_batches[batch].dispatch_count - 1
 
     def play(self, seconds: float, batches: int) -> None:
         """Each front takes so many batches at each tick, and each batch runs for its work."""
@@ -93,7 +93,7 @@
 def budget(now: float) -> float:
     """Rule 4: what all fronts together may send a cold engine in a window."""
     warmth = COLD_SHARE + (1 - COLD_SHARE) * (now - 1000.0) / WARM_AFTER
-    return MULTIPLE * BUSY * WINDOW * warmth * CORES
+    return MULTIPLE * BUSY_THRESHOLD * WINDOW * warmth * CORES
 
 
 def test_a_cold_engine_gets_its_share_from_the_fronts_that_reach_it_and_never_more():
@@ -117,7 +117,7 @@
 
 
 def figures(front: Front) -> tuple[float, ...]:
-    return front.fronts, front.alike, front.step, front.fall_room
+    return front.sharing_fronts, front.load_multiplier, front.share_in_batches, front.cold_share
 
 
 def told(*events: it.Event) -> Front:
@@ -137,8 +137,8 @@
 
 def test_fewer_living_fronts_share_what_is_left_but_not_the_cold_budget():
     few, alone = told(listing(SHARING), it.FrontCountChanged(10)), told(listing(SHARING))
-    assert few.fronts == 10
-    assert few.fall_room == alone.fall_room == told(listing(SHARING), it.FrontCountChanged(1)).fall_room
+    assert few.sharing_fronts == 10
+    assert few.cold_share == alone.cold_share == told(listing(SHARING), it.FrontCountChanged(1)).cold_share
 
 
 def test_a_list_without_a_count_means_all_fronts_again_and_a_failed_one_says_nothing():
@@ -146,9 +146,9 @@
     failed = listing(0, it.ListKind.FAILED)
     assert figures(told(listing(SHARING), failed)) == figures(told(listing(SHARING)))
     changes = listing(128, it.ListKind.CHANGES)
-    assert told(listing(SHARING), changes).fronts == 128
+    assert told(listing(SHARING), changes).sharing_fronts == 128
 
 
 def test_a_first_list_gives_each_engine_a_bound_by_its_own_count():
     front = told(listing(SHARING))
-    assert {front.bound[i] for i in front.index.values()} == {CORES * 2.0 / SHARING}
+    assert {front.concurrency_limits[i] for i in front.engine_index.values()} == {CORES * 2.0 / SHARING}
--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -1,66 +1,54 @@
 """All decisions of one front: when, where and on what terms each batch is dispatched.
 
-    front = Front(manifest, seed)           # once, from what is read at start
+    front = Front(settings, seed)           # once, at start
     actions = front.handle(now, events)     # all events of one moment, answered in order
 
-The types are in `interface.py`; `docs/design.md` says what follows the paper and what departs from it.
-A batch's course to its one final answer is `Front.course`; read that first, then `release` and `draw`.
+The types are in `ground/interface.py`; `docs/design.md` says what follows the paper and what departs from it.
+Times are in seconds, memory is in megabytes. The work of a batch is its run time times its width (the threads
+that it uses), in thread-seconds. The code does no I/O and reads no clock; all randomness comes from the seed.
+
+`Front.run_batch` is the life of one batch up to its final answer: read that first, then `release_queued`,
+which takes batches from the queues, and `choose_engine`, which samples the engines and picks one.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_left, insort
 from collections import deque
+from collections.abc import Generator
 from math import exp, inf, log
 from statistics import median
+from typing import Any
 from zlib import crc32
 
 from thistlelever.ground import interface as it
 
-# The design's own figures: busy share that halves a bound, threads a core, places in a k-sequence.
-BUSY, THREADS_A_CORE, PLACES = 0.85, 2.0, 20
-# An average follows its samples at this pace: eight of them outweigh what was there before.
-PACE = 0.125
-# How sharply the draw prefers the least loaded, in engines: too sharp and all herd, too flat and none heed.
-SPREAD = 0.05
-# What one place further down a table group's own order of engines costs, in shares of an engine.
-STEP = 0.2
-# How many engines a draw looks at, and how many of them by chance in a large fleet, others by the table
-# group's order. Fewer, and a hot table group finds no way out; more, and a front's time goes to looking.
-NEAR, FAR = 10, 2
-# How many engines one draw may ask for word, so that one silent engine does not hold a batch up.
-ASKS = 2
-HOLD, WAIT = "hold", "wait"
-# The figures about engines: those that the list gives, and the others with their first value.
-LISTED = (
-    "id",
-    "zone",
-    "cell",
-    "kind",
-    "cores",
-    "memory",
-    "started",
-    "bound",
-    "reported",
-    "slow_at",
-    "fresh_at",
-    "own",
-    "cold",
-)
-FIRST = {
-    "listed": False,
-    "down": False,
-    "last": (),
-    "gap": 0.5,
-    "told_at": -1e9,
-    "probe_at": -1e9,
-    "slow": 1.0,
-    "busy": 0.0,
-    "granted": 0.0,
-    "shun": 0.0,
-    "doubt": 0.0,
-    "width": 0,
-}
+# At this utilization of an engine (1: all cores busy) its concurrency limit is halved.
+BUSY_THRESHOLD = 0.85
+# The highest concurrency limit of an engine, in threads for each core.
+THREADS_PER_CORE = 2.0
+# How many of a query class's last batches count for its priority: the k of its (m,k)-firm guarantee.
+HISTORY_LENGTH = 20
+# Weight of a new sample in an exponentially weighted moving average: eight samples outweigh all before them.
+EWMA_WEIGHT = 0.125
+# Scale of the random noise on an engine's cost, in units of utilization. With too little all fronts pick the
+# same engine (herding); with too much the load estimate has no effect.
+SAMPLING_NOISE = 0.05
+# Cost of each place further down a table group's order of engines, in units of utilization.
+RANK_COST = 0.2
+# How many eligible engines one choice compares, and how many candidates of a large fleet are drawn at random
+# before those of the table group's order. With fewer, a hot table group finds no other engine; with more, the
+# front spends its time on looking.
+SAMPLE_SIZE = 10
+RANDOM_CANDIDATES = 2
+# How many engines one choice may probe, so that one silent engine does not delay a batch.
+MAX_PROBES = 2
+# What the task of a batch asks for beside a dispatch (an engine's index) or an action.
+ENQUEUE = "enqueue"
+WAIT = "wait"
+# A time before any other, where nothing has happened yet.
+LONG_AGO = -1e9
+# Outcomes that prove that the dispatch did not run.
 NEVER_RAN = frozenset(
     (
         it.DispatchOutcome.FULL,
@@ -69,712 +57,1253 @@
         it.DispatchOutcome.UNSENT,
     )
 )
-MAY_RUN_ON = frozenset((it.DispatchOutcome.TIMED_OUT, it.DispatchOutcome.RESET, it.DispatchOutcome.CANCELLED))
+# Outcomes after which the engine may still be running the batch.
+MAY_RUN_ON = frozenset(
+    (
+        it.DispatchOutcome.TIMED_OUT,
+        it.DispatchOutcome.RESET,
+        it.DispatchOutcome.CANCELLED,
+    )
+)
 
 
-class Sent:
-    """One dispatch that is out."""
+class OpenDispatch:
+    """One dispatch without an outcome yet; `engine` is the engine's index."""
 
-    def __init__(self, batch: Batch, engine: int, now: float, work: float) -> None:
-        self.batch, self.number, self.engine, self.at = batch, batch.dispatches, engine, now
-        self.work, self.width, self.memory, self.share = work, batch.width, batch.memory, 0.0
+    def __init__(self, batch: Batch, engine: int, now: float) -> None:
+        """Record a dispatch of `batch` that is sent now, under the batch's next number."""
+        self.batch = batch
+        self.number = batch.dispatch_count
+        self.engine = engine
+        self.sent_at = now
+        self.work = batch.work
+        self.width = batch.width
+        self.memory = batch.memory
+        # The share of the work that the engine reports as done, 0 to 1.
+        self.progress = 0.0
 
 
 class Batch:
-    """One batch that this front holds or has out."""
-
-    def __init__(self, told: it.BatchReceived, width: int, now: float) -> None:
-        self.id, self.group, self.key, self.tables = told.batch, told.group, told.key, told.tables
-        self.width, self.taken, self.new_till, self.limit_at = width, now, now, now + told.time_limit
-        self.dispatches, self.out = 0, {}
-        self.may_have_run, self.held, self.answered = [], False, False
-        self.tried, self.line = set(), []
+    """One batch without a final answer, or with a dispatch that outlasts it."""
+
+    def __init__(
+        self,
+        received: it.BatchReceived,
+        query_class: it.QueryClass,
+        now: float,
+        work: float,
+        memory: float,
+    ) -> None:
+        """Record a batch received now, with its estimated work (thread-seconds) and memory (MB)."""
+        self.id = received.batch
+        # The index of its query class.
+        self.query_class = received.group
+        self.key = received.key
+        self.table_group = received.tables
+        self.width = query_class.width
+        self.work = work
+        self.memory = memory
+        # Estimated run time on an engine of usual speed.
+        self.run_time = work / query_class.width
+        self.received_at = now
+        # Until when it counts as just received (`Front.is_hopeless`).
+        self.fresh_until = now
+        # When its client's time limit ends.
+        self.limit_at = now + received.time_limit
+        # When it must be answered to meet the latency objective.
+        self.objective_at = min(
+            now + query_class.goal + query_class.goal_stretch * self.run_time, self.limit_at
+        )
+        self.dispatch_count = 0
+        self.open_dispatches: dict[int, OpenDispatch] = {}
+        # Number, engine and time of each dispatch that may have run, the first of them first.
+        self.possible_runs: list[tuple[int, int, float]] = []
+        self.queued = False
+        self.answered = False
+        self.tried_engines: set[int] = set()
+        # The unfinished batches of its key in the order received, itself included; empty without a key.
+        self.key_queue: list[Batch] = []
+        # The generator of `Front.run_batch`.
+        self.task: Generator[Any, Any, None]
 
     def __lt__(self, other: Batch) -> bool:
-        return (self.goal_at, self.taken, self.id) < (other.goal_at, other.taken, other.id)
+        """Earliest latency objective first, then first received, then lowest id."""
+        return (self.objective_at, self.received_at, self.id) < (
+            other.objective_at,
+            other.received_at,
+            other.id,
+        )
 
 
 class Front:
-    """The decisions of one front. It knows its own events and nothing else."""
-
-    def __init__(self, manifest: it.Settings, seed: int) -> None:
-        m, groups = manifest, manifest.tariffs
-        self.seed, self.draws, self.now, self.groups = seed, 0, 0.0, groups
-        self.tick, self.home, self.crossing = m.tick, m.zone, 10 * m.cross_price
-        self.top = max(range(len(groups)), key=lambda g: groups[g].utility)
-        top = groups[self.top].utility
-        steps = sorted({t.utility for t in groups}, reverse=True)
-        self.priority = [max(3 - steps.index(t.utility), 0) for t in groups]
-        # The paper wants the top group's m/k distinctly above the others': all of k, and half for nothing.
-        self.wanted = [min(PLACES, round(PLACES * (1 + t.utility / top) / 2)) for t in groups]
-        self.most = [1 + round((m.most_dispatches - 1) * max(t.utility / top, 0.5)) for t in groups]
-        self.success = [deque([0] * PLACES, PLACES) for _ in groups]
-        self.queues: list[list[Batch]] = [[] for _ in groups]
-        self.any_yields = any(t.yields_to_loads for t in groups)
-        self.narrow = max(t.width for t in groups)
-        self.usual = [t.goal * t.width / (2 + 2 * t.goal_stretch) for t in groups]
-        self.threads = max(m.kind_cores, default=0) * THREADS_A_CORE
-        self.fill = self.threads * len(groups) / sum(t.width for t in groups)
-        # How many fronts the settings say, how many live, and how many may send to any engine of the list.
-        self.settled, self.living, self.sharing = m.fronts, max(m.fronts, 1), 0
-        self.cold_budget = m.fall_multiple * BUSY * m.fall_window
-        self.share_out()
-        self.flowing, self.turn, self.mean_busy = True, 0.0, 0.0
-        self.cost_bias, self.memory_bias = [1.0] * len(groups), [1.25] * len(groups)
-        self.pace, self.forget = [1.0] * len(groups), max(t.goal for t in groups)
-        self.paced_at = [0.0] * len(groups)
-        self.meant = [work / t.width for work, t in zip(self.usual, groups, strict=True)]
-        self.kind_cores, self.kind_memory, self.most_grant = m.kind_cores, m.kind_memory, m.most_grant
-        self.grants, self.priorities, self.tells_cost = m.grants, m.priorities, m.tells_cost
-        self.pages, self.cancel, self.copies = m.shortage is it.MemoryShortage.PAGE, m.cancel, m.copies
-        self.longest_return = m.longest_return if m.names_return else 0.0
-        self.connect_limit, self.key_rest, self.allowance = m.connect_limit, m.key_rest, m.allowance
-        self.cold_share, self.warm_after, self.fall_window = m.cold_share, m.warm_after, m.fall_window
-        told = m.report_fields
-        self.fields = [told.index(f) if f in told else -1 for f in ("util", "queue", "inflight", "x1", "x0")]
-        self.probing = m.probes and m.reports is it.ReportDelivery.WHEN_PROBED
-        self.open, self.sent = {}, {}
-        self.keys, self.key_free = {}, {}
-        self.took, self.extra, self.alarm = deque(), deque(), float("inf")
-        self.asks, self.ask_within, self.asked_at = m.asks_for_list, m.ask_within, -1e9
-        # Engines, all under one dense index.
-        self.index, self.spare = {}, []
-        vars(self).update({row: [] for row in (*LISTED, *FIRST)})
-        self.ranks: dict[float, list[tuple[int, int]]] = {}
+    """The decisions of one front, made from its own events alone.
+
+    An engine has a dense index, its place in all of the lists that `init_engine_columns` makes. A query
+    class has an index too, its place in `settings.tariffs`.
+    """
+
+    def __init__(self, settings: it.Settings, seed: int) -> None:
+        """Start with no engines and no batches; the same seed and events always give the same actions."""
+        self.seed = seed
+        # How many random numbers were drawn.
+        self.draws = 0
+        self.now = 0.0
+        self.init_query_classes(settings)
+        self.init_options(settings)
+        self.init_engine_columns()
+        # How many fronts the settings name, how many are alive, and how many may send to any one engine of
+        # the list (0: not known).
+        self.configured_fronts = settings.fronts
+        self.live_fronts = max(settings.fronts, 1)
+        self.fronts_per_engine = 0
+        self.update_shares()
+        # While the fleet is saturated, dispatches are paced: the next may go at `next_dispatch_at`.
+        self.pacing = False
+        self.next_dispatch_at = 0.0
+        self.mean_utilization = 0.0
+        # Batches without a final answer by id, and dispatches without an outcome by batch and number.
+        self.open_batches: dict[int, Batch] = {}
+        self.open_dispatches: dict[tuple[int, int], OpenDispatch] = {}
+        # The unfinished batches of each key, and until when a key is in its cool-down.
+        self.key_queues: dict[int, list[Batch]] = {}
+        self.key_cooldowns: dict[int, float] = {}
+        # When batches were received and when further dispatches were made, within the retry budget's window.
+        self.received_times: deque[float] = deque()
+        self.retry_times: deque[float] = deque()
+        self.timer_at = inf
+        self.list_requested_at = LONG_AGO
+        # Of each table group its order of engines as (rank, index).
+        self.affinity_orders: dict[float, list[tuple[int, int]]] = {}
+        # `TimerDue` and others without a handler only make the front look at its queues.
         self.handlers = {
-            it.BatchReceived: self.taken,
-            it.DispatchEnded: self.ended,
-            it.ProgressNote: self.noted,
-            it.ClientLeft: self.left,
-            it.ProbeEnded: self.probed,
-            it.EngineListReceived: self.listed_anew,
-            it.FrontStopping: self.stops,
-            it.FrontCountChanged: self.counted,
-            it.LearnedState: self.recalled,
+            it.BatchReceived: self.batch_received,
+            it.DispatchEnded: self.dispatch_ended,
+            it.ProgressNote: self.progress_noted,
+            it.ClientLeft: self.client_left,
+            it.ProbeEnded: self.probe_ended,
+            it.EngineListReceived: self.engine_list_received,
+            it.FrontStopping: self.front_stopping,
+            it.FrontCountChanged: self.front_count_changed,
+            it.LearnedState: self.restore_learned_state,
         }
 
+    def init_query_classes(self, settings: it.Settings) -> None:
+        """Set the terms of each query class and the first estimates of its batches."""
+        classes = settings.tariffs
+        self.query_classes = classes
+        self.top_class = max(range(len(classes)), key=lambda index: classes[index].utility)
+        top_value = classes[self.top_class].utility
+        values = sorted({one.utility for one in classes}, reverse=True)
+        # Priorities that engines understand: 3 for the highest value, 0 the lowest.
+        self.class_priorities = [max(3 - values.index(one.utility), 0) for one in classes]
+        # The m of each class's (m,k)-firm guarantee. The paper wants that of the top class distinctly above
+        # the others': all of its last k batches in time, half of them for a class without value.
+        self.required_successes = [
+            min(HISTORY_LENGTH, round(HISTORY_LENGTH * (1 + one.utility / top_value) / 2)) for one in classes
+        ]
+        # The most dispatches of one batch.
+        self.max_dispatches = [
+            1 + round((settings.most_dispatches - 1) * max(one.utility / top_value, 0.5)) for one in classes
+        ]
+        # 1 for each of the last k batches that was answered in time, 0 for each that was not.
+        self.success_history = [deque([0] * HISTORY_LENGTH, HISTORY_LENGTH) for _ in classes]
+        # Batches that wait for an engine, in the order of `Batch.__lt__`.
+        self.queues: list[list[Batch]] = [[] for _ in classes]
+        self.any_class_yields = any(one.yields_to_loads for one in classes)
+        self.widest = max(one.width for one in classes)
+        # Moving averages of a batch's work (thread-seconds).
+        self.typical_work = [one.goal * one.width / (2 + 2 * one.goal_stretch) for one in classes]
+        # Threads of the largest kind of engine, and how many batches of mean width fill it.
+        self.largest_engine_threads = max(settings.kind_cores, default=0) * THREADS_PER_CORE
+        self.batches_to_fill = self.largest_engine_threads * len(classes) / sum(one.width for one in classes)
+        # Factors that correct the clients' estimates of work and memory by what engines report.
+        self.work_corrections = [1.0] * len(classes)
+        self.memory_corrections = [1.25] * len(classes)
+        # Measured over estimated run time of each class, when it was measured, and the mean estimate.
+        self.class_slowdowns = [1.0] * len(classes)
+        self.class_slowdowns_at = [0.0] * len(classes)
+        self.mean_run_times = [work / one.width for work, one in zip(self.typical_work, classes, strict=True)]
+        # Without news an estimate decays over this time, the longest latency objective.
+        self.decay_time = max(one.goal for one in classes)
+
+    def init_options(self, settings: it.Settings) -> None:
+        """Set what the engines and the installation can do, and the limits that the operator chose."""
+        self.tick = settings.tick
+        self.home_zone = settings.zone
+        self.zone_cost = 10 * settings.cross_price
+        # Work that all fronts together may send a cold engine in its window, in thread-seconds a core.
+        self.cold_budget = settings.fall_multiple * BUSY_THRESHOLD * settings.fall_window
+        self.cold_capacity = settings.cold_share
+        self.warm_up_time = settings.warm_after
+        self.cold_window = settings.fall_window
+        self.kind_cores = settings.kind_cores
+        self.kind_memory = settings.kind_memory
+        self.max_grant = settings.most_grant
+        self.grants_memory = settings.grants
+        self.sets_priorities = settings.priorities
+        self.engines_report_cost = settings.tells_cost
+        self.engines_page = settings.shortage is it.MemoryShortage.PAGE
+        self.can_cancel = settings.cancel
+        self.allows_copies = settings.copies
+        self.max_retry_after = settings.longest_return if settings.names_return else 0.0
+        self.connect_limit = settings.connect_limit
+        self.key_cooldown = settings.key_rest
+        self.retry_budget = settings.allowance
+        # Places of the values in a load report, -1 for those that engines do not report.
+        names = settings.report_fields
+        self.report_places = [
+            names.index(name) if name in names else -1 for name in ("util", "queue", "inflight", "x1", "x0")
+        ]
+        self.probes = settings.probes and settings.reports is it.ReportDelivery.WHEN_PROBED
+        self.requests_list = settings.asks_for_list
+        self.list_interval = settings.ask_within
+
+    def init_engine_columns(self) -> None:
+        """Make the lists of figures about engines, all under one dense index."""
+        self.engine_index: dict[it.EngineId, int] = {}
+        self.free_indexes: list[int] = []
+        # From the list of engines.
+        self.engine_ids: list[it.EngineId] = []
+        self.engine_zones: list[int] = []
+        self.engine_cells: list[int] = []
+        self.engine_kinds: list[int] = []
+        self.cores: list[int] = []
+        self.engine_memory: list[float] = []
+        # Whether the list has the engine as ready.
+        self.ready: list[bool] = []
+        # When it was started, and when this front began to treat it as started anew.
+        self.started_at: list[float] = []
+        self.fresh_since: list[float] = []
+        # How many threads of this front's dispatches it may run, by additive increase, multiplicative
+        # decrease.
+        self.concurrency_limits: list[float] = []
+        # Threads of this front's dispatches that are open there, and the dispatches.
+        self.open_widths: list[int] = []
+        self.engine_dispatches: list[dict[tuple[int, int], OpenDispatch]] = []
+        # While it is cold: when this front sent it how much work.
+        self.cold_dispatches: list[deque[tuple[float, float]]] = []
+        # The last load report, when it came, when its values last changed, and the mean time between changes.
+        self.last_reports: list[tuple[float, ...]] = []
+        self.reported_at: list[float] = []
+        self.report_changed_at: list[float] = []
+        self.report_intervals: list[float] = []
+        self.probed_at: list[float] = []
+        # Busy share and granted share of memory, as last reported.
+        self.utilizations: list[float] = []
+        self.granted_memory: list[float] = []
+        # Measured over estimated run time, and when it was measured.
+        self.engine_slowdowns: list[float] = []
+        self.engine_slowdowns_at: list[float] = []
+        # Whether it was found down; how long it is backed off (more than 0: it is suspected), and until when.
+        self.down: list[bool] = []
+        self.backoffs: list[float] = []
+        self.backoff_until: list[float] = []
+        self.engine_columns: tuple[list[Any], ...] = (
+            self.engine_ids,
+            self.engine_zones,
+            self.engine_cells,
+            self.engine_kinds,
+            self.cores,
+            self.engine_memory,
+            self.ready,
+            self.started_at,
+            self.fresh_since,
+            self.concurrency_limits,
+            self.open_widths,
+            self.engine_dispatches,
+            self.cold_dispatches,
+            self.last_reports,
+            self.reported_at,
+            self.report_changed_at,
+            self.report_intervals,
+            self.probed_at,
+            self.utilizations,
+            self.granted_memory,
+            self.engine_slowdowns,
+            self.engine_slowdowns_at,
+            self.down,
+            self.backoffs,
+            self.backoff_until,
+        )
+
     def handle(self, now: float, events: list[it.Event]) -> list[it.Action]:
-        self.now, self.actions, self.crossed, self.loads = now, [], set(), {}
-        for event in (e for e in events if type(e) in self.handlers):
-            self.handlers[type(event)](event)
-        self.release()
-        self.upkeep()
+        """Take in all events of one moment, dispatch what can go, and return the actions in their order."""
+        self.now = now
+        self.actions: list[it.Action] = []
+        # Query class and table group of batches that a table load holds back at this moment.
+        self.table_conflicts: set[tuple[int, float]] = set()
+        # Load estimates of this moment by engine.
+        self.load_estimates: dict[int, float] = {}
+        for event in events:
+            handler: Any = self.handlers.get(type(event))
+            if handler:
+                handler(event)
+        self.release_queued()
+        self.request_wake_up()
         return self.actions
 
-    def course(self, b: Batch):
+    # The life of a batch.
+
+    def run_batch(self, batch: Batch) -> Generator[Any, Any, None]:
+        """The task of one batch, up to its final answer.
+
+        It yields ENQUEUE (send it an engine's index, or None to give up), an engine's index (dispatch
+        there), WAIT (send it the next event of this batch) or an action. It returns once the batch has its
+        whole result.
+        """
         while True:
-            engine = yield HOLD
+            engine = yield ENQUEUE
             if engine is None:
                 break
-            said = yield engine
-            while b.out:
-                if type(said) is it.ProgressNote and self.behind(b, said):
-                    said = yield it.Cancel(b.id, said.number)
+            event = yield engine
+            while batch.open_dispatches:
+                if type(event) is it.ProgressNote and self.is_straggling(batch, event):
+                    event = yield it.Cancel(batch.id, event.number)
                 else:
-                    said = yield WAIT
-            if said.complete:
+                    event = yield WAIT
+            if event.complete:
                 return
-            if not self.may_go_again(b):
+            if not self.may_retry(batch):
                 break
-        yield self.farewell(b)
+        yield self.final_refusal(batch)
 
-    def advance(self, b: Batch, told) -> None:
+    def advance(self, batch: Batch, event: Any) -> None:
+        """Send an event or an engine's index to the batch's task, and do what it asks for next."""
         try:
-            wish = b.course.send(told)
+            request = batch.task.send(event)
         except StopIteration:
-            # Risk: a result that broke while it went on to its client counts as an answer in time.
-            self.close(b, told.outcome is it.DispatchOutcome.RETURNED and self.now <= b.goal_at)
+            # A result that broke off on its way to the client counts as an answer in time.
+            in_time = event.outcome is it.DispatchOutcome.RETURNED and self.now <= batch.objective_at
+            self.finish(batch, in_time)
             return
-        if wish is HOLD:
-            b.held = True
-            insort(self.queues[b.group], b)
-        elif type(wish) is int:
-            self.dispatch(b, wish)
-        elif wish is not WAIT:
-            self.actions.append(wish)
-            if type(wish) is not it.Cancel:
-                self.close(b, False)
-
-    def close(self, b: Batch, in_time: bool | None) -> None:
-        b.answered = True
-        self.open.pop(b.id, None)
+        if request is ENQUEUE:
+            batch.queued = True
+            insort(self.queues[batch.query_class], batch)
+        elif type(request) is int:
+            self.dispatch(batch, request)
+        elif request is not WAIT:
+            self.actions.append(request)
+            if type(request) is not it.Cancel:
+                self.finish(batch, False)
+
+    def finish(self, batch: Batch, in_time: bool | None) -> None:
+        """Note the final answer, and whether it came in time (None: counts neither way)."""
+        batch.answered = True
+        self.open_batches.pop(batch.id, None)
         if in_time is not None:
-            self.success[b.group].append(int(in_time))
-        self.clear_key(b)
-
-    def farewell(self, b: Batch) -> it.Action:
-        t = self.groups[b.group]
-        drops = t.repeat is it.Idempotency.DEDUPLICATED and t.scope is it.DeduplicationScope.ALL
-        harmless = not b.may_have_run or t.repeat is it.Idempotency.IDEMPOTENT or drops
-        return it.PushBack(b.id, min(self.longest_return, b.run)) if harmless else it.Error(b.id)
+            self.success_history[batch.query_class].append(int(in_time))
+        self.release_key(batch)
+
+    def final_refusal(self, batch: Batch) -> it.Action:
+        """Push-back if the client may safely submit the batch again, else an error."""
+        query_class = self.query_classes[batch.query_class]
+        dropped_everywhere = (
+            query_class.repeat is it.Idempotency.DEDUPLICATED
+            and query_class.scope is it.DeduplicationScope.ALL
+        )
+        harmless = (
+            not batch.possible_runs or query_class.repeat is it.Idempotency.IDEMPOTENT or dropped_everywhere
+        )
+        if harmless:
+            return it.PushBack(batch.id, min(self.max_retry_after, batch.run_time))
+        return it.Error(batch.id)
 
-    def may_go_again(self, b: Batch) -> bool:
-        if b.dispatches >= self.most[b.group] or self.now + b.run >= b.limit_at or not self.affords(b):
+    def may_retry(self, batch: Batch) -> bool:
+        """Whether a further dispatch is allowed, affordable, and could end within the time limit."""
+        if batch.dispatch_count >= self.max_dispatches[batch.query_class]:
+            return False
+        if self.now + batch.run_time >= batch.limit_at:
             return False
-        return not b.may_have_run or self.groups[b.group].repeat is not it.Idempotency.NON_IDEMPOTENT
+        if not self.within_retry_budget(batch):
+            return False
+        return (
+            not batch.possible_runs
+            or self.query_classes[batch.query_class].repeat is not it.Idempotency.NON_IDEMPOTENT
+        )
 
-    def affords(self, b: Batch) -> bool:
-        if not self.allowance:
+    def within_retry_budget(self, batch: Batch) -> bool:
+        """Whether the batch's next dispatch is its first, or the retry budget has room for one more."""
+        if not self.retry_budget:
             return True
-        # Kept a tick longer than what was taken, so that rounding never frees a place early.
-        floor, share, window = self.allowance
-        for times, oldest in ((self.extra, self.now - window - self.tick), (self.took, self.now - window)):
-            while times and times[0] <= oldest:
-                times.popleft()
-        return not b.dispatches or len(self.extra) + 1 <= floor + share * len(self.took)
-
-    def behind(self, b: Batch, note: it.ProgressNote) -> bool:
-        """A bad plan: the rest of this dispatch would outlast a fresh one of a batch that may run again."""
-        again = self.cancel and self.groups[b.group].repeat is it.Idempotency.IDEMPOTENT
-        if not again or note.kind is not it.ProgressKind.PROGRESS:
+        floor, share, window = self.retry_budget
+        # A retry is kept a tick longer than a received batch, so that rounding never frees its place early.
+        oldest_retry = self.now - window - self.tick
+        while self.retry_times and self.retry_times[0] <= oldest_retry:
+            self.retry_times.popleft()
+        oldest_received = self.now - window
+        while self.received_times and self.received_times[0] <= oldest_received:
+            self.received_times.popleft()
+        return not batch.dispatch_count or len(self.retry_times) + 1 <= floor + share * len(
+            self.received_times
+        )
+
+    def is_straggling(self, batch: Batch, note: it.ProgressNote) -> bool:
+        """Whether the rest of this dispatch would outlast a new one, and a new one is allowed.
+
+        This finds bad query plans. A slow engine is told apart by comparison: a dispatch at the same pace
+        as the engine's others has no bad plan.
+        """
+        idempotent = self.query_classes[batch.query_class].repeat is it.Idempotency.IDEMPOTENT
+        if not (self.can_cancel and idempotent) or note.kind is not it.ProgressKind.PROGRESS:
             return False
-        s = self.sent[b.id, note.number]
-        rest = (self.now - s.at) * (1 - note.value) / max(note.value, 1e-3)
-        # Told from a slow engine by comparison: the same pace as the engine's others is no bad plan.
-        usual = b.run * max(self.slow[s.engine], 1.0)
-        return rest > 2 * usual and self.may_go_again(b)
-
-    def taken(self, told: it.BatchReceived) -> None:
-        g, t = told.group, self.groups[told.group]
-        b = Batch(told, t.width, self.now)
-        b.work = told.work * self.cost_bias[g] if told.work else self.usual[g]
-        self.usual[g] += PACE * (b.work - self.usual[g])
-        b.memory, b.run = told.memory * self.memory_bias[g], b.work / t.width
-        b.goal_at = min(self.now + t.goal + t.goal_stretch * b.run, b.limit_at)
-        self.open[b.id] = b
-        if self.allowance:
-            self.took.append(self.now)
-        if t.in_order and b.key:
-            b.line = self.keys.setdefault(b.key, b.line)
-            b.line.append(b)
-        b.course = self.course(b)
-        if (i := self.index.get(told.out_at)) is None:
-            self.advance(b, None)
+        dispatch = self.open_dispatches[batch.id, note.number]
+        remaining = (self.now - dispatch.sent_at) * (1 - note.value) / max(note.value, 1e-3)
+        expected = batch.run_time * max(self.engine_slowdowns[dispatch.engine], 1.0)
+        return remaining > 2 * expected and self.may_retry(batch)
+
+    # Events.
+
+    def batch_received(self, received: it.BatchReceived) -> None:
+        """Estimate the batch's cost, start its task, and queue it."""
+        index = received.group
+        query_class = self.query_classes[index]
+        work = self.typical_work[index]
+        if received.work:
+            work = received.work * self.work_corrections[index]
+        self.typical_work[index] += EWMA_WEIGHT * (work - self.typical_work[index])
+        memory = received.memory * self.memory_corrections[index]
+        batch = Batch(received, query_class, self.now, work, memory)
+        self.open_batches[batch.id] = batch
+        if self.retry_budget:
+            self.received_times.append(self.now)
+        if query_class.in_order and batch.key:
+            batch.key_queue = self.key_queues.setdefault(batch.key, batch.key_queue)
+            batch.key_queue.append(batch)
+        batch.task = self.run_batch(batch)
+        engine = self.engine_index.get(received.out_at)
+        if engine is None:
+            self.advance(batch, None)
         else:
-            # Another front has begun it there: what is out goes on, and what comes after is a further
-            # dispatch.
-            next(b.course)
-            self.advance(b, i)
-            b.may_have_run[0] = (0, i, self.now - told.out_for)
-
-    def ended(self, told: it.DispatchEnded) -> None:
-        s = self.sent.pop((told.batch, told.number))
-        b, i, g = s.batch, s.engine, s.batch.group
-        b.out.pop(s.number, None)
-        self.own[i].pop((told.batch, told.number), None)
-        self.width[i] -= s.width
-        self.report(i, told.report, s.width)
-        if told.outcome in NEVER_RAN:
-            b.may_have_run = [r for r in b.may_have_run if r[0] != s.number]
-        if told.outcome is it.DispatchOutcome.FULL:
-            self.halve(i)
-            self.busy[i] = max(self.busy[i], 1.0)
-        elif told.outcome is not it.DispatchOutcome.TIMED_OUT:
-            self.fared(i, told.outcome)
-        if told.outcome is it.DispatchOutcome.RETURNED or told.outcome is it.DispatchOutcome.TIMED_OUT:
-            # Of sums, as a mean of ratios is ruled by the batches whose cost was put too low. Time-outs
-            # count, or a day on which all are slow would cut off just the dispatches that show it.
-            spent = self.meant[g] * self.pace_now(g)
-            spent += PACE * (told.took - spent)
-            self.meant[g] += PACE * (b.run - self.meant[g])
-            self.pace[g], self.paced_at[g] = spent / self.meant[g], self.now
-            # Risk: an engine that swallows some of what it gets, or errs in no time, looks well by its
-            # answers alone. A time-out counts for the time it took, an error for the goal that it cost.
-            self.paced(i, told.took * s.width / (told.true_work or s.work))
-        elif told.outcome is it.DispatchOutcome.ERRORED:
-            self.paced(i, (b.goal_at - b.taken) / b.run)
-        if told.outcome is it.DispatchOutcome.RETURNED and self.tells_cost and told.true_work:
-            self.cost_bias[g] *= 1 + PACE / 4 * (min(max(told.true_work / s.work, 0.25), 4.0) - 1)
-            much = told.true_memory * 1.15 / max(s.memory, 1.0)
-            self.memory_bias[g] *= 1 + PACE / 4 * (min(much, 2.0) - 1)
-        if b.line and told.outcome in MAY_RUN_ON:
-            self.key_free[b.key] = self.now + self.key_rest
-        if not b.answered:
-            self.advance(b, told)
+            # Another front has dispatched it to that engine: the first dispatch continues that one, and any
+            # after it is a further dispatch.
+            next(batch.task)
+            self.advance(batch, engine)
+            batch.possible_runs[0] = (0, engine, self.now - received.out_for)
+
+    def dispatch_ended(self, ended: it.DispatchEnded) -> None:
+        """Learn from a dispatch's outcome about the engine and the query class, and advance its batch."""
+        dispatch = self.open_dispatches.pop((ended.batch, ended.number))
+        batch = dispatch.batch
+        engine = dispatch.engine
+        batch.open_dispatches.pop(dispatch.number, None)
+        self.engine_dispatches[engine].pop((ended.batch, ended.number), None)
+        self.open_widths[engine] -= dispatch.width
+        self.apply_report(engine, ended.report, dispatch.width)
+        if ended.outcome in NEVER_RAN:
+            batch.possible_runs = [run for run in batch.possible_runs if run[0] != dispatch.number]
+        if ended.outcome is it.DispatchOutcome.FULL:
+            self.halve_concurrency_limit(engine)
+            self.utilizations[engine] = max(self.utilizations[engine], 1.0)
+        elif ended.outcome is not it.DispatchOutcome.TIMED_OUT:
+            self.apply_outcome(engine, ended.outcome)
+        self.learn_slowdown(dispatch, ended)
+        self.learn_cost(dispatch, ended)
+        if batch.key_queue and ended.outcome in MAY_RUN_ON:
+            self.key_cooldowns[batch.key] = self.now + self.key_cooldown
+        if not batch.answered:
+            self.advance(batch, ended)
         else:
-            self.clear_key(b)
-
-    def noted(self, told: it.ProgressNote) -> None:
-        s = self.sent.get((told.batch, told.number))
-        if s and told.kind is it.ProgressKind.PROGRESS:
-            s.share = told.value
-        elif s and told.kind is it.ProgressKind.SPILL and s.memory:
-            self.memory_bias[s.batch.group] *= min(1 + PACE * told.value / s.memory, 1.1)
-        if s and not s.batch.answered:
-            self.advance(s.batch, told)
-
-    def left(self, told: it.ClientLeft) -> None:
-        if b := self.open.get(told.batch):
-            self.unhold(b)
-            b.course.close()
-            self.actions += [it.Cancel(b.id, number) for number in b.out if self.cancel]
-            # A client that leaves writes nothing: a zero would let its group crowd out those that wait.
-            self.close(b, None)
-
-    def stops(self, told: it.FrontStopping) -> None:
-        """Risk: what outlasts the front is lost; held back now, its client can still go elsewhere in time."""
-        for b in self.open.values():
-            b.limit_at = min(b.limit_at, told.at)
-            b.goal_at = min(b.goal_at, told.at)
+            self.release_key(batch)
+
+    def learn_slowdown(self, dispatch: OpenDispatch, ended: it.DispatchEnded) -> None:
+        """Update the slowdown of the query class and of the engine by the time that a dispatch took."""
+        batch = dispatch.batch
+        index = batch.query_class
+        if ended.outcome is it.DispatchOutcome.RETURNED or ended.outcome is it.DispatchOutcome.TIMED_OUT:
+            # The ratio of two averages: an average of ratios is ruled by batches whose cost was put too low.
+            # Time-outs count: on a day when all engines are slow, they are just the dispatches that show it.
+            measured = self.mean_run_times[index] * self.slowdown_of_class(index)
+            measured += EWMA_WEIGHT * (ended.took - measured)
+            self.mean_run_times[index] += EWMA_WEIGHT * (batch.run_time - self.mean_run_times[index])
+            self.class_slowdowns[index] = measured / self.mean_run_times[index]
+            self.class_slowdowns_at[index] = self.now
+            # An engine that loses some of its batches, or fails them at once, looks fast by its answers
+            # alone. So a time-out counts with the time that it took, and an error with the latency
+            # objective it cost.
+            self.record_slowdown(
+                dispatch.engine, ended.took * dispatch.width / (ended.true_work or dispatch.work)
+            )
+        elif ended.outcome is it.DispatchOutcome.ERRORED:
+            self.record_slowdown(dispatch.engine, (batch.objective_at - batch.received_at) / batch.run_time)
+
+    def learn_cost(self, dispatch: OpenDispatch, ended: it.DispatchEnded) -> None:
+        """Update the corrections of estimated work and memory by what the engine reports."""
+        if (
+            ended.outcome is not it.DispatchOutcome.RETURNED
+            or not self.engines_report_cost
+            or not ended.true_work
+        ):
+            return
+        index = dispatch.batch.query_class
+        work_ratio = min(max(ended.true_work / dispatch.work, 0.25), 4.0)
+        self.work_corrections[index] *= 1 + EWMA_WEIGHT / 4 * (work_ratio - 1)
+        memory_ratio = ended.true_memory * 1.15 / max(dispatch.memory, 1.0)
+        self.memory_corrections[index] *= 1 + EWMA_WEIGHT / 4 * (min(memory_ratio, 2.0) - 1)
+
+    def progress_noted(self, note: it.ProgressNote) -> None:
+        """Note progress, raise the memory estimate after a spill to disk, and advance the batch."""
+        dispatch = self.open_dispatches.get((note.batch, note.number))
+        if not dispatch:
+            return
+        batch = dispatch.batch
+        if note.kind is it.ProgressKind.PROGRESS:
+            dispatch.progress = note.value
+        elif note.kind is it.ProgressKind.SPILL and dispatch.memory:
+            self.memory_corrections[batch.query_class] *= min(
+                1 + EWMA_WEIGHT * note.value / dispatch.memory, 1.1
+            )
+        if not batch.answered:
+            self.advance(batch, note)
+
+    def client_left(self, left: it.ClientLeft) -> None:
+        """Drop the batch of a client that is gone, and cancel its dispatches where engines allow it."""
+        batch = self.open_batches.get(left.batch)
+        if not batch:
+            return
+        self.dequeue(batch)
+        batch.task.close()
+        self.actions += [it.Cancel(batch.id, number) for number in batch.open_dispatches if self.can_cancel]
+        # It counts neither way: counted as late, it would raise its class above those whose clients still
+        # wait.
+        self.finish(batch, None)
+
+    def front_stopping(self, stopping: it.FrontStopping) -> None:
+        """Bound all batches by the moment when the front ends.
+
+        A result that comes later is lost. A batch refused now can still be submitted elsewhere in time.
+        """
+        for batch in self.open_batches.values():
+            batch.limit_at = min(batch.limit_at, stopping.at)
+            batch.objective_at = min(batch.objective_at, stopping.at)
         self.queues = [sorted(queue) for queue in self.queues]
 
-    def counted(self, told: it.FrontCountChanged) -> None:
-        """How many fronts live. A cold engine's room stays as it is: who is taken for dead may only be cut
-        off from here, and send as before."""
-        self.living = max(told.fronts, 1)
-        self.share_out()
-
-    def share_out(self) -> None:
-        """Of how many fronts this is one at each engine. Risk: where each front holds some of the engines,
-        one of all fronts' shares leaves an engine to the few that hold it with next to nothing; and a cold
-        engine's budget counts all fronts that can reach it, dead or alive."""
-        self.fronts = min(self.living, self.sharing or self.living)
-        self.alike = max(self.fronts * self.fill / (self.fronts + self.fill), 1.0)
-        self.step = min(self.threads / self.narrow / self.fronts, 1.0)
-        self.fall_room = self.cold_budget / (self.sharing or self.settled) / 2
-
-    def recall(self, now: float) -> it.LearnedState:
-        """What another life is to know; `recalled` puts it back."""
+    def front_count_changed(self, changed: it.FrontCountChanged) -> None:
+        """Share the engines with so many live fronts.
+
+        The budget of a cold engine stays as it is: a front taken for dead may only be cut off from this
+        one, and still be sending.
+        """
+        self.live_fronts = max(changed.fronts, 1)
+        self.update_shares()
+
+    def update_shares(self) -> None:
+        """Set what depends on how many fronts share each engine.
+
+        Where each front knows only a subset of the engines, shares are by the fronts that have the engine:
+        one of all fronts' shares would leave it almost idle. The budget of a cold engine counts all fronts
+        that can reach it, dead or alive.
+        """
+        self.sharing_fronts = min(self.live_fronts, self.fronts_per_engine or self.live_fronts)
+        # By how much this front's own unreported dispatches are multiplied to estimate those of all fronts.
+        self.load_multiplier = max(
+            self.sharing_fronts * self.batches_to_fill / (self.sharing_fronts + self.batches_to_fill), 1.0
+        )
+        # This front's share of the largest engine, counted in batches of the widest class, at most 1. It is
+        # the additive increase of concurrency limits. Below 1 a share is less than a batch, and several
+        # rules differ.
+        self.share_in_batches = min(self.largest_engine_threads / self.widest / self.sharing_fronts, 1.0)
+        # This front's part of a cold engine's budget, in thread-seconds a core.
+        self.cold_share = self.cold_budget / (self.fronts_per_engine or self.configured_fronts) / 2
+
+    def learned_state(self, now: float) -> it.LearnedState:
+        """What a later process should know of the engines, keys and the retry budget."""
         engines = [
             (
-                e,
-                self.bound[i],
-                self.slow[i] ** exp((self.slow_at[i] - now) / self.forget),
-                max(self.started[i], 0.0),
+                engine,
+                self.concurrency_limits[index],
+                self.engine_slowdowns[index]
+                ** exp((self.engine_slowdowns_at[index] - now) / self.decay_time),
+                max(self.started_at[index], 0.0),
             )
-            for e, i in self.index.items()
-            if self.listed[i]
+            for engine, index in self.engine_index.items()
+            if self.ready[index]
         ]
-        keys = [(key, at - now) for key, at in self.key_free.items() if at > now]
+        keys = [(key, until - now) for key, until in self.key_cooldowns.items() if until > now]
         return it.LearnedState(
             tuple(engines),
             tuple(keys),
-            *(tuple(now - at for at in times) for times in (self.took, self.extra)),
+            tuple(now - at for at in self.received_times),
+            tuple(now - at for at in self.retry_times),
         )
 
-    def recalled(self, told: it.LearnedState) -> None:
-        for e, bound, pace, started in told.engines:
-            if (i := self.index.get(e)) is not None:
-                self.bound[i] = min(bound, self.cores[i] * THREADS_A_CORE)
-                self.slow[i], self.slow_at[i] = pace, self.now
-                self.started[i] = max(self.started[i], started or -1e9)
-        for key, left in told.keys:
-            self.key_free[key] = max(self.now + left, self.key_free.get(key, 0.0))
-        # Rule 7's window goes on across a restart: what was spent in it is spent.
-        self.took.extendleft(self.now - ago for ago in reversed(told.took))
-        self.extra.extendleft(self.now - ago for ago in reversed(told.extra))
-
-    def probed(self, told: it.ProbeEnded) -> None:
-        if (i := self.index.get(told.engine)) is not None:
-            self.probe_at[i] = -1e9
-            self.fared(i, told.outcome)
-            self.report(i, told.report, 1)
-
-    def listed_anew(self, told: it.EngineListReceived) -> None:
-        if told.kind not in (it.ListKind.FAILED, it.ListKind.CHANGES):
-            self.listed = [False] * len(self.listed)
-        if told.kind is not it.ListKind.FAILED and told.fronts != self.sharing:
-            self.sharing = told.fronts
-            self.share_out()
-        for e in told.engines:
-            if (i := self.index.get(e.id)) is None:
-                i = self.index[e.id] = self.spare.pop() if self.spare else len(self.id)
-                cores = self.kind_cores[e.kind]
-                known = (
-                    e.id,
-                    e.zone,
-                    e.cell,
-                    e.kind,
-                    cores,
-                    self.kind_memory[e.kind],
-                    e.started or -1e9,
-                    cores * THREADS_A_CORE / self.fronts,
-                    self.now,
-                    self.now,
-                    self.now,
-                    {},
-                    deque(),
-                )
-                for row, first in (*zip(LISTED, known, strict=True), *FIRST.items()):
-                    vars(self)[row][i : i + 1] = [first]
-            elif e.started > max(self.started[i], 0.0):
-                self.restarted(i, e.started)
-            self.listed[i] = e.state is it.EngineState.READY
-        # An engine that has left is forgotten once nothing remembers it, and its place is another's.
-        known = {i for b in self.open.values() for i in b.tried} | {self.index[e.id] for e in told.engines}
-        for e in [e for e, i in self.index.items() if not (self.listed[i] or self.own[i] or i in known)]:
-            self.spare.append(self.index.pop(e))
-        self.ranks.clear()
-
-    def report(self, i: int, values: tuple[float, ...], width: int) -> None:
+    def restore_learned_state(self, learned: it.LearnedState) -> None:
+        """Take over what an earlier process had learned, for engines that are on the list."""
+        for engine, limit, slowdown, started in learned.engines:
+            index = self.engine_index.get(engine)
+            if index is None:
+                continue
+            self.concurrency_limits[index] = min(limit, self.cores[index] * THREADS_PER_CORE)
+            self.engine_slowdowns[index] = slowdown
+            self.engine_slowdowns_at[index] = self.now
+            self.started_at[index] = max(self.started_at[index], started or LONG_AGO)
+        for key, left in learned.keys:
+            self.key_cooldowns[key] = max(self.now + left, self.key_cooldowns.get(key, 0.0))
+        # The retry budget's window continues across a restart: what was spent in it stays spent.
+        self.received_times.extendleft(self.now - ago for ago in reversed(learned.took))
+        self.retry_times.extendleft(self.now - ago for ago in reversed(learned.extra))
+
+    def probe_ended(self, ended: it.ProbeEnded) -> None:
+        """Learn from a probe's outcome and report about its engine."""
+        index = self.engine_index.get(ended.engine)
+        if index is None:
+            return
+        self.probed_at[index] = LONG_AGO
+        self.apply_outcome(index, ended.outcome)
+        self.apply_report(index, ended.report, 1)
+
+    def engine_list_received(self, received: it.EngineListReceived) -> None:
+        """Add, update and forget engines by a new list."""
+        if received.kind not in (it.ListKind.FAILED, it.ListKind.CHANGES):
+            self.ready[:] = [False] * len(self.ready)
+        if received.kind is not it.ListKind.FAILED and received.fronts != self.fronts_per_engine:
+            self.fronts_per_engine = received.fronts
+            self.update_shares()
+        for engine in received.engines:
+            index = self.engine_index.get(engine.id)
+            if index is None:
+                index = self.add_engine(engine)
+            elif engine.started > max(self.started_at[index], 0.0):
+                self.reset_engine(index, engine.started)
+            self.ready[index] = engine.state is it.EngineState.READY
+        self.forget_engines(received.engines)
+        self.affinity_orders.clear()
+
+    def add_engine(self, engine: it.Engine) -> int:
+        """Give a new engine an index, and its figures their first values."""
+        if self.free_indexes:
+            index = self.free_indexes.pop()
+        else:
+            index = len(self.engine_ids)
+            for column in self.engine_columns:
+                column.append(None)
+        self.engine_index[engine.id] = index
+        cores = self.kind_cores[engine.kind]
+        self.engine_ids[index] = engine.id
+        self.engine_zones[index] = engine.zone
+        self.engine_cells[index] = engine.cell
+        self.engine_kinds[index] = engine.kind
+        self.cores[index] = cores
+        self.engine_memory[index] = self.kind_memory[engine.kind]
+        self.ready[index] = False
+        self.started_at[index] = engine.started or LONG_AGO
+        self.fresh_since[index] = self.now
+        self.concurrency_limits[index] = cores * THREADS_PER_CORE / self.sharing_fronts
+        self.open_widths[index] = 0
+        self.engine_dispatches[index] = {}
+        self.cold_dispatches[index] = deque()
+        self.last_reports[index] = ()
+        self.reported_at[index] = LONG_AGO
+        self.report_changed_at[index] = self.now
+        self.report_intervals[index] = 0.5
+        self.probed_at[index] = LONG_AGO
+        self.utilizations[index] = 0.0
+        self.granted_memory[index] = 0.0
+        self.engine_slowdowns[index] = 1.0
+        self.engine_slowdowns_at[index] = self.now
+        self.down[index] = False
+        self.backoffs[index] = 0.0
+        self.backoff_until[index] = 0.0
+        return index
+
+    def forget_engines(self, listed: tuple[it.Engine, ...]) -> None:
+        """Free the indexes of engines that have left, once no dispatch and no open batch refers to them."""
+        referenced = {index for batch in self.open_batches.values() for index in batch.tried_engines}
+        referenced |= {self.engine_index[engine.id] for engine in listed}
+        gone = [
+            engine
+            for engine, index in self.engine_index.items()
+            if not (self.ready[index] or self.engine_dispatches[index] or index in referenced)
+        ]
+        for engine in gone:
+            self.free_indexes.append(self.engine_index.pop(engine))
+
+    # What is known of an engine.
+
+    def apply_report(self, engine: int, values: tuple[float, ...], width: int) -> None:
+        """Take over a load report, and adjust the concurrency limit by it (AIMD).
+
+        `width` is the width of the dispatch that brought the report, 1 for a probe.
+        """
         if not values:
             return
-        self.told_at[i] = self.now
-        if values == self.last[i]:
+        self.reported_at[engine] = self.now
+        if values == self.last_reports[engine]:
             return
-        if self.last[i]:
-            self.gap[i] += PACE * (min(self.now - self.reported[i], 2.0) - self.gap[i])
-        self.last[i], self.reported[i] = values, self.now
-        busy, line, held, disk, granted = (values[f] if 0 <= f < len(values) else -1.0 for f in self.fields)
-        if busy < 0:
-            busy = self.width[i] * self.fronts / self.cores[i]
-        # Batches that stand still behind a load or a disk leave the cores idle: risk, an engine that is
-        # jammed reports no work and is sent ever more. What it holds and its disks count as well.
-        busy = max(busy, disk, held / (self.cores[i] * THREADS_A_CORE))
-        # A line means that the engine is full, whatever its cores do.
-        busy = max(busy, BUSY) + line / self.cores[i] if line >= 1 else busy
-        self.mean_busy += PACE * (busy - self.mean_busy)
-        self.busy[i], self.granted[i] = busy, max(granted, 0.0)
-        if max(busy, granted if self.pages else 0.0) < BUSY:
-            self.bound[i] = min(self.bound[i] + width * self.step, self.cores[i] * THREADS_A_CORE)
+        if self.last_reports[engine]:
+            interval = min(self.now - self.report_changed_at[engine], 2.0)
+            self.report_intervals[engine] += EWMA_WEIGHT * (interval - self.report_intervals[engine])
+        self.last_reports[engine] = values
+        self.report_changed_at[engine] = self.now
+        utilization, queue_length, inflight, disk, granted = (
+            values[place] if 0 <= place < len(values) else -1.0 for place in self.report_places
+        )
+        if utilization < 0:
+            utilization = self.open_widths[engine] * self.sharing_fronts / self.cores[engine]
+        # Batches that wait for a table load or a disk leave the cores idle, and an engine that is jammed
+        # like that would be sent ever more. So its batches in flight and its disks count as well.
+        utilization = max(utilization, disk, inflight / (self.cores[engine] * THREADS_PER_CORE))
+        # An engine with a queue is full, however busy its cores are.
+        if queue_length >= 1:
+            utilization = max(utilization, BUSY_THRESHOLD) + queue_length / self.cores[engine]
+        self.mean_utilization += EWMA_WEIGHT * (utilization - self.mean_utilization)
+        self.utilizations[engine] = utilization
+        self.granted_memory[engine] = max(granted, 0.0)
+        if max(utilization, granted if self.engines_page else 0.0) < BUSY_THRESHOLD:
+            self.concurrency_limits[engine] = min(
+                self.concurrency_limits[engine] + width * self.share_in_batches,
+                self.cores[engine] * THREADS_PER_CORE,
+            )
         else:
-            self.halve(i)
-
-    def halve(self, i: int) -> None:
-        # A share under one batch has no floor, as all fronts together must be able to fall below what fits.
-        self.bound[i] = max(self.bound[i] / 2, 0.0 if self.step < 1.0 else self.narrow)
+            self.halve_concurrency_limit(engine)
+
+    def halve_concurrency_limit(self, engine: int) -> None:
+        """Multiplicative decrease, down to one batch of the widest class.
+
+        There is no lower bound where a front's share is less than one batch: all fronts together must be
+        able to go below what the engine can run.
+        """
+        lowest = 0.0 if self.share_in_batches < 1.0 else self.widest
+        self.concurrency_limits[engine] = max(self.concurrency_limits[engine] / 2, lowest)
+
+    def record_slowdown(self, engine: int, sample: float) -> None:
+        """Take one sample into the engine's slowdown, a geometric moving average."""
+        old = self.slowdown_of_engine(engine)
+        self.engine_slowdowns[engine] = old * (min(max(sample, 0.1), 30.0) / old) ** EWMA_WEIGHT
+        self.engine_slowdowns_at[engine] = self.now
+
+    def slowdown_of_engine(self, engine: int) -> float:
+        """Measured over estimated run time.
+
+        Without news it decays towards 1, so that the engine is tried again.
+        """
+        return self.engine_slowdowns[engine] ** exp(
+            (self.engine_slowdowns_at[engine] - self.now) / self.decay_time
+        )
 
-    def paced(self, i: int, sample: float) -> None:
-        old = self.pace_of(i)
-        self.slow[i] = old * (min(max(sample, 0.1), 30.0) / old) ** PACE
-        self.slow_at[i] = self.now
+    def slowdown_of_class(self, index: int) -> float:
+        """Measured over estimated run time of a query class, which decays towards 1 without news.
 
-    def pace_of(self, i: int) -> float:
-        """An engine's pace, forgotten over the longest goal without news: it is then tried again."""
-        return self.slow[i] ** exp((self.slow_at[i] - self.now) / self.forget)
+        Without the decay a front that refuses a class for its slowdown would get no news of it, and go on
+        refusing it when the engines have long been free.
+        """
+        return self.class_slowdowns[index] ** exp(
+            (self.class_slowdowns_at[index] - self.now) / self.decay_time
+        )
 
-    def pace_now(self, g: int) -> float:
-        """A group's pace, forgotten without news as an engine's is. Risk: a front that turns a group away for
-        its pace hears nothing of it any more, and goes on turning it away when engines are long free."""
-        return self.pace[g] ** exp((self.paced_at[g] - self.now) / self.forget)
+    def apply_outcome(self, engine: int, outcome: it.DispatchOutcome) -> None:
+        """Trust the engine after a result; back off exponentially after a failure to reach it.
 
-    def fared(self, i: int, outcome: it.DispatchOutcome) -> None:
+        A reset or one connection that is not made in time does not show that the engine is down: taken for
+        down each time, a lossy one would count as cold without end. It is down if it refuses a connection,
+        or if none is made in time while its back-off is at its longest.
+        """
         if outcome is it.DispatchOutcome.RETURNED:
-            self.lives(i)
+            self.clear_suspicion(engine)
         elif outcome in (
             it.DispatchOutcome.UNREACHABLE,
             it.DispatchOutcome.LATE,
             it.DispatchOutcome.RESET,
             it.DispatchOutcome.TIMED_OUT,
         ):
-            # Risk: an engine whose answers go missing resets too, and one connection of many comes up late;
-            # taken for down each time, it would count as cold without end. Only a connection refused shows
-            # that nothing runs there, or that none comes up for as long as a doubt grows.
-            most = 8 * self.connect_limit
-            self.down[i] |= (
+            longest = 8 * self.connect_limit
+            backoff = self.backoffs[engine]
+            if (
                 outcome is it.DispatchOutcome.UNREACHABLE
                 or outcome is it.DispatchOutcome.LATE
-                and self.doubt[i] >= most
-            )
-            self.doubt[i] = min(max(self.doubt[i] * 2, self.connect_limit), most)
-            self.shun[i] = self.now + self.doubt[i]
-
-    def lives(self, i: int) -> None:
-        if self.down[i]:
-            # It was down and answers: it may be cold before the list says so.
-            self.restarted(i, self.now)
-        self.doubt[i], self.shun[i] = 0.0, 0.0
-
-    def restarted(self, i: int, when: float) -> None:
-        """Back to the start: a bound that it earned before it went down lets all fronts flood it."""
-        self.started[i], self.fresh_at[i] = max(self.started[i], when), self.now
-        self.bound[i] = self.cores[i] * THREADS_A_CORE / self.fronts
-        self.slow[i], self.down[i] = 1.0, False
-        self.lives(i)
-
-    def warmth(self, i: int) -> float:
-        """The share of its capacity that the engine surely has."""
-        age = self.now - self.started[i]
-        if age >= self.warm_after:
+                and backoff >= longest
+            ):
+                self.down[engine] = True
+            self.backoffs[engine] = min(max(backoff * 2, self.connect_limit), longest)
+            self.backoff_until[engine] = self.now + self.backoffs[engine]
+
+    def clear_suspicion(self, engine: int) -> None:
+        """The engine answers: end its back-off."""
+        if self.down[engine]:
+            # It answers after it was down: it may be cold before the list says so.
+            self.reset_engine(engine, self.now)
+        self.backoffs[engine] = 0.0
+        self.backoff_until[engine] = 0.0
+
+    def reset_engine(self, engine: int, started: float) -> None:
+        """Treat the engine as started anew.
+
+        With its concurrency limit from before it went down, all fronts would flood it.
+        """
+        self.started_at[engine] = max(self.started_at[engine], started)
+        self.fresh_since[engine] = self.now
+        self.concurrency_limits[engine] = self.cores[engine] * THREADS_PER_CORE / self.sharing_fronts
+        self.engine_slowdowns[engine] = 1.0
+        self.down[engine] = False
+        self.clear_suspicion(engine)
+
+    def warm_capacity(self, engine: int) -> float:
+        """The share of its capacity that the engine has for certain: it rises to 1 over the warm-up time."""
+        age = self.now - self.started_at[engine]
+        if age >= self.warm_up_time:
             return 1.0
-        return self.cold_share + (1 - self.cold_share) * max(age, 0.0) / self.warm_after
-
-    def unseen(self, i: int) -> list[Sent]:
-        """What is out that the last report cannot show yet; all of it where an engine has fallen silent."""
-        return [s for s in self.own[i].values() if s.at > self.told_at[i] - self.gap[i]]
-
-    def load_of(self, i: int) -> float:
-        """The busy share reported, and what all fronts are taken to have sent since: as they act on like
-        reports, each as much as this one, up to what fills an engine. Risk: too few, and all pour onto one
-        that looks free; too many, and a single send is fled from."""
-        if i not in self.loads:
-            sent = sum(s.width for s in self.unseen(i))
-            # Risk: what was last heard busy is not heard of again. Old word gives way to the mean.
-            trust = self.forget / (self.forget + self.now - self.told_at[i])
-            busy = self.mean_busy + trust * (self.busy[i] - self.mean_busy)
-            self.loads[i] = busy + sent * self.alike / (self.cores[i] * self.warmth(i))
-        return self.loads[i]
-
-    def takes(self, b: Batch, i: int) -> bool:
-        t = self.groups[b.group]
-        # Where it can be probed, an engine in doubt is tried by probes alone: what is sent to an engine
-        # that takes all and answers nothing piles up there, and each trial costs a batch its goal.
-        if not self.listed[i] or self.now < self.shun[i] or self.doubt[i] and self.probing:
+        return self.cold_capacity + (1 - self.cold_capacity) * max(age, 0.0) / self.warm_up_time
+
+    def unreported_dispatches(self, engine: int) -> list[OpenDispatch]:
+        """Open dispatches that the last report cannot show yet; all of them where the engine is silent."""
+        return [
+            dispatch
+            for dispatch in self.engine_dispatches[engine].values()
+            if dispatch.sent_at > self.reported_at[engine] - self.report_intervals[engine]
+        ]
+
+    def load_estimate(self, engine: int) -> float:
+        """The reported utilization, and what all fronts are assumed to have sent since, kept for this moment.
+
+        The other fronts act on like reports, so each is assumed to have sent as much as this one, up to
+        what fills an engine. If the estimate is too low, all pour onto one engine that looks free; if it is
+        too high, a single dispatch keeps all others away.
+        """
+        if engine not in self.load_estimates:
+            sent = sum(dispatch.width for dispatch in self.unreported_dispatches(engine))
+            # An old report gives way to the mean of all engines: one that was busy when last heard would
+            # never be sent to again, and so never be heard of again.
+            trust = self.decay_time / (self.decay_time + self.now - self.reported_at[engine])
+            mean = self.mean_utilization
+            utilization = mean + trust * (self.utilizations[engine] - mean)
+            self.load_estimates[engine] = utilization + sent * self.load_multiplier / (
+                self.cores[engine] * self.warm_capacity(engine)
+            )
+        return self.load_estimates[engine]
+
+    # Which engines may run a batch.
+
+    def is_eligible(self, batch: Batch, engine: int) -> bool:
+        """Whether the engine may run the batch at all: it is up, placed right, and has memory.
+
+        Where engines can be probed, a suspected one is tried by probes alone: batches pile up at an engine
+        that accepts all and answers nothing, and each trial costs a batch its latency objective.
+        """
+        if (
+            not self.ready[engine]
+            or self.now < self.backoff_until[engine]
+            or self.backoffs[engine]
+            and self.probes
+        ):
             return False
-        if not self.placed(t, i):
+        query_class = self.query_classes[batch.query_class]
+        if not self.placement_allows(query_class, engine):
             return False
-        if b.may_have_run:
-            _, first, at = b.may_have_run[0]
-            forgotten = self.now - at >= t.window
-            if t.repeat is it.Idempotency.DEDUPLICATED and (forgotten or not self.same(t.scope, first, i)):
+        if batch.possible_runs and query_class.repeat is it.Idempotency.DEDUPLICATED:
+            # A further dispatch is safe only while and where the engines recognize it as a duplicate.
+            _, first, at = batch.possible_runs[0]
+            if self.now - at >= query_class.window or not self.same_scope(query_class.scope, first, engine):
                 return False
-        if self.now - self.started[i] < self.warm_after and not self.cold_room(b, i):
+        if self.now - self.started_at[engine] < self.warm_up_time and not self.cold_engine_allows(
+            batch, engine
+        ):
             return False
-        # Past its memory an engine that pages slows all that it holds, so this bound has no floor.
+        if not self.engines_page:
+            return True
+        # An engine that pages slows all that it runs, so the memory limit holds for the first batch as well.
+        unreported = sum(dispatch.memory for dispatch in self.unreported_dispatches(engine))
+        needed = (unreported * self.load_multiplier + batch.memory) / self.engine_memory[engine]
+        return self.granted_memory[engine] + needed <= 1
+
+    def has_capacity(self, batch: Batch, engine: int) -> bool:
+        """Whether the batch fits under the concurrency limit, or the engine is estimated not to be busy."""
         return (
-            not self.pages
-            or self.granted[i]
-            + (sum(s.memory for s in self.unseen(i)) * self.alike + b.memory) / self.memory[i]
-            <= 1
+            self.open_widths[engine] + batch.width <= self.concurrency_limits[engine]
+            or self.load_estimate(engine) < BUSY_THRESHOLD
+        )
+
+    def pacing_permits(self, batch: Batch) -> bool:
+        """Whether the front may dispatch a batch now though the engines are saturated.
+
+        This is for a front whose share of an engine is less than a batch. From the first batch that finds
+        no free engine until no batch is queued, it dispatches one batch in each time in which its shares of
+        all engines would have run one. One batch for each front and engine would be several engines' worth
+        of work, and what all fronts have queued would be sent at once when engines are next free; so the
+        first of these moments is random for each front.
+        """
+        if not self.pacing:
+            self.pacing = True
+            self.next_dispatch_at = self.now + self.random() * self.pacing_interval(batch)
+        return self.now >= self.next_dispatch_at
+
+    def pacing_interval(self, batch: Batch) -> float:
+        """The time in which this front's shares of all engines run the batch, at most the decay time."""
+        threads = sum(
+            limit for limit, ready in zip(self.concurrency_limits, self.ready, strict=True) if ready
+        )
+        work = batch.work * max(self.slowdown_of_class(batch.query_class), 1.0)
+        return min(work / max(threads, 1e-9), self.decay_time)
+
+    def placement_allows(self, query_class: it.QueryClass, engine: int) -> bool:
+        """Whether the query class may run in the engine's zone and on its kind of engine."""
+        return (query_class.zones is None or self.engine_zones[engine] in query_class.zones) and (
+            query_class.kinds is None or self.engine_kinds[engine] in query_class.kinds
         )
 
-    def within(self, b: Batch, i: int) -> bool:
-        return self.width[i] + b.width <= self.bound[i] or self.load_of(i) < BUSY
-
-    def in_turn(self, b: Batch) -> bool:
-        """Where a share is less than a batch: once nothing is free, a batch for each time that this front's
-        shares of all engines would have run one, until none is held. Risk: a batch for each front and engine
-        is several engines' worth, and what all have held back goes at once when engines are next free."""
-        if self.flowing:
-            self.flowing, self.turn = False, self.now + self.chance() * self.spacing(b)
-        return self.now >= self.turn
-
-    def spacing(self, b: Batch) -> float:
-        pool = sum(bound for bound, listed in zip(self.bound, self.listed, strict=True) if listed)
-        return min(b.work * max(self.pace_now(b.group), 1.0) / max(pool, 1e-9), self.forget)
-
-    def placed(self, t, i: int) -> bool:
-        return (t.zones is None or self.zone[i] in t.zones) and (t.kinds is None or self.kind[i] in t.kinds)
-
-    def same(self, scope: it.DeduplicationScope, i: int, j: int) -> bool:
-        row = self.zone if scope is it.DeduplicationScope.ZONE else self.cell
-        return scope is it.DeduplicationScope.ALL or row[i] == row[j]
-
-    def cold_room(self, b: Batch, i: int) -> bool:
-        """A fresh engine gets a thin slice of the keys, and never more than this front's share. Risk: with
-        hundreds of fronts a share of a window is less than one batch, and an engine that none may send to is
-        lost to all until it is warm. There a batch goes for each time in which the shares add up to it, the
-        first at a moment that is each front's own."""
-        if crc32(b"%a %b" % (b.tables, self.id[i])) / 2**32 > self.warmth(i):
+    def same_scope(self, scope: it.DeduplicationScope, first: int, second: int) -> bool:
+        """Whether two engines recognize each other's batches as duplicates."""
+        column = self.engine_zones if scope is it.DeduplicationScope.ZONE else self.engine_cells
+        return scope is it.DeduplicationScope.ALL or column[first] == column[second]
+
+    def cold_engine_allows(self, batch: Batch, engine: int) -> bool:
+        """Slow start: whether the batch fits this front's share of what a cold engine may get.
+
+        The engine gets a slice of the table groups that widens as it warms up, and work up to the share in
+        each window. With hundreds of fronts a share of a window is less than one batch, and an engine that
+        none may send to would be lost to all until it is warm. There a batch goes in each time in which the
+        shares add up to it, the first at a moment that differs from front to front.
+        """
+        table_draw = crc32(b"%a %b" % (batch.table_group, self.engine_ids[engine])) / 2**32
+        if table_draw > self.warm_capacity(engine):
             return False
-        sent, window = self.cold[i], self.fall_window + self.connect_limit
-        room, work = self.fall_room * self.warmth(i) * self.cores[i], max(self.usual[b.group], b.work)
+        sent = self.cold_dispatches[engine]
+        window = self.cold_window + self.connect_limit
+        room = self.cold_share * self.warm_capacity(engine) * self.cores[engine]
+        work = max(self.typical_work[batch.query_class], batch.work)
         if work > room:
-            first = crc32(b"%d %b" % (self.seed, self.id[i])) / 2**32
-            since, part = (sent[-1][0], 1.0) if sent else (self.fresh_at[i], first)
+            if sent:
+                since = sent[-1][0]
+                part = 1.0
+            else:
+                since = self.fresh_since[engine]
+                part = crc32(b"%d %b" % (self.seed, self.engine_ids[engine])) / 2**32
             return self.now - since >= part * window * work / room
         while sent and sent[0][0] < self.now - window:
             sent.popleft()
-        return sum(w for _, w in sent) + work <= room
-
-    def order(self, tables: float) -> list[tuple[int, int]]:
-        """Every front agrees without a word on which engines keep a table group warm."""
-        if tables not in self.ranks:
-            if len(self.ranks) > 4096:
-                self.ranks.clear()
-            ready = (i for i, listed in enumerate(self.listed) if listed)
-            ranked = sorted(ready, key=lambda i: (crc32(b"%a %b" % (tables, self.id[i])), i))
-            self.ranks[tables] = list(enumerate(ranked))
-        return self.ranks[tables]
-
-    def sample(self, b: Batch, loads: bool) -> tuple[list[tuple[int, int]], list[tuple[int, int]]]:
-        """Of the first engines that may take the batch those within the bound, and those to go to in turn."""
-        free, pressed, asks = [], [], ASKS if self.probing else 0
-        places = self.order(b.tables)[:: -1 if loads and self.any_yields else 1]
-        if len(places) > NEAR:
-            # Risk: hundreds of fronts that hear little all look at the same few, and fill them together.
-            far = FAR if self.step == 1.0 else NEAR // 2
-            places = [places[int(self.chance() * len(places))] for _ in range(far)] + places
-        for rank, i in places:
-            takes = self.takes(b, i)
-            if takes and self.within(b, i):
-                free.append((rank, i))
-            elif takes:
-                pressed.append((rank, i))
-            elif asks and self.now >= self.shun[i] and self.ask(i):
-                asks -= 1
-            if len(free) + len(pressed) == NEAR:
+        return sum(sent_work for _, sent_work in sent) + work <= room
+
+    # The choice of an engine.
+
+    def affinity_order(self, table_group: float) -> list[tuple[int, int]]:
+        """The ready engines as (rank, index), in the order in which they keep the table group warm.
+
+        It is a rendezvous hash: all fronts get the same order without communicating.
+        """
+        if table_group not in self.affinity_orders:
+            if len(self.affinity_orders) > 4096:
+                self.affinity_orders.clear()
+            ready = (index for index, is_ready in enumerate(self.ready) if is_ready)
+            ranked = sorted(
+                ready, key=lambda index: (crc32(b"%a %b" % (table_group, self.engine_ids[index])), index)
+            )
+            self.affinity_orders[table_group] = list(enumerate(ranked))
+        return self.affinity_orders[table_group]
+
+    def sample_engines(
+        self, batch: Batch, is_load: bool
+    ) -> tuple[list[tuple[int, int]], list[tuple[int, int]]]:
+        """Sample eligible engines for the power-of-choices draw, each as (rank, index).
+
+        The first list has those with capacity. The second has the busy ones that may be used in paced
+        turns: it is empty unless a share is less than a batch. Stale engines are probed where that can make
+        them usable.
+        """
+        free: list[tuple[int, int]] = []
+        busy: list[tuple[int, int]] = []
+        probes_left = MAX_PROBES if self.probes else 0
+        # Table loads go through the order from its other end where other classes yield to them.
+        candidates = self.affinity_order(batch.table_group)[:: -1 if is_load and self.any_class_yields else 1]
+        if len(candidates) > SAMPLE_SIZE:
+            # Hundreds of fronts that get few reports would all look at the same few engines, and fill them
+            # together: where a share is less than a batch, more candidates are random.
+            random_candidates = RANDOM_CANDIDATES if self.share_in_batches == 1.0 else SAMPLE_SIZE // 2
+            candidates = [
+                candidates[int(self.random() * len(candidates))] for _ in range(random_candidates)
+            ] + candidates
+        for rank, engine in candidates:
+            eligible = self.is_eligible(batch, engine)
+            if eligible and self.has_capacity(batch, engine):
+                free.append((rank, engine))
+            elif eligible:
+                busy.append((rank, engine))
+            elif probes_left and self.now >= self.backoff_until[engine] and self.probe_if_stale(engine):
+                probes_left -= 1
+            if len(free) + len(busy) == SAMPLE_SIZE:
                 break
-        # Risk: what is never sent to is never heard of again, and stays full in this front's eyes.
-        for _, i in pressed[: 0 if free else asks]:
-            self.ask(i)
-        return free, [place for place in pressed if self.step < 1.0 and not self.own[place[1]]]
-
-    def draw(self, b: Batch) -> int | None:
-        loads = self.groups[b.group].holds_tables
-        free, pressed = self.sample(b, loads)
-        if self.step < 1.0 and not (free and (self.flowing or not self.pages)) and not self.in_turn(b):
+        # An engine that is never sent to reports nothing, and would stay busy in this front's estimate.
+        for _, engine in busy[: 0 if free else probes_left]:
+            self.probe_if_stale(engine)
+        if self.share_in_batches < 1.0:
+            return free, [candidate for candidate in busy if not self.engine_dispatches[candidate[1]]]
+        return free, []
+
+    def choose_engine(self, batch: Batch) -> int | None:
+        """The index of the engine to dispatch to, or None if the batch must wait.
+
+        Of the sampled engines it takes the one of lowest cost: load, relative slowdown, rank in the table
+        group's order, another zone and an earlier dispatch of this batch there, with random (Gumbel) noise.
+        If that engine has no recent report it is probed first, and the batch waits for the reply.
+        """
+        is_load = self.query_classes[batch.query_class].holds_tables
+        free, busy = self.sample_engines(batch, is_load)
+        if (
+            self.share_in_batches < 1.0
+            and not (free and (not self.pacing or not self.engines_page))
+            and not self.pacing_permits(batch)
+        ):
             return None
-        if not (free := free or pressed):
+        candidates = free or busy
+        if not candidates:
             return None
-        slow = [self.pace_of(i) for _, i in free]
-        usual = median(slow)
+        slowdowns = [self.slowdown_of_engine(engine) for _, engine in candidates]
+        typical = median(slowdowns)
         costs = []
-        for (rank, i), pace in zip(free, slow, strict=True):
-            cost = (0.5 + self.load_of(i)) * max(pace / usual, 1.0)
-            cost += self.any_yields / (1 + rank) if loads else STEP * rank
-            cost += self.crossing * (self.zone[i] != self.home)
-            # Whatever ailed the dispatch before, it is worth an engine's load to go elsewhere.
-            cost += i in b.tried
-            costs.append((cost + SPREAD * log(-log(self.chance())), i))
-        best = [i for _, i in sorted(costs)[:ASKS]]
-        if not self.probing or not self.ask(best[0]):
+        for (rank, engine), slowdown in zip(candidates, slowdowns, strict=True):
+            cost = (0.5 + self.load_estimate(engine)) * max(slowdown / typical, 1.0)
+            if not is_load:
+                cost += RANK_COST * rank
+            elif self.any_class_yields:
+                cost += 1 / (1 + rank)
+            if self.engine_zones[engine] != self.home_zone:
+                cost += self.zone_cost
+            # Whatever ended the earlier dispatch, going elsewhere is worth the load of a whole engine.
+            if engine in batch.tried_engines:
+                cost += 1
+            costs.append((cost + SAMPLING_NOISE * log(-log(self.random())), engine))
+        best = [engine for _, engine in sorted(costs)[:MAX_PROBES]]
+        if not self.probes or not self.probe_if_stale(best[0]):
             return best[0]
-        # Risk: fronts that carry little send blindly. A batch that waits for word counts as just taken.
-        for i in best[1:]:
-            self.ask(i)
-        b.new_till = self.now + self.connect_limit
+        # Fronts with little traffic would dispatch without any report. A batch that waits for a probe
+        # counts as just received.
+        for engine in best[1:]:
+            self.probe_if_stale(engine)
+        batch.fresh_until = self.now + self.connect_limit
         return None
 
-    def ask(self, i: int) -> bool:
-        """Probe the engine, unless a probe is out, if its next report has had the time to come."""
-        if self.now - self.told_at[i] <= self.gap[i]:
+    def probe_if_stale(self, engine: int) -> bool:
+        """Whether the engine's next report is overdue; if so it is probed, unless a probe is out."""
+        if self.now - self.reported_at[engine] <= self.report_intervals[engine]:
             return False
-        if self.now - self.probe_at[i] > 2 * self.connect_limit:
-            self.probe_at[i] = self.now
-            self.actions.append(it.Probe(self.id[i]))
+        if self.now - self.probed_at[engine] > 2 * self.connect_limit:
+            self.probed_at[engine] = self.now
+            self.actions.append(it.Probe(self.engine_ids[engine]))
         return True
 
-    def chance(self) -> float:
+    def random(self) -> float:
+        """The next number of the seeded sequence, above 0 and below 1."""
         self.draws += 1
         return (crc32(b"%d %d" % (self.seed, self.draws)) + 0.5) / 2**32
 
-    def distance(self, g: int) -> int:
-        left = self.wanted[g]
-        for position, one in enumerate(reversed(self.success[g]), 1):
-            left -= one
-            if not left:
-                return PLACES - position + 1
+    # The order of batches.
+
+    def distance_to_failure(self, index: int) -> int:
+        """How many more late batches in a row break the class's (m,k)-firm guarantee; 0: it is broken.
+
+        This is distance-based priority: the class with the lowest distance is dispatched first.
+        """
+        missing = self.required_successes[index]
+        for position, success in enumerate(reversed(self.success_history[index]), 1):
+            missing -= success
+            if not missing:
+                return HISTORY_LENGTH - position + 1
         return 0
 
-    def release(self) -> None:
-        self.flowing |= not any(self.queues)
+    def release_queued(self) -> None:
+        """Refuse what cannot be answered in time, and dispatch all queued batches that can go now."""
+        if not any(self.queues):
+            self.pacing = False
         for queue in self.queues:
-            for b in [b for b in queue if self.hopeless(b)]:
-                self.unhold(b)
-                self.advance(b, None)
-        # What leaves makes no engine freer: a group that could not go is drawn for again at the next moment.
+            for batch in [batch for batch in queue if self.is_hopeless(batch)]:
+                self.dequeue(batch)
+                self.advance(batch, None)
+        # A dispatch frees no engine: a class that could not dispatch is not tried again at this moment.
         may_go = set(range(len(self.queues)))
         while True:
-            waiting = sorted((self.distance(g), self.queues[g][0], g) for g in may_go if self.queues[g])
-            if not any(self.release_from(g) or may_go.discard(g) for _, _, g in waiting):
+            waiting = sorted(
+                (self.distance_to_failure(index), self.queues[index][0], index)
+                for index in may_go
+                if self.queues[index]
+            )
+            for _, _, index in waiting:
+                if self.release_one(index):
+                    # A dispatch may change the order of the classes.
+                    break
+                may_go.discard(index)
+            else:
                 return
 
-    def hopeless(self, b: Batch) -> bool:
-        """Held so long that it cannot finish in time; one just taken may still unlearn a bad pace."""
-        return self.now + (b.run if b.dispatches or self.now <= b.new_till else self.needs(b)) > b.goal_at
+    def is_hopeless(self, batch: Batch) -> bool:
+        """Whether the batch can no longer meet its latency objective.
+
+        One just received counts with its estimate alone: its result may show that the slowdown of its class
+        is out of date.
+        """
+        if batch.dispatch_count or self.now <= batch.fresh_until:
+            needed = batch.run_time
+        else:
+            needed = self.expected_run_time(batch)
+        return self.now + needed > batch.objective_at
 
-    def needs(self, b: Batch) -> float:
-        """One run at its group's pace, and half as much again, as a mean leaves too many to end late."""
-        return 1.5 * b.run * max(self.pace_now(b.group), 0.5)
+    def expected_run_time(self, batch: Batch) -> float:
+        """A run at the slowdown of its class, and half as much again.
 
-    def release_from(self, g: int) -> bool:
-        for b in self.queues[g]:
-            if self.key_busy(b) or (g, b.tables) in self.crossed:
+        The slowdown is a mean: without the margin too many batches would end late.
+        """
+        return 1.5 * batch.run_time * max(self.slowdown_of_class(batch.query_class), 0.5)
+
+    def release_one(self, index: int) -> bool:
+        """Dispatch the first batch of the class's queue that can go; whether there was one."""
+        for batch in self.queues[index]:
+            if self.is_key_blocked(batch) or (index, batch.table_group) in self.table_conflicts:
                 continue
-            if (i := self.draw(b)) is None:
-                if b.may_have_run or self.now < b.new_till:
+            engine = self.choose_engine(batch)
+            if engine is None:
+                # One that is bound by its earlier dispatch, or waits for a probe, does not block those
+                # behind it.
+                if batch.possible_runs or self.now < batch.fresh_until:
                     continue
                 return False
-            if self.conflict(b, i):
-                # Risk: a draw for each of hundreds held behind one table group at each event takes a core.
-                self.crossed.add((g, b.tables))
+            if self.conflicts_with_load(batch, engine):
+                # To choose an engine for each of hundreds behind one table group at each event takes a
+                # whole core.
+                self.table_conflicts.add((index, batch.table_group))
                 continue
-            if not self.guarded(b, i):
+            if not self.spares_top_class(batch, engine):
                 return False
-            self.unhold(b)
-            # Risk: the budget that it had when it asked again may have run out while it was held.
-            self.advance(b, i if self.affords(b) else None)
+            self.dequeue(batch)
+            # The retry budget that it had when it was queued may have been spent since.
+            self.advance(batch, engine if self.within_retry_budget(batch) else None)
             return True
         return False
 
-    def conflict(self, b: Batch, i: int) -> bool:
-        t = self.groups[b.group]
-        held = (s.batch for s in self.own[i].values() if t.holds_tables or t.yields_to_loads)
-        return any(h.tables == b.tables and self.groups[h.group].holds_tables for h in held)
+    def conflicts_with_load(self, batch: Batch, engine: int) -> bool:
+        """Whether a load of its table group that this front has open there must end first."""
+        query_class = self.query_classes[batch.query_class]
+        if not (query_class.holds_tables or query_class.yields_to_loads):
+            return False
+        return any(
+            dispatch.batch.table_group == batch.table_group
+            and self.query_classes[dispatch.batch.query_class].holds_tables
+            for dispatch in self.engine_dispatches[engine].values()
+        )
 
-    def guarded(self, b: Batch, i: int) -> bool:
-        if b.group == self.top or not self.queues[self.top]:
+    def spares_top_class(self, batch: Batch, engine: int) -> bool:
+        """Whether the batch would end before the first queued batch of the top class must begin there."""
+        if batch.query_class == self.top_class or not self.queues[self.top_class]:
             return True
-        head = next((h for h in self.queues[self.top] if not self.key_busy(h)), None)
-        if head is None or not self.placed(self.groups[self.top], i):
+        head = next((one for one in self.queues[self.top_class] if not self.is_key_blocked(one)), None)
+        if head is None or not self.placement_allows(self.query_classes[self.top_class], engine):
             return True
-        rest = sum(s.work * (1 - s.share) for s in self.own[i].values()) / self.cores[i]
-        return head.goal_at - self.now - head.run > b.run + rest
-
-    def key_busy(self, b: Batch) -> bool:
-        """Batches of one key go one at a time, in the order taken, with a rest after one that may run on."""
-        rests = not b.dispatches and self.now < self.key_free.get(b.key, 0.0)
-        return bool(b.line) and (b.line[0] is not b or rests)
-
-    def clear_key(self, b: Batch) -> None:
-        if b.answered and not b.out and b in b.line:
-            b.line.remove(b)
-            if not b.line:
-                del self.keys[b.key]
-
-    def unhold(self, b: Batch) -> None:
-        if b.held:
-            b.held = False
-            del self.queues[b.group][bisect_left(self.queues[b.group], b)]
-
-    def dispatch(self, b: Batch, i: int) -> None:
-        if b.dispatches:
-            self.extra.append(self.now)
-        s = Sent(b, i, self.now, b.work)
-        grant = min(b.memory, self.most_grant * self.memory[i]) if self.grants else 0.0
-        if not b.dispatches and (self.grants or self.priorities):
-            self.actions.append(it.Terms(b.id, grant, self.priority[b.group]))
-        self.actions.append(it.Dispatch(b.id, self.id[i], self.patience(b), self.begin_by(b)))
-        self.width[i] += s.width
-        self.loads.pop(i, None)
-        self.sent[b.id, s.number] = b.out[s.number] = self.own[i][b.id, s.number] = s
-        b.may_have_run.append((s.number, i, self.now))
-        b.dispatches += 1
-        b.tried.add(i)
-        if not self.flowing:
-            self.turn = self.now + self.spacing(b)
-        if self.warmth(i) < 1.0:
-            self.cold[i].append((self.now, max(self.usual[b.group], b.work)))
-        if self.doubt[i]:
-            # In doubt it gets one trial at a time, not all that waits.
-            self.shun[i] = self.now + 2 * self.connect_limit
-
-    def begin_by(self, b: Batch) -> float:
-        """Until when a carrier may send it, or again what seems to have been lost of it. Risk: engines drop
-        repeats for so long only, counted from the first, and a connection that comes up late passes that.
-        What goes again later than it takes to connect may have come whole the first time: where further
-        dispatches are rationed, it would be one that nobody counts."""
-        t, first = self.groups[b.group], b.may_have_run[0][2] if b.may_have_run else self.now
-        by = first + t.window if t.repeat is it.Idempotency.DEDUPLICATED else inf
-        return min(by, self.now + self.connect_limit) if self.allowance else by
-
-    def patience(self, b: Batch) -> float:
-        """How long a dispatch may go unanswered, for the next to meet the goal; 0: to the time limit.
-        Never under four times the group's usual, so that it does not trip while all are slow. None where
-        copies are allowed: work that a time-out does not stop costs more there, and probes find silence. None
-        where nothing can be called off: the engine runs on, and until it surely does not none may follow."""
-        t = self.groups[b.group]
-        # Where a share is less than a batch, what is cut off at its goal is done twice over the whole fleet,
-        # to earn what the late answer would have earned.
-        runs_on, late_earns = self.copies or not self.cancel, self.step < 1.0 and t.late_share
-        if runs_on or late_earns or t.repeat is it.Idempotency.NON_IDEMPOTENT:
+        remaining = (
+            sum(
+                dispatch.work * (1 - dispatch.progress)
+                for dispatch in self.engine_dispatches[engine].values()
+            )
+            / self.cores[engine]
+        )
+        return head.objective_at - self.now - head.run_time > batch.run_time + remaining
+
+    def is_key_blocked(self, batch: Batch) -> bool:
+        """Whether the batch must wait for its key.
+
+        Batches of one key run one at a time, in the order received, with a cool-down after one that may run
+        on.
+        """
+        if not batch.key_queue:
+            return False
+        cooling_down = not batch.dispatch_count and self.now < self.key_cooldowns.get(batch.key, 0.0)
+        return batch.key_queue[0] is not batch or cooling_down
+
+    def release_key(self, batch: Batch) -> None:
+        """Let the key's next batch go, once this one is answered and has no open dispatch."""
+        if batch.answered and not batch.open_dispatches and batch in batch.key_queue:
+            batch.key_queue.remove(batch)
+            if not batch.key_queue:
+                del self.key_queues[batch.key]
+
+    def dequeue(self, batch: Batch) -> None:
+        """Take the batch out of its queue, if it is there."""
+        if batch.queued:
+            batch.queued = False
+            queue = self.queues[batch.query_class]
+            del queue[bisect_left(queue, batch)]
+
+    # The terms of a dispatch.
+
+    def dispatch(self, batch: Batch, engine: int) -> None:
+        """Send the batch to the engine, with its memory grant, its priority and its time-out."""
+        if batch.dispatch_count:
+            self.retry_times.append(self.now)
+        dispatch = OpenDispatch(batch, engine, self.now)
+        grant = 0.0
+        if self.grants_memory:
+            grant = min(batch.memory, self.max_grant * self.engine_memory[engine])
+        if not batch.dispatch_count and (self.grants_memory or self.sets_priorities):
+            self.actions.append(it.Terms(batch.id, grant, self.class_priorities[batch.query_class]))
+        self.actions.append(
+            it.Dispatch(
+                batch.id,
+                self.engine_ids[engine],
+                self.dispatch_timeout(batch),
+                self.latest_send_time(batch),
+            )
+        )
+        self.open_widths[engine] += dispatch.width
+        self.load_estimates.pop(engine, None)
+        self.open_dispatches[batch.id, dispatch.number] = dispatch
+        batch.open_dispatches[dispatch.number] = dispatch
+        self.engine_dispatches[engine][batch.id, dispatch.number] = dispatch
+        batch.possible_runs.append((dispatch.number, engine, self.now))
+        batch.dispatch_count += 1
+        batch.tried_engines.add(engine)
+        if self.pacing:
+            self.next_dispatch_at = self.now + self.pacing_interval(batch)
+        if self.warm_capacity(engine) < 1.0:
+            work = max(self.typical_work[batch.query_class], batch.work)
+            self.cold_dispatches[engine].append((self.now, work))
+        if self.backoffs[engine]:
+            # A suspected engine gets one trial at a time, not all that is queued.
+            self.backoff_until[engine] = self.now + 2 * self.connect_limit
+
+    def latest_send_time(self, batch: Batch) -> float:
+        """Until when the carrier may send the dispatch, or send it again where it seems to have been lost.
+
+        Engines recognize duplicates for a limited time, counted from the first dispatch, and a connection
+        that is made late passes that. What is sent again later than the connect limit may have arrived
+        whole the first time: with a retry budget it would be a further dispatch that is not counted.
+        """
+        query_class = self.query_classes[batch.query_class]
+        latest = inf
+        if query_class.repeat is it.Idempotency.DEDUPLICATED:
+            first = batch.possible_runs[0][2] if batch.possible_runs else self.now
+            latest = first + query_class.window
+        return min(latest, self.now + self.connect_limit) if self.retry_budget else latest
+
+    def dispatch_timeout(self, batch: Batch) -> float:
+        """How many seconds the dispatch may go unanswered, so that the next can meet the objective.
+
+        0: as long as the batch's time limit allows. It is at least four times the usual run time of the
+        class, so that it does not trip while all engines are slow. There is no time-out
+        - where copies are allowed: work that a time-out does not stop costs more, and probes find silent
+          engines;
+        - where nothing can be cancelled: the engine runs on, and until it has surely ended no other may
+          follow;
+        - where a share is less than a batch and late answers have value: what is cut off at its objective
+          would be done twice over the whole fleet, to earn what the late answer would have earned;
+        - where a further dispatch is not allowed.
+        """
+        query_class = self.query_classes[batch.query_class]
+        runs_on = self.allows_copies or not self.can_cancel
+        late_answers_count = self.share_in_batches < 1.0 and query_class.late_share
+        if runs_on or late_answers_count or query_class.repeat is it.Idempotency.NON_IDEMPOTENT:
             return 0.0
-        if b.dispatches + 1 >= self.most[b.group]:
+        if batch.dispatch_count + 1 >= self.max_dispatches[batch.query_class]:
             return 0.0
-        # Where a late answer earns too, one that only runs long must not be cut off for a swallowed one.
-        left = b.goal_at - self.now - (0.0 if t.late_share else self.needs(b))
-        return max(left, 4 * b.run * max(self.pace_now(b.group), 1.0))
-
-    def upkeep(self) -> None:
-        if self.asks and self.now - self.asked_at > self.ask_within / 2:
-            self.asked_at = self.now
+        # Where a late answer has value too, one that only runs long must not be cut off as if it were lost.
+        reserved = 0.0 if query_class.late_share else self.expected_run_time(batch)
+        left = batch.objective_at - self.now - reserved
+        return max(left, 4 * batch.run_time * max(self.slowdown_of_class(batch.query_class), 1.0))
+
+    def request_wake_up(self) -> None:
+        """Ask for the list of engines when it is due, and for a timer while batches are queued."""
+        if self.requests_list and self.now - self.list_requested_at > self.list_interval / 2:
+            self.list_requested_at = self.now
             self.actions += [it.FollowList(), it.AskList()]
-        held = [q[0].goal_at for q in self.queues if q]
-        if held:
-            # Risk: a client with little time left is lost between two looks at what is held.
-            due = self.now + min(10 * self.tick, max(min(held) - self.now, self.tick))
-            # Half a tick's grace, as a carrier rounds the delay and may come a moment early.
-            if due < self.alarm or self.now >= self.alarm - self.tick / 2:
-                self.alarm = due
+        objectives = [queue[0].objective_at for queue in self.queues if queue]
+        if objectives:
+            # Ten ticks at most: a batch with little time left would be lost between two looks at the queues.
+            until_objective = max(min(objectives) - self.now, self.tick)
+            due = self.now + min(10 * self.tick, until_objective)
+            # Half a tick of tolerance, as a carrier rounds the delay and may come a moment early.
+            if due < self.timer_at or self.now >= self.timer_at - self.tick / 2:
+                self.timer_at = due
                 self.actions.append(it.Timer(due - self.now, 0))
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -226,7 +226,7 @@
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
                     keeper.put("listed", engine, record(entry, roll.serial, at))
-        learnt, at = self.parts.desk.front.recall(clock.now()), moment()
+        learnt, at = self.parts.desk.front.learned_state(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
