--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -83,7 +83,7 @@
         self.drain_first(False)
         found["change_ms"] = self.tell_list(3, it.ListKind.CHANGES)
         found["query_new_tables_ms"] = self.tell(query(2))
-        found["query_ms"] = self.tell(query(3)._replace(tables=2.0))
+        found["query_ms"] = self.tell(query(3)._replace(table_group=2.0))
         return found
 
 
--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -97,9 +97,9 @@
         """Record a batch received now, with its estimated work (thread-seconds) and memory (MB)."""
         self.id = received.batch
         # The index of its query class.
-        self.query_class = received.group
+        self.query_class = received.query_class
         self.key = received.key
-        self.table_group = received.tables
+        self.table_group = received.table_group
         self.width = query_class.width
         self.work = work
         self.memory = memory
@@ -455,7 +455,7 @@
 
     def batch_received(self, received: it.BatchReceived) -> None:
         """Estimate the batch's cost, start its task, and queue it."""
-        index = received.group
+        index = received.query_class
         query_class = self.query_classes[index]
         work = self.typical_work[index]
         if received.work:
@@ -470,7 +470,7 @@
             batch.key_queue = self.key_queues.setdefault(batch.key, batch.key_queue)
             batch.key_queue.append(batch)
         batch.task = self.run_batch(batch)
-        engine = self.engine_index.get(received.out_at)
+        engine = self.engine_index.get(received.running_on)
         if engine is None:
             self.advance(batch, None)
         else:
@@ -478,7 +478,7 @@
             # after it is a further dispatch.
             next(batch.task)
             self.advance(batch, engine)
-            batch.possible_runs[0] = (0, engine, self.now - received.out_for)
+            batch.possible_runs[0] = (0, engine, self.now - received.running_for)
 
     def dispatch_ended(self, ended: it.DispatchEnded) -> None:
         """Learn from a dispatch's outcome about the engine and the query class, and advance its batch."""
@@ -636,11 +636,11 @@
             self.engine_slowdowns[index] = slowdown
             self.engine_slowdowns_at[index] = self.now
             self.started_at[index] = max(self.started_at[index], started or LONG_AGO)
-        for key, left in learned.keys:
+        for key, left in learned.cooldowns:
             self.key_cooldowns[key] = max(self.now + left, self.key_cooldowns.get(key, 0.0))
         # The retry budget's window continues across a restart: what was spent in it stays spent.
-        self.received_times.extendleft(self.now - ago for ago in reversed(learned.took))
-        self.retry_times.extendleft(self.now - ago for ago in reversed(learned.extra))
+        self.received_times.extendleft(self.now - ago for ago in reversed(learned.received_ago))
+        self.retry_times.extendleft(self.now - ago for ago in reversed(learned.retried_ago))
 
     def probe_ended(self, ended: it.ProbeEnded) -> None:
         """Learn from a probe's outcome and report about its engine."""
--- a/thistlelever/carrier/recollection.py
+++ b/thistlelever/carrier/recollection.py
@@ -20,7 +20,7 @@
     anew."""
     if roll.listed(engine):
         batch.under[0] = name
-        batch.taken = batch.taken._replace(out_at=engine, out_for=ran_for)
+        batch.taken = batch.taken._replace(running_on=engine, running_for=ran_for)
         return True
     dropped = (
         query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.ALL
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -232,11 +232,11 @@
                 # A moment of the front's own clock means nothing to another life.
                 kept_start = started and at.wall - (clock.now() - started)
                 keeper.put("learnt", engine, Learnt(engine, bound, pace, kept_start, at))
-        for key, left in learnt.keys:
+        for key, left in learnt.cooldowns:
             # A table's name as a number: longer than any field of numbers.
             keeper.put("rest", b"%x" % key, Rest(f"{key:x}", left, at))
-        if learnt.took or learnt.extra:
-            keeper.put("window", b"window", Window(learnt.took, learnt.extra, at))
+        if learnt.received_ago or learnt.retried_ago:
+            keeper.put("window", b"window", Window(learnt.received_ago, learnt.retried_ago, at))
         self.forget()
 
     def forget(self) -> None:
