--- a/thistlelever/ground/interface.py
+++ b/thistlelever/ground/interface.py
@@ -119,7 +119,7 @@
     # The latency objective is `goal` seconds and `goal_stretch` times the estimated run time.
     goal: float
     goal_stretch: float
-    # The longest time limit that a client may set, in seconds.
+    # The time limit of a batch in seconds; a client may set up to twice as much.
     time_limit: float
     # Whether a batch may run again; with deduplication, which engines drop duplicates, and for how many
     # seconds from the first dispatch.
