--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -1,8 +1,7 @@
-"""Records what passes between the decisions and a simulated tier: `python tests/recorded_stream.py FILE`.
+"""Records events and actions of the decisions in a simulated tier: `python tests/recorded_stream.py FILE`.
 
-The recording is replayed by `test_recorded_stream.py`, so that renaming and moving code can be told from
-changing what it decides. Record anew only with a change that is meant to change decisions, and say so in
-its commit.
+`test_recorded_stream.py` replays the recording, to show that code that was renamed or moved still decides the
+same. Make a new recording only with a change that is meant to change decisions, and say so in its commit.
 """
 
 import gzip
@@ -44,14 +43,14 @@
 
 
 def settings():
-    """Classes that differ in all that the decisions look at, and a bounded number of further attempts."""
-    told = json.loads(json.dumps(SETTINGS))
-    told["Balancers"] = 3
-    return build_settings(SettingsReader(pairs(ConfigNode(told, "settings"))))
+    """Query classes that differ in all that the decisions use, and a limited number of dispatches."""
+    document = json.loads(json.dumps(SETTINGS))
+    document["Balancers"] = 3
+    return build_settings(SettingsReader(pairs(ConfigNode(document, "settings"))))
 
 
 def plain(value):
-    """A value as JSON has it; bytes and infinity told apart from text."""
+    """A value as JSON has it; bytes and infinity are objects, to differ from text."""
     if isinstance(value, bytes):
         return {"bytes": value.decode("latin-1")}
     if isinstance(value, Enum):
@@ -64,26 +63,26 @@
 
 
 def numbered(kinds, item):
-    """The place of a type among its kinds, and the fields."""
+    """The index of the item's type in `kinds`, and its fields."""
     return [kinds.index(type(item)), *(plain(field) for field in item)]
 
 
 class Tier:
-    """Clients and engines that behave by the seed alone."""
+    """Clients and engines, simulated by the seed alone."""
 
     def __init__(self):
         self.front, self.now, self.number = Front(settings(), SEED), 100.0, 0
         self.due, self.draws, self.serial = [], 0, 1
 
-    def chance(self):
+    def random(self):
         self.draws += 1
         return crc32(b"%d recorded %d" % (SEED, self.draws)) / 2**32
 
     def engines(self):
-        """The list, of which some engines drain, are started anew or are away at times."""
+        """The list of engines: at times some are draining, restarted or missing."""
         found = []
         for place in range(ENGINES):
-            draw = self.chance()
+            draw = self.random()
             if draw < 0.05:
                 continue
             state = it.EngineState.DRAINING if draw < 0.12 else it.EngineState.READY
@@ -91,35 +90,35 @@
             found.append(it.Engine(b"engine-%d" % place, place % 2, place % 3, 0, state, started, 4.0))
         return it.EngineListReceived(it.ListKind.WHOLE, self.serial, tuple(found))
 
-    def taken(self):
+    def batch(self):
         self.number += 1
-        group, work = int(self.chance() * 3), 0.05 + self.chance()
-        told = it.BatchReceived(
-            self.number, group, 0, 0, 4.0, work, 8.0, float(int(self.chance() * 5)), False
+        query_class, work = int(self.random() * 3), 0.05 + self.random()
+        received = it.BatchReceived(
+            self.number, query_class, 0, 0, 4.0, work, 8.0, float(int(self.random() * 5)), False
         )
-        if self.chance() < 0.03:
-            self.later(self.chance(), it.ClientLeft(self.number))
-        return told
+        if self.random() < 0.03:
+            self.schedule(self.random(), it.ClientLeft(self.number))
+        return received
 
-    def later(self, seconds, event):
+    def schedule(self, seconds, event):
         heapq.heappush(self.due, (self.now + seconds, self.draws, event))
 
-    def carry(self, action):
-        """What an engine does with what it is sent."""
+    def carry_out(self, action):
+        """Schedule the events that follow from an action."""
         if type(action) is it.Dispatch:
-            self.attempt(action)
+            self.run_dispatch(action)
         elif type(action) is it.Probe:
-            self.later(
-                0.02, it.ProbeEnded(action.engine, it.DispatchOutcome.RETURNED, 0.02, (2.0, self.chance()))
+            self.schedule(
+                0.02, it.ProbeEnded(action.engine, it.DispatchOutcome.RETURNED, 0.02, (2.0, self.random()))
             )
         elif type(action) is it.Timer:
-            self.later(action.delay, it.TimerDue(action.token))
+            self.schedule(action.delay, it.TimerDue(action.token))
 
-    def attempt(self, action):
+    def run_dispatch(self, action):
         number = next(
             n
-            for n, sent in self.front.open_batches[action.batch].open_dispatches.items()
-            if sent.sent_at == self.now
+            for n, dispatch in self.front.open_batches[action.batch].open_dispatches.items()
+            if dispatch.sent_at == self.now
         )
         outcomes = (it.DispatchOutcome.RETURNED,) * 12 + (
             it.DispatchOutcome.FULL,
@@ -128,19 +127,19 @@
             it.DispatchOutcome.ERRORED,
             it.DispatchOutcome.TIMED_OUT,
         )
-        outcome, took = outcomes[int(self.chance() * len(outcomes))], 0.02 + 0.4 * self.chance()
-        report = (float(int(8 * self.chance())), 1.2 * self.chance())
+        outcome, took = outcomes[int(self.random() * len(outcomes))], 0.02 + 0.4 * self.random()
+        report = (float(int(8 * self.random())), 1.2 * self.random())
         complete = outcome is it.DispatchOutcome.RETURNED
         end = it.DispatchEnded(action.batch, number, action.engine, outcome, took, complete, 0.3, 9.0, report)
-        if self.chance() < 0.1:
+        if self.random() < 0.1:
             note = it.ProgressNote(
-                action.batch, number, action.engine, it.ProgressKind.PROGRESS, self.chance()
+                action.batch, number, action.engine, it.ProgressKind.PROGRESS, self.random()
             )
-            self.later(took / 2, note)
-        self.later(took, end)
+            self.schedule(took / 2, note)
+        self.schedule(took, end)
 
     def events(self):
-        """All that has happened by now."""
+        """All events that are due by now."""
         found = []
         while self.due and self.due[0][0] <= self.now:
             event = heapq.heappop(self.due)[2]
@@ -153,24 +152,24 @@
         return found
 
     def step(self, place):
-        self.now = round(self.now + 0.02 * self.chance(), 6)
+        self.now = round(self.now + 0.02 * self.random(), 6)
         events = self.events()
         if place % 200 == 0:
             self.serial += 1
             events.append(self.engines())
         if place % 700 == 600:
             events.append(it.FrontCountChanged(2 + place % 3))
-        if self.chance() < 0.8:
-            events.append(self.taken())
+        if self.random() < 0.8:
+            events.append(self.batch())
         actions = self.front.handle(self.now, events)
-        told = [numbered(EVENTS, event) for event in events]
+        recorded_events = [numbered(EVENTS, event) for event in events]
         for action in actions:
-            self.carry(action)
-        return [self.now, told, [numbered(ACTIONS, action) for action in actions]]
+            self.carry_out(action)
+        return [self.now, recorded_events, [numbered(ACTIONS, action) for action in actions]]
 
 
 def record():
-    """Each step: the moment, the events told, the actions that came back."""
+    """Each step: its moment, the events handed in, the actions returned."""
     tier = Tier()
     return [tier.step(place) for place in range(STEPS)]
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,9 @@
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import Link, Links, Refused, Unreached
 
-REFERENCED = GROUP._replace(repeat=it.Idempotency.DEDUPLICATED, window=1.5, time_limit=30.0, goal=20.0)
+DEDUPLICATED_GROUP = GROUP._replace(
+    repeat=it.Idempotency.DEDUPLICATED, window=1.5, time_limit=30.0, goal=20.0
+)
 
 
 def dispatches(group, allowance=None):
@@ -43,8 +45,8 @@
 
 
 def test_all_that_goes_out_of_a_referenced_batch_begins_within_the_window_of_the_first():
-    # Risk: the carrier takes time to send; the window ends meanwhile (`Front.begin_by`).
-    assert [d.begin_by for d in dispatches(REFERENCED)] == [11.5, 11.5]
+    # The carrier takes time to send, and the window may end meanwhile (`Front.latest_send_time`).
+    assert [d.begin_by for d in dispatches(DEDUPLICATED_GROUP)] == [11.5, 11.5]
 
 
 def test_a_repeatable_batch_may_begin_at_any_time():
@@ -58,7 +60,7 @@
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
-    # Risk: the engine runs on, and the next dispatch is a second copy (`Front.dispatch_timeout`).
+    # The engine would run on, and the next dispatch would be a second copy (`Front.dispatch_timeout`).
     front = Front(SETTINGS._replace(tariffs=(GROUP,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
@@ -72,7 +74,7 @@
 
 
 def down_after(*outcomes):
-    """Whether an engine counts as one that was down after these ends, one after the other."""
+    """Whether an engine counts as down after these outcomes in a row."""
     front = Front(SETTINGS._replace(tariffs=(GROUP,), most_dispatches=99), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     front.handle(10.0, [it.EngineListReceived(it.ListKind.CACHED, 1, engines)])
@@ -82,8 +84,8 @@
 
 
 def test_one_connection_that_comes_up_late_is_no_engine_that_was_down():
-    # Risk: on a day on which a third of all connections come up late every engine counts as cold, and the
-    # fleet carries a third of its work (`Front.apply_outcome`).
+    # With a third of all connections late every engine would count as cold, and the fleet would carry a third
+    # of its work (`Front.apply_outcome`).
     assert not down_after(it.DispatchOutcome.LATE)
     assert not down_after(*[it.DispatchOutcome.LATE, it.DispatchOutcome.RETURNED] * 9)
 
--- a/tests/test_recorded_stream.py
+++ b/tests/test_recorded_stream.py
@@ -1,4 +1,4 @@
-"""A recorded stream of events, told to the decisions again, brings the same actions."""
+"""The decisions return the same actions for a recorded stream of events."""
 
 import gzip
 import json
@@ -13,28 +13,30 @@
 
 
 def value(field):
-    """A field as it was told."""
+    """A field as it was before it was recorded."""
     if isinstance(field, dict):
         return field["bytes"].encode("latin-1") if "bytes" in field else float(field["float"])
     return tuple(map(value, field)) if isinstance(field, list) else field
 
 
 def engine(fields):
-    known = it.Engine(*fields)
-    return known._replace(state=it.EngineState(known.state))
+    entry = it.Engine(*fields)
+    return entry._replace(state=it.EngineState(entry.state))
 
 
-def event(place, *fields):
-    """An event as it was told, enums included."""
-    kind = EVENTS[place]
-    told = kind(*map(value, fields))
-    if kind in (it.DispatchEnded, it.ProbeEnded):
-        return told._replace(outcome=it.DispatchOutcome(told.outcome))
-    if kind is it.ProgressNote:
-        return told._replace(kind=it.ProgressKind(told.kind))
-    if kind is it.EngineListReceived:
-        return told._replace(kind=it.ListKind(told.kind), engines=tuple(map(engine, told.engines)))
-    return told
+def event(index, *fields):
+    """An event as it was before it was recorded, enums included."""
+    event_type = EVENTS[index]
+    recorded = event_type(*map(value, fields))
+    if event_type in (it.DispatchEnded, it.ProbeEnded):
+        return recorded._replace(outcome=it.DispatchOutcome(recorded.outcome))
+    if event_type is it.ProgressNote:
+        return recorded._replace(kind=it.ProgressKind(recorded.kind))
+    if event_type is it.EngineListReceived:
+        return recorded._replace(
+            kind=it.ListKind(recorded.kind), engines=tuple(map(engine, recorded.engines))
+        )
+    return recorded
 
 
 def test_the_same_events_bring_the_same_actions():
@@ -42,7 +44,7 @@
         steps = json.load(file)
     front, kinds = Front(settings(), SEED), set()
     for place, (now, events, wanted) in enumerate(steps):
-        actions = front.handle(now, [event(*told) for told in events])
+        actions = front.handle(now, [event(*recorded) for recorded in events])
         found = json.loads(json.dumps([numbered(ACTIONS, action) for action in actions]))
         assert found == wanted, f"step {place} at {now}"
         kinds |= {action[0] for action in wanted}
--- a/tests/test_subset_decisions.py
+++ b/tests/test_subset_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of fronts that hold some of the engines, and are told how many fronts may reach each of them."""
+"""Decisions of fronts that know a subset of the engines, and how many fronts may send to each of them."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
     return it.EngineListReceived(kind, 1, engines if kind is not it.ListKind.FAILED else (), fronts)
 
 
-def taken(number: int) -> it.BatchReceived:
+def received(number: int) -> it.BatchReceived:
     return it.BatchReceived(number, 0, 0, 0, 10.0, WORK, 0.0, float(number % 500), False)
 
 
 class Tier:
-    """Fronts that all send to the same engines, each without a word to the others."""
+    """Fronts that all send to the same engines, without communicating."""
 
-    def __init__(self, fronts: int, told: it.EngineListReceived) -> None:
+    def __init__(self, fronts: int, engine_list: it.EngineListReceived) -> None:
         self.now = 1000.0
         self.fronts = [Front(settings(), seed) for seed in range(fronts)]
         self.out: list[dict[tuple[int, int], tuple[bytes, float]]] = [{} for _ in self.fronts]
@@ -53,21 +53,21 @@
         self.sent: list[float] = []
         self.numbers = 0
         for place in range(fronts):
-            self.tell(place, [told])
+            self.handle(place, [engine_list])
 
-    def tell(self, place: int, events: list[it.Event]) -> None:
+    def handle(self, place: int, events: list[it.Event]) -> None:
         for action in self.fronts[place].handle(self.now, events):
             if type(action) is it.Dispatch:
-                number = self.numbers_of(place, action.batch)
+                number = self.last_number(place, action.batch)
                 self.out[place][action.batch, number] = (action.engine, self.now)
                 if action.engine == COLD:
                     self.sent.append(self.now)
 
-    def numbers_of(self, place: int, batch: int) -> int:
+    def last_number(self, place: int, batch: int) -> int:
         return self.fronts[place].open_batches[batch].dispatch_count - 1
 
     def play(self, seconds: float, batches: int) -> None:
-        """Each front takes so many batches at each tick, and each batch runs for its work."""
+        """Each front receives so many batches at each tick, and each batch runs for its work."""
         for _ in range(round(seconds / TICK)):
             self.now += TICK
             for place, out in enumerate(self.out):
@@ -79,19 +79,19 @@
                         events.append(
                             it.DispatchEnded(batch, number, name, outcome, WORK, True, WORK, 0.0, report)
                         )
-                events += [taken(self.numbers + number) for number in range(1, batches + 1)]
+                events += [received(self.numbers + number) for number in range(1, batches + 1)]
                 self.numbers += batches
-                self.tell(place, events)
+                self.handle(place, events)
 
     def most_in_window(self) -> float:
-        """The most work that went to the cold engine in any window."""
+        """The most work that was sent to the cold engine in any window."""
         return (
             max((sum(at - WINDOW < past <= at for past in self.sent) for at in self.sent), default=0) * WORK
         )
 
 
 def budget(now: float) -> float:
-    """Rule 4: what all fronts together may send a cold engine in a window."""
+    """The work that all fronts together may send a cold engine in a window."""
     warmth = COLD_SHARE + (1 - COLD_SHARE) * (now - 1000.0) / WARM_AFTER
     return MULTIPLE * BUSY_THRESHOLD * WINDOW * warmth * CORES
 
@@ -103,14 +103,14 @@
 
 
 def test_told_nothing_the_same_fronts_send_it_all_fronts_shares():
-    """What the count is for: as 64 of 3,200 they send it next to nothing."""
+    """Without the count the 64 fronts act as 64 of 3,200, and send the engine almost nothing."""
     tier = Tier(SHARING, listing(0))
     tier.play(6.0, 4)
     assert tier.most_in_window() <= budget(tier.now) * SHARING / FRONTS + WORK
 
 
 def test_one_front_that_counts_with_too_few_is_caught():
-    """Sabotage: were the fronts told of 8 that reach it, 64 would push it over."""
+    """Sabotage: with a count of 8 the 64 fronts exceed the engine's budget."""
     tier = Tier(SHARING, listing(8))
     tier.play(6.0, 4)
     assert tier.most_in_window() > budget(tier.now)
@@ -120,7 +120,7 @@
     return front.sharing_fronts, front.load_multiplier, front.share_in_batches, front.cold_share
 
 
-def told(*events: it.Event) -> Front:
+def front_after(*events: it.Event) -> Front:
     front = Front(settings(), 1)
     for event in events:
         front.handle(1000.0, [event])
@@ -129,26 +129,30 @@
 
 @pytest.mark.parametrize("living", [5000, FRONTS, 400, SHARING])
 def test_living_fronts_never_raise_the_count_nor_loosen_the_cold_budget(living):
-    alone = figures(told(listing(SHARING)))
+    alone = figures(front_after(listing(SHARING)))
     assert alone[0] == SHARING
-    assert figures(told(listing(SHARING), it.FrontCountChanged(living))) == alone
-    assert figures(told(it.FrontCountChanged(living), listing(SHARING))) == alone
+    assert figures(front_after(listing(SHARING), it.FrontCountChanged(living))) == alone
+    assert figures(front_after(it.FrontCountChanged(living), listing(SHARING))) == alone
 
 
 def test_fewer_living_fronts_share_what_is_left_but_not_the_cold_budget():
-    few, alone = told(listing(SHARING), it.FrontCountChanged(10)), told(listing(SHARING))
+    few, alone = front_after(listing(SHARING), it.FrontCountChanged(10)), front_after(listing(SHARING))
     assert few.sharing_fronts == 10
-    assert few.cold_share == alone.cold_share == told(listing(SHARING), it.FrontCountChanged(1)).cold_share
+    assert (
+        few.cold_share
+        == alone.cold_share
+        == front_after(listing(SHARING), it.FrontCountChanged(1)).cold_share
+    )
 
 
 def test_a_list_without_a_count_means_all_fronts_again_and_a_failed_one_says_nothing():
-    assert figures(told(listing(SHARING), listing(0))) == figures(told())
+    assert figures(front_after(listing(SHARING), listing(0))) == figures(front_after())
     failed = listing(0, it.ListKind.FAILED)
-    assert figures(told(listing(SHARING), failed)) == figures(told(listing(SHARING)))
+    assert figures(front_after(listing(SHARING), failed)) == figures(front_after(listing(SHARING)))
     changes = listing(128, it.ListKind.CHANGES)
-    assert told(listing(SHARING), changes).sharing_fronts == 128
+    assert front_after(listing(SHARING), changes).sharing_fronts == 128
 
 
 def test_a_first_list_gives_each_engine_a_bound_by_its_own_count():
-    front = told(listing(SHARING))
+    front = front_after(listing(SHARING))
     assert {front.concurrency_limits[i] for i in front.engine_index.values()} == {CORES * 2.0 / SHARING}
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter against the wire's own examples and against input that is not what it should be."""
+"""The adapter of the binary protocol: the examples of its specification, and malformed input."""
 
 import io
 import struct
@@ -21,8 +21,13 @@
 def test_events_read_as_written():
     returned = "78 0300 c4913a5d374f0400 00 0a124a07431f 01 44480000 01 60100100 03 0000e04052b81e3f0000a03f"
     events = codec.Reader().frame(2, bytes.fromhex(SUBMIT + returned))
-    taken, ended = (event for _, event in events)
-    assert (taken.time_limit, taken.work, taken.memory, taken.table_group) == (0.24, 0.012, 384.0, 11.0)
+    received, ended = (event for _, event in events)
+    assert (received.time_limit, received.work, received.memory, received.table_group) == (
+        0.24,
+        0.012,
+        384.0,
+        11.0,
+    )
     assert (ended.outcome, ended.complete, ended.true_memory) == (it.DispatchOutcome.RETURNED, True, 384.0)
     assert ended.report[0] == 7.0 and len(ended.report) == 3
 
--- a/thistlelever/admission/__init__.py
+++ b/thistlelever/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and the types that they are told and asked through."""
+"""The decisions of a front on dispatching batches."""
--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -96,8 +96,7 @@
     ) -> None:
         """Record a batch received now, with its estimated work (thread-seconds) and memory (MB)."""
         self.id = received.batch
-        # The index of its query class.
-        self.query_class = received.query_class
+        self.class_index = received.query_class
         self.key = received.key
         self.table_group = received.table_group
         self.width = query_class.width
@@ -138,8 +137,9 @@
 class Front:
     """The decisions of one front, made from its own events alone.
 
-    An engine has a dense index, its place in all of the lists that `init_engine_columns` makes. A query
-    class has an index too, its place in `settings.tariffs`.
+    An engine has a dense index, its place in all of the lists that `init_engine_columns` makes: a variable
+    `engine` holds that index, but for those of the list of engines. A query class has an index too, its
+    place in `settings.tariffs`.
     """
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
@@ -194,7 +194,7 @@
         self.top_class = max(range(len(classes)), key=lambda index: classes[index].utility)
         top_value = classes[self.top_class].utility
         values = sorted({one.utility for one in classes}, reverse=True)
-        # Priorities that engines understand: 3 for the highest value, 0 the lowest.
+        # Priorities for engines: 3 for the highest value, one less for each lower value, at least 0.
         self.class_priorities = [max(3 - values.index(one.utility), 0) for one in classes]
         # The m of each class's (m,k)-firm guarantee. The paper wants that of the top class distinctly above
         # the others': all of its last k batches in time, half of them for a class without value.
@@ -348,8 +348,8 @@
         """The task of one batch, up to its final answer.
 
         It yields ENQUEUE (send it an engine's index, or None to give up), an engine's index (dispatch
-        there), WAIT (send it the next event of this batch) or an action. It returns once the batch has its
-        whole result.
+        there), WAIT (send it the next event of this batch) or an action. It returns once an event
+        completes the batch.
         """
         while True:
             engine = yield ENQUEUE
@@ -372,13 +372,13 @@
         try:
             request = batch.task.send(event)
         except StopIteration:
-            # A result that broke off on its way to the client counts as an answer in time.
+            # A result that broke off on its way to the client completes the batch as well, but is no success.
             in_time = event.outcome is it.DispatchOutcome.RETURNED and self.now <= batch.objective_at
             self.finish(batch, in_time)
             return
         if request is ENQUEUE:
             batch.queued = True
-            insort(self.queues[batch.query_class], batch)
+            insort(self.queues[batch.class_index], batch)
         elif type(request) is int:
             self.dispatch(batch, request)
         elif request is not WAIT:
@@ -391,12 +391,12 @@
         batch.answered = True
         self.open_batches.pop(batch.id, None)
         if in_time is not None:
-            self.success_history[batch.query_class].append(int(in_time))
+            self.success_history[batch.class_index].append(int(in_time))
         self.release_key(batch)
 
     def final_refusal(self, batch: Batch) -> it.Action:
         """Push-back if the client may safely submit the batch again, else an error."""
-        query_class = self.query_classes[batch.query_class]
+        query_class = self.query_classes[batch.class_index]
         dropped_everywhere = (
             query_class.repeat is it.Idempotency.DEDUPLICATED
             and query_class.scope is it.DeduplicationScope.ALL
@@ -410,7 +410,7 @@
 
     def may_retry(self, batch: Batch) -> bool:
         """Whether a further dispatch is allowed, affordable, and could end within the time limit."""
-        if batch.dispatch_count >= self.max_dispatches[batch.query_class]:
+        if batch.dispatch_count >= self.max_dispatches[batch.class_index]:
             return False
         if self.now + batch.run_time >= batch.limit_at:
             return False
@@ -418,7 +418,7 @@
             return False
         return (
             not batch.possible_runs
-            or self.query_classes[batch.query_class].repeat is not it.Idempotency.NON_IDEMPOTENT
+            or self.query_classes[batch.class_index].repeat is not it.Idempotency.NON_IDEMPOTENT
         )
 
     def within_retry_budget(self, batch: Batch) -> bool:
@@ -433,9 +433,9 @@
         oldest_received = self.now - window
         while self.received_times and self.received_times[0] <= oldest_received:
             self.received_times.popleft()
-        return not batch.dispatch_count or len(self.retry_times) + 1 <= floor + share * len(
-            self.received_times
-        )
+        if not batch.dispatch_count:
+            return True
+        return len(self.retry_times) + 1 <= floor + share * len(self.received_times)
 
     def is_straggling(self, batch: Batch, note: it.ProgressNote) -> bool:
         """Whether the rest of this dispatch would outlast a new one, and a new one is allowed.
@@ -443,7 +443,7 @@
         This finds bad query plans. A slow engine is told apart by comparison: a dispatch at the same pace
         as the engine's others has no bad plan.
         """
-        idempotent = self.query_classes[batch.query_class].repeat is it.Idempotency.IDEMPOTENT
+        idempotent = self.query_classes[batch.class_index].repeat is it.Idempotency.IDEMPOTENT
         if not (self.can_cancel and idempotent) or note.kind is not it.ProgressKind.PROGRESS:
             return False
         dispatch = self.open_dispatches[batch.id, note.number]
@@ -455,13 +455,13 @@
 
     def batch_received(self, received: it.BatchReceived) -> None:
         """Estimate the batch's cost, start its task, and queue it."""
-        index = received.query_class
-        query_class = self.query_classes[index]
-        work = self.typical_work[index]
+        class_index = received.query_class
+        query_class = self.query_classes[class_index]
+        work = self.typical_work[class_index]
         if received.work:
-            work = received.work * self.work_corrections[index]
-        self.typical_work[index] += EWMA_WEIGHT * (work - self.typical_work[index])
-        memory = received.memory * self.memory_corrections[index]
+            work = received.work * self.work_corrections[class_index]
+        self.typical_work[class_index] += EWMA_WEIGHT * (work - self.typical_work[class_index])
+        memory = received.memory * self.memory_corrections[class_index]
         batch = Batch(received, query_class, self.now, work, memory)
         self.open_batches[batch.id] = batch
         if self.retry_budget:
@@ -508,15 +508,17 @@
     def learn_slowdown(self, dispatch: OpenDispatch, ended: it.DispatchEnded) -> None:
         """Update the slowdown of the query class and of the engine by the time that a dispatch took."""
         batch = dispatch.batch
-        index = batch.query_class
+        class_index = batch.class_index
         if ended.outcome is it.DispatchOutcome.RETURNED or ended.outcome is it.DispatchOutcome.TIMED_OUT:
             # The ratio of two averages: an average of ratios is ruled by batches whose cost was put too low.
             # Time-outs count: on a day when all engines are slow, they are just the dispatches that show it.
-            measured = self.mean_run_times[index] * self.slowdown_of_class(index)
+            measured = self.mean_run_times[class_index] * self.slowdown_of_class(class_index)
             measured += EWMA_WEIGHT * (ended.took - measured)
-            self.mean_run_times[index] += EWMA_WEIGHT * (batch.run_time - self.mean_run_times[index])
-            self.class_slowdowns[index] = measured / self.mean_run_times[index]
-            self.class_slowdowns_at[index] = self.now
+            self.mean_run_times[class_index] += EWMA_WEIGHT * (
+                batch.run_time - self.mean_run_times[class_index]
+            )
+            self.class_slowdowns[class_index] = measured / self.mean_run_times[class_index]
+            self.class_slowdowns_at[class_index] = self.now
             # An engine that loses some of its batches, or fails them at once, looks fast by its answers
             # alone. So a time-out counts with the time that it took, and an error with the latency
             # objective it cost.
@@ -534,11 +536,11 @@
             or not ended.true_work
         ):
             return
-        index = dispatch.batch.query_class
+        class_index = dispatch.batch.class_index
         work_ratio = min(max(ended.true_work / dispatch.work, 0.25), 4.0)
-        self.work_corrections[index] *= 1 + EWMA_WEIGHT / 4 * (work_ratio - 1)
+        self.work_corrections[class_index] *= 1 + EWMA_WEIGHT / 4 * (work_ratio - 1)
         memory_ratio = ended.true_memory * 1.15 / max(dispatch.memory, 1.0)
-        self.memory_corrections[index] *= 1 + EWMA_WEIGHT / 4 * (min(memory_ratio, 2.0) - 1)
+        self.memory_corrections[class_index] *= 1 + EWMA_WEIGHT / 4 * (min(memory_ratio, 2.0) - 1)
 
     def progress_noted(self, note: it.ProgressNote) -> None:
         """Note progress, raise the memory estimate after a spill to disk, and advance the batch."""
@@ -549,7 +551,7 @@
         if note.kind is it.ProgressKind.PROGRESS:
             dispatch.progress = note.value
         elif note.kind is it.ProgressKind.SPILL and dispatch.memory:
-            self.memory_corrections[batch.query_class] *= min(
+            self.memory_corrections[batch.class_index] *= min(
                 1 + EWMA_WEIGHT * note.value / dispatch.memory, 1.1
             )
         if not batch.answered:
@@ -780,14 +782,14 @@
             (self.engine_slowdowns_at[engine] - self.now) / self.decay_time
         )
 
-    def slowdown_of_class(self, index: int) -> float:
+    def slowdown_of_class(self, class_index: int) -> float:
         """Measured over estimated run time of a query class, which decays towards 1 without news.
 
         Without the decay a front that refuses a class for its slowdown would get no news of it, and go on
         refusing it when the engines have long been free.
         """
-        return self.class_slowdowns[index] ** exp(
-            (self.class_slowdowns_at[index] - self.now) / self.decay_time
+        return self.class_slowdowns[class_index] ** exp(
+            (self.class_slowdowns_at[class_index] - self.now) / self.decay_time
         )
 
     def apply_outcome(self, engine: int, outcome: it.DispatchOutcome) -> None:
@@ -885,7 +887,7 @@
             and self.probes
         ):
             return False
-        query_class = self.query_classes[batch.query_class]
+        query_class = self.query_classes[batch.class_index]
         if not self.placement_allows(query_class, engine):
             return False
         if batch.possible_runs and query_class.repeat is it.Idempotency.DEDUPLICATED:
@@ -930,7 +932,7 @@
         threads = sum(
             limit for limit, ready in zip(self.concurrency_limits, self.ready, strict=True) if ready
         )
-        work = batch.work * max(self.slowdown_of_class(batch.query_class), 1.0)
+        work = batch.work * max(self.slowdown_of_class(batch.class_index), 1.0)
         return min(work / max(threads, 1e-9), self.decay_time)
 
     def placement_allows(self, query_class: it.QueryClass, engine: int) -> bool:
@@ -958,7 +960,7 @@
         sent = self.cold_dispatches[engine]
         window = self.cold_window + self.connect_limit
         room = self.cold_share * self.warm_capacity(engine) * self.cores[engine]
-        work = max(self.typical_work[batch.query_class], batch.work)
+        work = max(self.typical_work[batch.class_index], batch.work)
         if work > room:
             if sent:
                 since = sent[-1][0]
@@ -1033,8 +1035,10 @@
         group's order, another zone and an earlier dispatch of this batch there, with random (Gumbel) noise.
         If that engine has no recent report it is probed first, and the batch waits for the reply.
         """
-        is_load = self.query_classes[batch.query_class].holds_tables
+        is_load = self.query_classes[batch.class_index].holds_tables
         free, busy = self.sample_engines(batch, is_load)
+        # Where a share is less than a batch, dispatches are paced, but for those to free engines that do not
+        # page.
         if (
             self.share_in_batches < 1.0
             and not (free and (not self.pacing or not self.engines_page))
@@ -1085,13 +1089,13 @@
 
     # The order of batches.
 
-    def distance_to_failure(self, index: int) -> int:
+    def distance_to_failure(self, class_index: int) -> int:
         """How many more late batches in a row break the class's (m,k)-firm guarantee; 0: it is broken.
 
         This is distance-based priority: the class with the lowest distance is dispatched first.
         """
-        missing = self.required_successes[index]
-        for position, success in enumerate(reversed(self.success_history[index]), 1):
+        missing = self.required_successes[class_index]
+        for position, success in enumerate(reversed(self.success_history[class_index]), 1):
             missing -= success
             if not missing:
                 return HISTORY_LENGTH - position + 1
@@ -1109,15 +1113,15 @@
         may_go = set(range(len(self.queues)))
         while True:
             waiting = sorted(
-                (self.distance_to_failure(index), self.queues[index][0], index)
-                for index in may_go
-                if self.queues[index]
+                (self.distance_to_failure(class_index), self.queues[class_index][0], class_index)
+                for class_index in may_go
+                if self.queues[class_index]
             )
-            for _, _, index in waiting:
-                if self.release_one(index):
+            for _, _, class_index in waiting:
+                if self.release_one(class_index):
                     # A dispatch may change the order of the classes.
                     break
-                may_go.discard(index)
+                may_go.discard(class_index)
             else:
                 return
 
@@ -1138,12 +1142,15 @@
 
         The slowdown is a mean: without the margin too many batches would end late.
         """
-        return 1.5 * batch.run_time * max(self.slowdown_of_class(batch.query_class), 0.5)
+        return 1.5 * batch.run_time * max(self.slowdown_of_class(batch.class_index), 0.5)
 
-    def release_one(self, index: int) -> bool:
-        """Dispatch the first batch of the class's queue that can go; whether there was one."""
-        for batch in self.queues[index]:
-            if self.is_key_blocked(batch) or (index, batch.table_group) in self.table_conflicts:
+    def release_one(self, class_index: int) -> bool:
+        """Take the first batch that can go out of the class's queue; whether there was one.
+
+        It is dispatched, or refused if the retry budget has been spent since it was queued.
+        """
+        for batch in self.queues[class_index]:
+            if self.is_key_blocked(batch) or (class_index, batch.table_group) in self.table_conflicts:
                 continue
             engine = self.choose_engine(batch)
             if engine is None:
@@ -1155,30 +1162,29 @@
             if self.conflicts_with_load(batch, engine):
                 # To choose an engine for each of hundreds behind one table group at each event takes a
                 # whole core.
-                self.table_conflicts.add((index, batch.table_group))
+                self.table_conflicts.add((class_index, batch.table_group))
                 continue
             if not self.spares_top_class(batch, engine):
                 return False
             self.dequeue(batch)
-            # The retry budget that it had when it was queued may have been spent since.
             self.advance(batch, engine if self.within_retry_budget(batch) else None)
             return True
         return False
 
     def conflicts_with_load(self, batch: Batch, engine: int) -> bool:
         """Whether a load of its table group that this front has open there must end first."""
-        query_class = self.query_classes[batch.query_class]
+        query_class = self.query_classes[batch.class_index]
         if not (query_class.holds_tables or query_class.yields_to_loads):
             return False
         return any(
             dispatch.batch.table_group == batch.table_group
-            and self.query_classes[dispatch.batch.query_class].holds_tables
+            and self.query_classes[dispatch.batch.class_index].holds_tables
             for dispatch in self.engine_dispatches[engine].values()
         )
 
     def spares_top_class(self, batch: Batch, engine: int) -> bool:
         """Whether the batch would end before the first queued batch of the top class must begin there."""
-        if batch.query_class == self.top_class or not self.queues[self.top_class]:
+        if batch.class_index == self.top_class or not self.queues[self.top_class]:
             return True
         head = next((one for one in self.queues[self.top_class] if not self.is_key_blocked(one)), None)
         if head is None or not self.placement_allows(self.query_classes[self.top_class], engine):
@@ -1214,7 +1220,7 @@
         """Take the batch out of its queue, if it is there."""
         if batch.queued:
             batch.queued = False
-            queue = self.queues[batch.query_class]
+            queue = self.queues[batch.class_index]
             del queue[bisect_left(queue, batch)]
 
     # The terms of a dispatch.
@@ -1228,7 +1234,7 @@
         if self.grants_memory:
             grant = min(batch.memory, self.max_grant * self.engine_memory[engine])
         if not batch.dispatch_count and (self.grants_memory or self.sets_priorities):
-            self.actions.append(it.Terms(batch.id, grant, self.class_priorities[batch.query_class]))
+            self.actions.append(it.Terms(batch.id, grant, self.class_priorities[batch.class_index]))
         self.actions.append(
             it.Dispatch(
                 batch.id,
@@ -1248,7 +1254,7 @@
         if self.pacing:
             self.next_dispatch_at = self.now + self.pacing_interval(batch)
         if self.warm_capacity(engine) < 1.0:
-            work = max(self.typical_work[batch.query_class], batch.work)
+            work = max(self.typical_work[batch.class_index], batch.work)
             self.cold_dispatches[engine].append((self.now, work))
         if self.backoffs[engine]:
             # A suspected engine gets one trial at a time, not all that is queued.
@@ -1261,7 +1267,7 @@
         that is made late passes that. What is sent again later than the connect limit may have arrived
         whole the first time: with a retry budget it would be a further dispatch that is not counted.
         """
-        query_class = self.query_classes[batch.query_class]
+        query_class = self.query_classes[batch.class_index]
         latest = inf
         if query_class.repeat is it.Idempotency.DEDUPLICATED:
             first = batch.possible_runs[0][2] if batch.possible_runs else self.now
@@ -1281,17 +1287,17 @@
           would be done twice over the whole fleet, to earn what the late answer would have earned;
         - where a further dispatch is not allowed.
         """
-        query_class = self.query_classes[batch.query_class]
+        query_class = self.query_classes[batch.class_index]
         runs_on = self.allows_copies or not self.can_cancel
         late_answers_count = self.share_in_batches < 1.0 and query_class.late_share
         if runs_on or late_answers_count or query_class.repeat is it.Idempotency.NON_IDEMPOTENT:
             return 0.0
-        if batch.dispatch_count + 1 >= self.max_dispatches[batch.query_class]:
+        if batch.dispatch_count + 1 >= self.max_dispatches[batch.class_index]:
             return 0.0
         # Where a late answer has value too, one that only runs long must not be cut off as if it were lost.
         reserved = 0.0 if query_class.late_share else self.expected_run_time(batch)
         left = batch.objective_at - self.now - reserved
-        return max(left, 4 * batch.run_time * max(self.slowdown_of_class(batch.query_class), 1.0))
+        return max(left, 4 * batch.run_time * max(self.slowdown_of_class(batch.class_index), 1.0))
 
     def request_wake_up(self) -> None:
         """Ask for the list of engines when it is due, and for a timer while batches are queued."""
