--- a/thistlelever/budgets/plan.py
+++ b/thistlelever/budgets/plan.py
@@ -1,18 +1,22 @@
-"""The tree of budgets as operators write it, checked: platform, brokers, teams, service groups."""
+"""The budget tree as operators configure it, validated: platform, brokers, teams, query classes."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
+# The broker of all teams that no broker lists.
+OTHER = "other"
+
 
 class PlanError(Exception):
-    """The tree can't be kept; the path of the node at fault and why."""
+    """The configured tree is invalid. The message names the path of the node and the reason."""
 
 
 class Share(NamedTuple):
-    """What a node of the tree has. Guarantee and ceiling are shares of what all engines carry for this front;
-    the burst is work, in core-seconds, that a node which was idle may have before others' turns."""
+    """The budget of one node. Guarantee and ceiling are fractions, from 0 to 1, of the threads that all
+    engines carry for this front; the burst is work, in core-seconds, that a node which was idle may release
+    ahead of its turn; the weight is relative to its siblings."""
 
     guarantee: float = 0.0
     ceiling: float = 1.0
@@ -20,52 +24,49 @@
     weight: float = 1.0
 
 
-class Branch(NamedTuple):
-    """A node with those below it by name."""
+class PlanNode(NamedTuple):
+    """A configured node with its children by name."""
 
     share: Share
-    below: dict[str, Branch]
+    children: dict[str, PlanNode]
 
 
 class Plan:
-    """Where each team stands. A team that no broker names is one of `other`, each for itself below it."""
+    """The configured tree. A team that no broker lists is a child of `other`, with the default share."""
 
-    def __init__(self, brokers: dict[str, Branch], other: Share) -> None:
-        """The tree of these brokers and their teams; `PlanError` where it can't be kept."""
+    def __init__(self, brokers: dict[str, PlanNode], other: Share) -> None:
+        """Build the tree of these brokers, whose children are teams and theirs query classes. Raises
+        `PlanError` where a team is listed twice or a share is invalid."""
         self.brokers, self.other = brokers, other
         self.broker_of: dict[str, str] = {}
         for name, broker in brokers.items():
-            for team in broker.below:
+            for team in broker.children:
                 if team in self.broker_of:
                     raise PlanError(f"{name}.{team}: also a team of {self.broker_of[team]}")
                 self.broker_of[team] = name
-        sound("", Branch(Share(1.0), brokers | {OTHER: Branch(other, {})}))
+        validate("", PlanNode(Share(1.0), brokers | {OTHER: PlanNode(other, {})}))
 
-    def path(self, team: str, group: str) -> tuple[str, str, str]:
-        """Where a team's service group stands: broker, team, group."""
-        return self.broker_of.get(team, OTHER), team, group
+    def path(self, team: str, query_class: str) -> tuple[str, str, str]:
+        """The names of the nodes of a team's query class: broker, team, query class."""
+        return self.broker_of.get(team, OTHER), team, query_class
 
     def share(self, path: Iterable[str]) -> Share:
-        """The share at a path of names; the plain one where nothing is planned."""
-        below, share = self.brokers, Share()
+        """The share of the node at a path of names; the default share where none is configured."""
+        children, share = self.brokers, Share()
         for depth, name in enumerate(path):
             if depth == 0 and name == OTHER:
-                below, share = {}, self.other
-            elif name in below:
-                below, share = below[name].below, below[name].share
+                children, share = {}, self.other
+            elif name in children:
+                children, share = children[name].children, children[name].share
             else:
-                below, share = {}, Share()
+                children, share = {}, Share()
         return share
 
 
-# Where teams stand that no broker names.
-OTHER = "other"
-
-
-def sound(path: str, branch: Branch) -> None:
-    """Risk: guarantees that add up to more than there is are promises that can't all be kept, and which is
-    broken would hang on who comes first."""
-    share, name = branch.share, path or "the platform"
+def validate(path: str, node: PlanNode) -> None:
+    """Check a node and all below it; raises `PlanError`. The guarantees of siblings must fit into what their
+    parent has: of guarantees that exceed it, which ones are met would depend on the order of arrival."""
+    share, name = node.share, path or "the platform"
     if not 0 <= share.guarantee <= share.ceiling <= 1:
         raise PlanError(
             f"{name}: a guarantee from 0 up to its ceiling, and that up to 1 expected; "
@@ -73,9 +74,11 @@
         )
     if share.weight <= 0 or share.burst < 0:
         raise PlanError(f"{name}: a weight above 0 and a burst from 0 up expected")
-    promised = sum(below.share.guarantee for below in branch.below.values())
-    whole = share.guarantee if share.guarantee else 1.0 if not path else share.ceiling
-    if promised > whole + 1e-9:
-        raise PlanError(f"{name}: the guarantees below it are {promised:g} together, more than its {whole:g}")
-    for key, below in branch.below.items():
-        sound(f"{path}.{key}" if path else key, below)
+    promised = sum(child.share.guarantee for child in node.children.values())
+    available = share.guarantee if share.guarantee else 1.0 if not path else share.ceiling
+    if promised > available + 1e-9:
+        raise PlanError(
+            f"{name}: the guarantees below it are {promised:g} together, more than its {available:g}"
+        )
+    for key, child in node.children.items():
+        validate(f"{path}.{key}" if path else key, child)
