--- a/rigs/capacity.py
+++ b/rigs/capacity.py
@@ -29,7 +29,7 @@
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import GROUP, SETTINGS, configuration
-from thistlelever.store import links
+from thistlelever.store import connections
 from thistlelever.store.bounds import CLIENTS_SHARE, OWN_DESCRIPTORS, bounds
 
 # A front's mean at the size that is coming, and how often it asks the directory.
@@ -252,7 +252,7 @@
     """What follows from the bounds and from the list's size alone, at the size that is coming."""
     engines = slopes.TARGET_ENGINES
     answer = answer_bytes(engines)
-    idle = SETTINGS["Limits"]["Keepalive"] / 1e6 * links.IDLE_SHARE
+    idle = SETTINGS["Limits"]["Keepalive"] / 1e6 * connections.IDLE_SHARE
     linked = engines * (1 - exp(-TARGET_RATE / engines * idle))
     return {
         "dns_answer_bytes": answer,
@@ -261,11 +261,11 @@
         "dns_questions_directory_s": round(ASKS_A_SECOND * slopes.TARGET_FRONTS),
         "changes_a_second": round(CHANGES_A_SECOND, 3),
         "client_connections_by_1024_sockets": bounds(1_024, FRONT_MEMORY_MB).sessions,
-        "engine_connections_by_1024_sockets": bounds(1_024, FRONT_MEMORY_MB).links,
+        "engine_connections_by_1024_sockets": bounds(1_024, FRONT_MEMORY_MB).connections,
         "sockets_for_all_clients": round(TARGET_CONNECTIONS / CLIENTS_SHARE),
         "sockets_for_all_engines": round((engines + OWN_DESCRIPTORS) / (1 - CLIENTS_SHARE)),
         "engines_connected_by_idle_time": round(linked),
-        "engine_connections_buffers_mb": round(linked * links.BUFFER / 1e6),
+        "engine_connections_buffers_mb": round(linked * connections.BUFFER / 1e6),
     }
 
 
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -16,7 +16,7 @@
 
 from rigs.membership_model import measure as play_membership
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.directory import NAME, Inquiry
+from thistlelever.carrier.directory import NAME, DirectoryClient
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
 from thistlelever.ground.metrics import Metrics
@@ -26,7 +26,7 @@
 from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.standins.directory import dns_answer
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire import dns
 
 # A constant is kept where its residual is this small, or where no other form halves it; a line where no bent
@@ -181,19 +181,21 @@
         self.front.handle(self.now, [event])
 
 
-class DirectoryClient:
+class DetachedDirectoryClient:
     """The front's own directory client with its engine list and decisions, without sockets."""
 
     def __init__(self) -> None:
         zones = {"zones": ZONES, "kinds": ("std",), "seed": 1}
-        self.inquiry = Inquiry(Roll(), lambda engine: None, DecisionDesk(), Metrics(), **zones)
+        self.client = DirectoryClient(
+            EngineRegistry(), lambda engine: None, DecisionDesk(), Metrics(), **zones
+        )
         # The second answer that a newer list needs is handed to it by the rig.
-        self.inquiry.ask = lambda by_order: None
+        self.client.ask = lambda by_order: None
 
     def take(self, answer: bytes) -> None:
         number = int.from_bytes(answer[:2], "big")
-        self.inquiry.awaited[number] = number, AnswerTimer()
-        self.inquiry.answered(answer)
+        self.client.awaited[number] = number, AnswerTimer()
+        self.client.answered(answer)
 
 
 def times_played(size: int) -> int:
@@ -210,7 +212,7 @@
     after, confirming = dns_answer(3, 4, another), dns_answer(4, 4, another)
     parsed, taken, compared, changed = [], [], [], []
     for _ in range(times_played(count)):
-        client = DirectoryClient()
+        client = DetachedDirectoryClient()
         parsed.append(cpu_of(lambda: dns.listing(first, 1, NAME)))
         taken.append(cpu_of(lambda client=client: client.take(first)))
         compared.append(cpu_of(lambda client=client: client.take(equal)))
@@ -221,7 +223,7 @@
 def list_memory(count: int) -> float:
     """Megabytes that directory client, engine list and decisions hold for one list."""
     answer = dns_answer(1, 3, listed_engines(count))
-    client = DirectoryClient()
+    client = DetachedDirectoryClient()
     tracemalloc.start()
     client.take(answer)
     held, _ = tracemalloc.get_traced_memory()
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -3,7 +3,7 @@
 from time import perf_counter
 
 from rigs.scale_front import HollowPlace, empty_front
-from thistlelever.carrier.directory import NAME, PACE, Inquiry
+from thistlelever.carrier.directory import NAME, PACE, DirectoryClient
 from thistlelever.ground import interface as it
 from thistlelever.standins.directory import dns_answer
 from thistlelever.wire import dns
@@ -36,17 +36,17 @@
     """CPU seconds of one front for one changed engine: the list is read and told whole."""
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     parts = empty_front(place, zones, fronts)
-    inquiry = Inquiry(
-        parts.roll, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
+    client = DirectoryClient(
+        parts.registry, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
     )
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
         listing = dns.listing(answer, 1, NAME)
-        listed = [inquiry.entry(found) for found in listing.engines]
-        parts.roll.replace(serial, listed, float(serial))
+        listed = [client.entry(found) for found in listing.engines]
+        parts.registry.replace(serial, listed, float(serial))
         parts.desk.front.handle(
-            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.roll.told())]
+            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.registry.told())]
         )
         spent.append(perf_counter() - began)
     return min(spent[1:])
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -13,7 +13,7 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.batches import Batches
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.subsetting import FrontPlace
 
 KINDS = ("std", "large")
@@ -34,7 +34,7 @@
 class Parts(NamedTuple):
     """What a front without clients consists of before it hears of any engine."""
 
-    roll: Roll
+    registry: EngineRegistry
     desk: Desk
     metrics: Metrics
     log: Log
@@ -73,7 +73,7 @@
     read = config_of(place, zones, fronts)
     metrics, log = Metrics(), Log(place.name, LOG_SINK)
     desk = Desk(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
-    return Parts(Roll(), desk, metrics, log, read)
+    return Parts(EngineRegistry(), desk, metrics, log, read)
 
 
 def control_of(parts, place, terms):
@@ -85,5 +85,5 @@
     front_place = FrontPlace(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
     names = KnownNames(parts.config.zones, parts.config.kinds)
-    SubscribedList(subscription, parts.roll, lambda engine: None, parts.desk, names)
+    SubscribedList(subscription, parts.registry, lambda engine: None, parts.desk, names)
     return subscription
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -14,10 +14,10 @@
 from rigs.loop_lag import LoopLag
 from rigs.scale_child import commands
 from rigs.scale_front import HollowPlace, control_of, empty_front
-from thistlelever.carrier.directory import Inquiry
+from thistlelever.carrier.directory import DirectoryClient
 from thistlelever.distribution.records import digest_of
 from thistlelever.distribution.versions import NO_VERSION
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 # The log keeps at most so many entries, so that it is no large part of what is measured.
 MOST_ENTRIES = 400_000
@@ -108,11 +108,11 @@
     def holding(self):
         """What it holds at the end; the digest is worked out anew from its records."""
         replica = self.subscription.replica
-        roll = self.parts.roll
+        registry = self.parts.registry
         listed = {
             name.decode(): "{}:{}".format(*entry.address)
-            for name, entry in roll.entries.items()
-            if roll.listed(name)
+            for name, entry in registry.entries.items()
+            if registry.listed(name)
         }
         addresses = {record.id: record.address for record in replica.records.values()}
         return {
@@ -207,13 +207,15 @@
         place = HollowPlace(name="front-dns", zone=zones[0], rank=0, zone_rank=0, seed=1)
         parts = empty_front(place, tuple(zones), 1)
         names = parts.config.zones, parts.config.kinds
-        inquiries = [
-            Inquiry(Roll(), lambda engine: None, parts.desk, parts.metrics, *names, seed=number)
+        clients = [
+            DirectoryClient(
+                EngineRegistry(), lambda engine: None, parts.desk, parts.metrics, *names, seed=number
+            )
             for number in range(count)
         ]
-        for inquiry in inquiries:
-            await inquiry.open(("127.0.0.1", port))
-        tasks = [asyncio.create_task(inquiry.run()) for inquiry in inquiries]
+        for client in clients:
+            await client.open(("127.0.0.1", port))
+        tasks = [asyncio.create_task(client.run()) for client in clients]
         began, spent = monotonic(), process_time()
         await asyncio.sleep(seconds)
         core = (process_time() - spent) / (monotonic() - began) / count
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -214,7 +214,7 @@
 
     async def do_volunteers(self, name, *words):
         """The engine sends what nobody asked for on its newest connection; the front has seen it."""
-        kept = self.office.links.kept[name.encode()]
+        kept = self.office.connections.kept[name.encode()]
         seen = kept[-1].reading
         self.engines[name].writers[-1].write(unescaped(words))
         async with asyncio.timeout(LONGEST_WAIT):
@@ -247,9 +247,9 @@
         self.directory.steps.extend(steps)
 
     async def do_listed(self, *names):
-        roll = self.office.roll
+        registry = self.office.registry
         await self.until(
-            lambda: sorted(names) == sorted(e.id.decode() for e in roll.told() if roll.open_to(e.id))
+            lambda: sorted(names) == sorted(e.id.decode() for e in registry.told() if registry.open_to(e.id))
         )
 
     async def do_lags(self, seconds):
@@ -262,11 +262,11 @@
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
-        assert len(self.office.links.kept.get(name.encode(), ())) == int(count)
+        assert len(self.office.connections.kept.get(name.encode(), ())) == int(count)
 
     async def do_waiting(self, count):
         """So many calls wait for a connection."""
-        await self.until(lambda: sum(map(len, self.office.links.waiting)) >= int(count))
+        await self.until(lambda: sum(map(len, self.office.connections.waiting)) >= int(count))
 
     async def do_counted(self, *words):
         name = " ".join(words)
@@ -358,8 +358,8 @@
 
     async def do_dials_held(self):
         """No connection to an engine comes up from now on until `dials_go`."""
-        links, self.dials, self.go = self.office.links, 0, asyncio.Event()
-        connect = links.connect
+        connections, self.dials, self.go = self.office.connections, 0, asyncio.Event()
+        connect = connections.connect
 
         async def held(entry):
             self.dials += 1
@@ -367,7 +367,7 @@
             await self.go.wait()
             return await connect(entry)
 
-        links.connect = held
+        connections.connect = held
 
     async def do_dialling(self, count):
         await self.until(lambda: self.dials >= int(count))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import configuration
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.store.links import Link, Links, Refused, Unreached
+from thistlelever.store.connections import Connection, ConnectionPool, Refused, Unreached
 
 DEDUPLICATED_GROUP = GROUP._replace(
     repeat=it.Idempotency.DEDUPLICATED, window=1.5, time_limit=30.0, goal=20.0
@@ -127,10 +127,12 @@
                 asked.set()
                 await ended.wait()
 
-        roll = SimpleNamespace(begin=lambda engine: None, end=lambda engine: None, entries={b"a": "entry"})
+        registry = SimpleNamespace(
+            begin=lambda engine: None, end=lambda engine: None, entries={b"a": "entry"}
+        )
         terms = SimpleNamespace(cancel=False, copies=False)
         dispatcher = Dispatcher(
-            terms, roll, lambda entry: Speech(), None, Metrics(), lambda *event, **facts: None
+            terms, registry, lambda entry: Speech(), None, Metrics(), lambda *event, **facts: None
         )
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         dispatcher.start(batch, 0, it.Dispatch(1, b"a", 5.0))
@@ -160,12 +162,12 @@
 
 def called_off_before_its_first_step(then):
     async def run():
-        roll = SimpleNamespace(
+        registry = SimpleNamespace(
             begin=lambda engine: out.update([engine]), end=lambda engine: out.subtract([engine]), entries={}
         )
         out = Counter()
         terms = SimpleNamespace(cancel=True, copies=False)
-        dispatcher = Dispatcher(terms, roll, None, None, Metrics(), None)
+        dispatcher = Dispatcher(terms, registry, None, None, Metrics(), None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         task = dispatcher.start(batch, 0, it.Dispatch(1, b"a", 0.0))
         then(task)
@@ -203,37 +205,41 @@
     """Links that may be one, that one with a call behind it, and the engine's entry."""
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     entry = SimpleNamespace(engine=SimpleNamespace(id=b"a"), address=server.sockets[0].getsockname())
-    links = Links(1, 30.0, 8.0, Metrics())
-    used = await links.take(entry, urgent=True)
+    connections = ConnectionPool(1, 30.0, 8.0, Metrics())
+    used = await connections.take(entry, urgent=True)
     used.calls = 1
     async with asyncio.timeout(8):
-        yield links, used, entry
+        yield connections, used, entry
     server.close()
 
 
 @pytest.mark.parametrize("unused", (False, True))
 def test_who_wants_an_unused_link_gets_none_that_carried_a_call(unused):
-    # Risk: what is late on a used one is taken for the answer to the next call (`Links.take`). With one place
-    # only the kept one makes way.
+    # What arrives late on a used connection is taken for the answer to the next call (`ConnectionPool.take`).
+    # With one place only the kept one makes way.
     async def run():
-        async with one_place() as (links, kept, entry):
-            links.give_back(kept)
-            link = await links.take(entry, urgent=True, unused=unused)
-            assert isinstance(link, Link) and (link.calls == 0) is unused and links.count == 1
-            links.close(link)
+        async with one_place() as (connections, kept, entry):
+            connections.give_back(kept)
+            connection = await connections.take(entry, urgent=True, unused=unused)
+            assert (
+                isinstance(connection, Connection)
+                and (connection.calls == 0) is unused
+                and connections.count == 1
+            )
+            connections.close(connection)
 
     asyncio.run(run())
 
 
 def test_who_waits_for_an_unused_link_gets_the_place_of_one_that_comes_back():
     async def run():
-        async with one_place() as (links, used, entry):
-            waits = asyncio.create_task(links.take(entry, urgent=True, unused=True))
-            while not any(links.waiting):
+        async with one_place() as (connections, used, entry):
+            waits = asyncio.create_task(connections.take(entry, urgent=True, unused=True))
+            while not any(connections.waiting):
                 await asyncio.sleep(0)
-            links.give_back(used)
-            link = await waits
-            assert link.calls == 0 and links.count == 1
-            links.close(link)
+            connections.give_back(used)
+            connection = await waits
+            assert connection.calls == 0 and connections.count == 1
+            connections.close(connection)
 
     asyncio.run(run())
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.http_engines import RETRY_PACE, HttpEngines
 from thistlelever.ground import clock
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.store.links import REST, Links, Unreached
+from thistlelever.store.connections import REST, ConnectionPool, Unreached
 from thistlelever.ground.metrics import Metrics
 
 TICK = 0.02
@@ -112,8 +112,8 @@
 
     async def run():
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
-        links = SimpleNamespace(take=take)
-        engines = HttpEngines(terms, None, links, None, Metrics())
+        connections = SimpleNamespace(take=take)
+        engines = HttpEngines(terms, None, connections, None, Metrics())
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(4 * RETRY_PACE):
                 await engines.ask("/fetch/1/", 0, "entry", End(0, b"a"), Sending(0), None)
@@ -157,9 +157,9 @@
 
     async def run():
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
-        links = SimpleNamespace(take=take, give_back=lambda link: None)
-        roll = SimpleNamespace(open_to=lambda engine: False)
-        engines = HttpEngines(terms, roll, links, None, Metrics())
+        connections = SimpleNamespace(take=take, give_back=lambda connection: None)
+        registry = SimpleNamespace(open_to=lambda engine: False)
+        engines = HttpEngines(terms, registry, connections, None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         entry = SimpleNamespace(address=("127.0.0.1", 1), engine=SimpleNamespace(id=b"a"))
         await engines.give_up(batch, entry, Sending(0, begun=True, asked=clock.now()))
@@ -173,19 +173,19 @@
     made = []
 
     async def run():
-        links = Links(10, 30.0, 0.25, Metrics())
+        connections = ConnectionPool(10, 30.0, 0.25, Metrics())
         kept = SimpleNamespace(fresh=lambda: True, idle_since=monotonic())
-        links.kept["e"] = deque([kept])
+        connections.kept["e"] = deque([kept])
 
         async def connect(entry):
             made.append(entry)
 
-        links.connect = connect
+        connections.connect = connect
         entry = SimpleNamespace(engine=SimpleNamespace(id="e"))
-        assert await links.take(entry, urgent=False, patient=True) is kept
+        assert await connections.take(entry, urgent=False, patient=True) is kept
         assert monotonic() - kept.idle_since >= REST and not made
-        links.kept["e"] = deque([SimpleNamespace(fresh=lambda: True, idle_since=monotonic())])
-        await links.take(entry, urgent=True)
+        connections.kept["e"] = deque([SimpleNamespace(fresh=lambda: True, idle_since=monotonic())])
+        await connections.take(entry, urgent=True)
         assert made == [entry]
 
     asyncio.run(run())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -431,11 +431,11 @@
 def test_what_may_have_run_before_a_restart_goes_only_where_its_repeat_is_dropped(
     scope, listed, ran, out, answer
 ):
-    roll = SimpleNamespace(listed=lambda engine: listed)
+    registry = SimpleNamespace(listed=lambda engine: listed)
     metrics = SimpleNamespace(add=lambda name: None)
     found = b"e-1", Name("a" * 16, 2), ran
     memory = Recollection(
-        SimpleNamespace(tariffs=(query_class(scope),)), roll, metrics, None, lambda mark: found
+        SimpleNamespace(tariffs=(query_class(scope),)), registry, metrics, None, lambda mark: found
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -124,7 +124,7 @@
         await play(stage, f"list {serial} a c\nlisted a")
         await pace_answers(stage, 10)
         await stage.do_listed("a")
-        assert set(stage.office.roll.listing()) == {b"a", b"b"} and stage.office.roll.serial == 5
+        assert set(stage.office.registry.listing()) == {b"a", b"b"} and stage.office.registry.serial == 5
         await play(stage, "list 5 a b\nlisted a b")
     await play(stage, "list 6 b\nlisted b")
 
@@ -379,7 +379,7 @@
             assert "result" in stage.answers[0], stage.answers
             await play(stage, "calls a POST 1")
             # The connection on which it goes on is closed.
-            await stage.look_until(lambda: stage.office.links.count == len(stage.engines["a"].writers))
+            await stage.look_until(lambda: stage.office.connections.count == len(stage.engines["a"].writers))
 
     asyncio.run(whole())
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -13,7 +13,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
 from thistlelever.ground.log import MAX_LINES_A_MINUTE, LibraryLogHandler, Log
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.ground.metrics import Metrics
 
 ENTRY = [("s-1", "127.0.0.1:8443")]
@@ -97,12 +97,12 @@
 def test_a_new_engine_at_a_gone_ones_address_is_another():
     # A registry keyed by address would give a new engine the state (warm, draining) of the former one there.
     entries = front_config.read(configuration(ENTRY), {}).known
-    roll = Roll()
-    roll.replace(1, list(entries), 0.0)
+    registry = EngineRegistry()
+    registry.replace(1, list(entries), 0.0)
     fresh = entries[0]._replace(engine=entries[0].engine._replace(id=b"s-9"))
-    assert roll.replace(2, [fresh], 1.0) == [b"s-1"] and roll.replace(1, list(entries), 2.0) is None
-    assert (roll.open_to(b"s-1"), roll.open_to(b"s-9")) == (False, True)
-    assert [e.id for e in roll.told()] == [b"s-9"]
+    assert registry.replace(2, [fresh], 1.0) == [b"s-1"] and registry.replace(1, list(entries), 2.0) is None
+    assert (registry.open_to(b"s-1"), registry.open_to(b"s-9")) == (False, True)
+    assert [e.id for e in registry.told()] == [b"s-9"]
 
 
 def test_what_must_hold_is_raised_in_debug_builds():
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -29,7 +29,7 @@
             stage.directory.serial = 4
             stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
             async with asyncio.timeout(3 * delay + 2.0):
-                while office.roll.open_to(b"b"):
+                while office.registry.open_to(b"b"):
                     await asyncio.sleep(0.005)
             assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
 
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -21,7 +21,7 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
 from thistlelever.standins.papers import configuration
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 def record(name, port, **fields):
@@ -35,10 +35,10 @@
     def __init__(self):
         self.replica, self.told, self.forgotten = Replica(strict=False), [], []
         self.subscription = SimpleNamespace(replica=self.replica, heard_at=0.0)
-        self.roll = Roll()
+        self.registry = EngineRegistry()
         desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, metrics=Metrics())
         names = KnownNames(("nord", "sud"), ("std",))
-        self.list = SubscribedList(self.subscription, self.roll, self.forgotten.append, desk, names)
+        self.list = SubscribedList(self.subscription, self.registry, self.forgotten.append, desk, names)
         self.fronts = 4
 
     def holds(self, *records, gone=()):
@@ -64,22 +64,22 @@
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, draining=True))
     assert front.states() == {"a": READY, "b": DRAINING}
-    assert front.told[-1].fronts == 4 and front.roll.sharing == 4
+    assert front.told[-1].fronts == 4 and front.registry.sharing == 4
     assert front.told[-1].kind is it.ListKind.WHOLE
 
 
 def test_an_engine_that_leaves_the_subset_is_kept_as_draining_while_queries_are_out_there():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.roll.begin(b"a")
+    front.registry.begin(b"a")
     front.holds(record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY}
-    assert front.list.retained() == ("a",) and not front.roll.open_to(b"a")
-    assert front.roll.reachable(front.roll.entries[b"a"]) and not front.forgotten
+    assert front.list.retained() == ("a",) and not front.registry.open_to(b"a")
+    assert front.registry.reachable(front.registry.entries[b"a"]) and not front.forgotten
     # The distributor goes on telling of it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
-    front.roll.end(b"a")
+    front.registry.end(b"a")
     assert front.list.retained() == ()
     front.holds(record("b", 2))
     assert front.states() == {"b": READY} and front.forgotten == [b"a"]
@@ -88,20 +88,20 @@
 def test_a_retained_engine_that_is_gone_is_not_reached_any_more():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.roll.begin(b"a")
+    front.registry.begin(b"a")
     front.holds(record("b", 2))
-    entry = front.roll.entries[b"a"]
+    entry = front.registry.entries[b"a"]
     front.holds(record("b", 2), gone=("a",))
-    assert front.states() == {"b": READY} and not front.roll.reachable(entry)
+    assert front.states() == {"b": READY} and not front.registry.reachable(entry)
 
 
 def test_an_address_that_another_engine_has_now_is_not_the_former_ones():
     front = Subscribed()
     front.holds(record("a", 1))
-    front.roll.begin(b"a")
-    entry = front.roll.entries[b"a"]
+    front.registry.begin(b"a")
+    entry = front.registry.entries[b"a"]
     front.holds(record("new", 1))
-    assert not front.roll.reachable(entry) and front.roll.reachable(front.roll.entries[b"new"])
+    assert not front.registry.reachable(entry) and front.registry.reachable(front.registry.entries[b"new"])
 
 
 def test_an_engine_of_an_unknown_zone_is_left_out_and_counted():
@@ -141,7 +141,7 @@
 
     async def holds(self, version):
         """The front is at this version."""
-        replica = self.office.inquiry.subscription.replica
+        replica = self.office.discovery.subscription.replica
         await self.distributors.until(lambda: str(replica.version) == version)
 
 
@@ -179,7 +179,7 @@
 
 def test_nothing_new_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
     async def scenario(stage, distributors):
-        discovery = stage.office.inquiry
+        discovery = stage.office.discovery
         # Cut off: the front reaches no distributor.
         discovery.subscription.terms = discovery.subscription.terms._replace(
             distributors=(("127.0.0.1", 9), ("127.0.0.1", 9))
@@ -201,7 +201,7 @@
             distributors=distributors.addresses
         )
         await stage.holds(version)
-        assert not stage.office.roll.open_to(b"cala")
+        assert not stage.office.registry.open_to(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
     play(scenario, ("cala", "duna"))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,7 @@
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.engine_starts import FORGOTTEN_AFTER, TOLD_LATE, EngineStarts, believable
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 NOW, HOUR = 1_000_000.0, 3_600.0
 # The engine that starts in a run is warm after so many seconds, so that a short run sees both, and bears so
@@ -81,15 +81,15 @@
 
 
 def test_decisions_are_told_starts_of_the_front_s_own_clock():
-    roll, told = Roll(), engine(NOW + 5 - HOUR)
-    roll.update(4, [Entry(told, ("127.0.0.1", 1)), Entry(engine(0.0, b"b"), ("127.0.0.1", 2))], NOW)
-    assert [e.started for e in roll.told()] == [NOW + 5 - HOUR, 0.0]
-    roll = Roll()
-    roll.update(4, [Entry(engine(0.0), ("127.0.0.1", 1))], NOW)
-    roll.update(5, [Entry(told, ("127.0.0.1", 1))], NOW + 6, NOW + 5.7, -HOUR)
-    assert [e.started for e in roll.told()] == [NOW + 5]
+    registry, told = EngineRegistry(), engine(NOW + 5 - HOUR)
+    registry.update(4, [Entry(told, ("127.0.0.1", 1)), Entry(engine(0.0, b"b"), ("127.0.0.1", 2))], NOW)
+    assert [e.started for e in registry.told()] == [NOW + 5 - HOUR, 0.0]
+    registry = EngineRegistry()
+    registry.update(4, [Entry(engine(0.0), ("127.0.0.1", 1))], NOW)
+    registry.update(5, [Entry(told, ("127.0.0.1", 1))], NOW + 6, NOW + 5.7, -HOUR)
+    assert [e.started for e in registry.told()] == [NOW + 5]
     # What the list says is compared as it was said.
-    assert roll.entries[b"a"].engine == told
+    assert registry.entries[b"a"].engine == told
 
 
 @pytest.mark.parametrize("by", [-HOUR, 0.0, HOUR])
--- a/thistlelever/carrier/budget_gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -14,7 +14,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 # The longest time between two ticks, in seconds, while batches are queued.
 TICK_INTERVAL = 0.02
@@ -34,7 +34,7 @@
         threads_a_core: float,
         seed: int,
         batches: Batches,
-        roll: Roll,
+        registry: EngineRegistry,
         metrics: Metrics,
         log: Log,
     ) -> None:
@@ -45,7 +45,7 @@
         self.threads_a_core = threads_a_core
         # The capacity in threads, and the revision of the engine list that it was computed from.
         self.list_revision, self.cached_capacity = -1, 0.0
-        self.batches, self.roll, self.metrics, self.log = batches, roll, metrics, log
+        self.batches, self.registry, self.metrics, self.log = batches, registry, metrics, log
         # The work of a batch, in core-seconds, by query class.
         self.typical_work = {t.name: t.goal * t.width / 4 for t in settings.tariffs}
         self.fair_queue = FairQueue(plan, policy, seed, self.capacity())
@@ -128,14 +128,14 @@
     def capacity(self) -> float:
         """The threads that the ready engines carry for this front: all fronts that use them have equal
         shares."""
-        if self.roll.revision != self.list_revision:
-            self.list_revision = self.roll.revision
+        if self.registry.revision != self.list_revision:
+            self.list_revision = self.registry.revision
             cores = sum(
                 self.kind_cores[entry.engine.kind]
-                for entry in self.roll.entries.values()
+                for entry in self.registry.entries.values()
                 if entry.engine.state is it.EngineState.READY
             )
-            fronts = min(self.fronts, self.roll.sharing or self.fronts)
+            fronts = min(self.fronts, self.registry.sharing or self.fronts)
             self.cached_capacity = cores * self.threads_a_core / fronts
         return self.cached_capacity
 
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -13,7 +13,7 @@
 from thistlelever.ground import clock
 from thistlelever.ground.config import Entry
 from thistlelever.store.list_agreement import Answer, ListAgreement
-from thistlelever.store.roll import Roll, transitions
+from thistlelever.store.engine_registry import EngineRegistry, transitions
 from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import dns
 
@@ -33,12 +33,12 @@
 MOST_AT_ONCE = 8
 
 
-class Inquiry:
+class DirectoryClient:
     """Asks the directory at a steady pace, and at once where the decisions want it."""
 
     def __init__(
         self,
-        roll: Roll,
+        registry: EngineRegistry,
         forget: Callable[[it.EngineId], None],
         desk: Desk,
         metrics: Metrics,
@@ -47,7 +47,7 @@
         seed: int,
     ) -> None:
         # What drops connections to an engine that is gone or was started anew.
-        self.roll, self.forget, self.desk, self.metrics = roll, forget, desk, metrics
+        self.registry, self.forget, self.desk, self.metrics = registry, forget, desk, metrics
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.asked = seed, 0
@@ -191,7 +191,7 @@
         listing = dns.listing(data, number, NAME)
         entries = [self.entry(found) for found in listing.engines]
         answer = Answer(listing.serial, {entry.engine.id: entry for entry in entries})
-        held = Answer(self.roll.serial, self.roll.listing())
+        held = Answer(self.registry.serial, self.registry.listing())
         if answer.serial <= held.serial and query < self.settled_by:
             # It was overtaken on its way by one to a later query.
             self.metrics.add("directory answers overtaken by later ones")
@@ -200,7 +200,7 @@
         if self.agreement.contrary is answer:
             self.report_contrary(answer)
         if step.adopt:
-            self.roll.closed = step.closed
+            self.registry.closed = step.closed
             self.adopt(listing.serial, entries)
         else:
             self.close_engines(step.closed)
@@ -210,39 +210,39 @@
 
     def close_engines(self, closed: frozenset[it.EngineId]) -> None:
         """Send nothing new to these engines, which an answer in doubt does not name as ready."""
-        if closed != self.roll.closed:
+        if closed != self.registry.closed:
             names = sorted(engine.decode("latin-1") for engine in closed)
-            self.desk.log("engines closed for a doubt", engines=names, serial=self.roll.serial)
-            self.roll.closed = closed
+            self.desk.log("engines closed for a doubt", engines=names, serial=self.registry.serial)
+            self.registry.closed = closed
             self.tell()
 
     def report_contrary(self, answer: Answer) -> None:
         """Count and log an answer older than the list held, or one that differs from it under its serial."""
         listed = {engine: entry.engine.state for engine, entry in answer.entries.items()}
-        differing = transitions(self.roll.states(), listed)
-        serial, held = answer.serial, self.roll.serial
+        differing = transitions(self.registry.states(), listed)
+        serial, held = answer.serial, self.registry.serial
         what = "older than the list" if serial < held else "that differ under one serial"
         self.metrics.add(f"directory answers {what}")
         self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
     def hold(self, serial: int, entries: list[Entry]) -> None:
         """Take the list of a configuration that was read again, if it is newer than the one in force."""
-        if serial > self.roll.serial or not self.roll.entries:
+        if serial > self.registry.serial or not self.registry.entries:
             self.agreement.forget()
             self.last = b""
             self.adopt(serial, entries)
 
     def adopt(self, serial: int, entries: list[Entry]) -> None:
         """The list is in force from now on."""
-        before, held = self.roll.states(), self.roll.serial
+        before, held = self.registry.states(), self.registry.serial
         last_heard = self.heard_at or None
-        for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
+        for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
         self.desk.log(
             "list",
             serial=serial,
             engines=len(entries),
-            changed=transitions(before, self.roll.states()),
+            changed=transitions(before, self.registry.states()),
             after_serial=held,
             asked=self.asked,
             unheard_s=round(clock.now() - self.heard_at, 3) if self.heard_at else None,
@@ -251,7 +251,7 @@
 
     def tell(self) -> None:
         """Tell the decisions the list as it is held now."""
-        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
+        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.told()))
 
     def entry(self, found: dns.Found) -> Entry:
         facts = found.facts
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -18,7 +18,7 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 class Ended(Exception):
@@ -122,7 +122,7 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         speech: Callable[[Entry], Speech],
         desk: Desk,
         metrics: Metrics,
@@ -131,12 +131,12 @@
         self.cancels, self.copies = settings.cancel, settings.copies
         # What an entry's engine speaks.
         self.speech = speech
-        self.roll, self.desk, self.metrics, self.log = roll, desk, metrics, log
+        self.registry, self.desk, self.metrics, self.log = registry, desk, metrics, log
         self.asides: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
         batch.engines[number] = order.engine
-        self.roll.begin(order.engine)
+        self.registry.begin(order.engine)
         # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
         end = End(number, order.engine, it.DispatchOutcome.UNSENT)
         task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
@@ -145,7 +145,7 @@
 
     def finished(self, batch: Batch, end: End) -> None:
         """The one place where a dispatch's end is told, however its task ended."""
-        self.roll.end(end.engine)
+        self.registry.end(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
@@ -164,7 +164,7 @@
         """Why nothing of a dispatch may be sent any more; empty where it may."""
         if batch.answered:
             return "answered or left"
-        if not self.roll.open_to(order.engine):
+        if not self.registry.open_to(order.engine):
             return "engine draining or gone"
         if clock.now() >= order.begin_by:
             return "too late to begin"
@@ -178,7 +178,7 @@
         till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
         sent = Sending(number, lambda: self.may_begin(batch, order), ordered=begun)
         try:
-            entry = self.roll.entries.get(order.engine)
+            entry = self.registry.entries.get(order.engine)
             if batch.answered or till <= begun or entry is None:
                 end.outcome = self.unsent(batch, number)
             else:
@@ -249,7 +249,7 @@
     def reprioritise(self, batch: Batch) -> None:
         """The batch's priority also holds for what is out."""
         for number in batch.out:
-            entry = self.roll.entries.get(batch.engines[number])
+            entry = self.registry.entries.get(batch.engines[number])
             if entry:
                 self.aside(self.speech(entry).put(batch, entry, number))
 
@@ -261,7 +261,7 @@
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
             (),
-            self.roll.entries.get(engine),
+            self.registry.entries.get(engine),
         )
         if entry:
             outcome, report = await self.speech(entry).probe(entry)
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -21,7 +21,7 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
@@ -100,7 +100,7 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         desk: Desk,
         metrics: Metrics,
         held: int,
@@ -108,7 +108,7 @@
         purse: Purse,
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
-        self.roll, self.desk, self.metrics = roll, desk, metrics
+        self.registry, self.desk, self.metrics = registry, desk, metrics
         # What one result may hold before it begins to go on, and all of them together.
         self.held, self.purse = held, purse
         # What of a result that goes on may lie between its engine and its client.
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -13,8 +13,16 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
-from thistlelever.store.links import Broken, Link, Links, Refused, Short, Silent, Unreached
-from thistlelever.store.roll import Roll
+from thistlelever.store.connections import (
+    Broken,
+    Connection,
+    ConnectionPool,
+    Refused,
+    Short,
+    Silent,
+    Unreached,
+)
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire import http
 
 # News comes after 250 ms at the latest, other answers at once; what takes this long is silent. Risk: a short
@@ -50,7 +58,14 @@
 class HttpEngines:
     """The platform's own way to its engines; see `Speech` in `dispatch.py`."""
 
-    def __init__(self, settings: it.Settings, roll: Roll, links: Links, desk: Desk, metrics: Metrics) -> None:
+    def __init__(
+        self,
+        settings: it.Settings,
+        registry: EngineRegistry,
+        connections: ConnectionPool,
+        desk: Desk,
+        metrics: Metrics,
+    ) -> None:
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
         self.once_only = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
@@ -61,7 +76,7 @@
             for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
-        self.roll, self.links, self.desk, self.metrics = roll, links, desk, metrics
+        self.registry, self.connections, self.desk, self.metrics = registry, connections, desk, metrics
 
     async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         path = way(batch, end.number)
@@ -104,11 +119,11 @@
     ) -> http.Reply | None:
         """The call that starts it, and its reply if it got one of use."""
         try:
-            link = await self.link(entry, batch.lane in self.wary)
+            connection = await self.connection(entry, batch.lane in self.wary)
         except (Refused, Unreached, Broken, Short) as why:
             raise Ended(proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)) from None
         if not sent.may_begin():
-            self.links.give_back(link)
+            self.connections.give_back(connection)
             raise Ended(proven(it.DispatchOutcome.UNSENT, sent.posts))
         sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
         self.count_call("POST", entry)
@@ -117,21 +132,21 @@
             engine = entry.engine.id.decode("latin-1")
             self.desk.log("dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4))
         try:
-            reply = await link.call(self.request(batch, entry.address, till), NEWS_WITHIN)
-            self.read(reply, 0, link, end, sent, batch)
+            reply = await connection.call(self.request(batch, entry.address, till), NEWS_WITHIN)
+            self.read(reply, 0, connection, end, sent, batch)
             sent.heard = True
             return reply
         except (Broken, Silent, Spoilt, http.Unreadable) as why:
             self.spoilt(why)
             return None
         finally:
-            self.links.give_back(link)
+            self.connections.give_back(connection)
 
-    async def link(self, entry: Entry, unused: bool = False) -> Link:
+    async def connection(self, entry: Entry, unused: bool = False) -> Connection:
         """A link for what must not wait. A reset as it comes up is news of that connection alone."""
         for _ in range(MOST_SPOILT):
             try:
-                return await self.links.take(entry, urgent=True, unused=unused)
+                return await self.connections.take(entry, urgent=True, unused=unused)
             except Broken as why:
                 self.spoilt(why)
         raise Broken("each new connection is reset")
@@ -179,7 +194,7 @@
         spoilt, unused = 0, False
         while spoilt < MOST_SPOILT:
             try:
-                link = await self.links.take(entry, urgent=False, patient=not page, unused=unused)
+                connection = await self.connections.take(entry, urgent=False, patient=not page, unused=unused)
             except Refused:
                 sent.dead = True
                 break
@@ -191,13 +206,13 @@
                 sent.asked = clock.now()
                 self.count_call("GET", entry)
                 request = http.call("GET", f"{path}{page}", entry.address, {})
-                reply = await link.call(request, WORD_WITHIN if page else NEWS_WITHIN)
-                self.read(reply, page, link, end, sent, batch)
-                if reply.status in UNRUN and batch.lane in self.wary and link.calls > 1:
+                reply = await connection.call(request, WORD_WITHIN if page else NEWS_WITHIN)
+                self.read(reply, page, connection, end, sent, batch)
+                if reply.status in UNRUN and batch.lane in self.wary and connection.calls > 1:
                     # Risk: a second copy of the answer to another batch, late on a link that carried that
                     # one, taken for proof that this one never ran. Only an unused connection proves it.
                     unused = True
-                    link.stream.close()
+                    connection.stream.close()
                     raise Spoilt("no proof on a connection that carried others")
                 return reply
             except Silent as why:
@@ -206,28 +221,30 @@
                 self.spoilt(why)
                 spoilt += 1
             finally:
-                self.links.give_back(link)
+                self.connections.give_back(connection)
             await asyncio.sleep(RETRY_PACE * (spoilt - 1))
         raise Ended(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
-        if not self.roll.open_to(entry.engine.id):
+        if not self.registry.open_to(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
     def spoilt(self, why: Exception) -> None:
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
-    def read(self, reply: http.Reply, page: int, link: Link, end: End, sent: Sending, batch: Batch) -> None:
+    def read(
+        self, reply: http.Reply, page: int, connection: Connection, end: End, sent: Sending, batch: Batch
+    ) -> None:
         """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
         one that can't be the answer to the question: its connection is used no more."""
         try:
             if reply.status == 200:
-                rows = self.rows(reply, page, link, sent)
+                rows = self.rows(reply, page, connection, sent)
             elif reply.status not in ((202, 500, 503, 504) if not page else (500,)):
                 raise Spoilt(f"status {reply.status}")
         except (Spoilt, http.Unreadable):
-            link.stream.close()
+            connection.stream.close()
             raise
         end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
@@ -242,15 +259,15 @@
             end.true_memory = reply.number(b"high-water") or end.true_memory
             end.pages.append(rows)
 
-    def rows(self, reply: http.Reply, page: int, link: Link, sent: Sending) -> bytes:
+    def rows(self, reply: http.Reply, page: int, connection: Connection, sent: Sending) -> bytes:
         """The rows of a good end or a further page."""
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.page(reply.body)
-        if link.repeats(reply):
+        if connection.repeats(reply):
             raise Spoilt("the same answer twice on one connection")
-        if link.surplus and sent.doubts < DOUBTED:
+        if connection.surplus and sent.doubts < DOUBTED:
             # Risk: what lies behind may be the rest of these rows, cut off by a length put too low.
             sent.doubts += 1
             raise Spoilt("more than one answer")
@@ -261,14 +278,14 @@
     async def put(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
             async with asyncio.timeout(NEWS_WITHIN):
-                link = await self.links.take(entry, urgent=False)
+                connection = await self.connections.take(entry, urgent=False)
                 try:
                     path, priority = way(batch, number)[:-1], b"%d" % batch.priority
                     call = http.call("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
-                    await link.call(call, WORD_WITHIN)
+                    await connection.call(call, WORD_WITHIN)
                 finally:
-                    self.links.give_back(link)
+                    self.connections.give_back(connection)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
@@ -290,12 +307,12 @@
 
     async def ask_on(self, entry: Entry, name: Name) -> str:
         try:
-            link = await self.links.take(entry, urgent=False)
+            connection = await self.connections.take(entry, urgent=False)
             try:
                 request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
-                reply = await link.call(request, NEWS_WITHIN)
+                reply = await connection.call(request, NEWS_WITHIN)
             finally:
-                self.links.give_back(link)
+                self.connections.give_back(connection)
         except Refused:
             return "unknown"
         except (Unreached, Short, Broken, Silent, http.Unreadable):
@@ -305,13 +322,13 @@
     async def delete(self, entry: Entry, path: str, till: float, urgent: Callable[[], bool]) -> None:
         while clock.now() < till:
             try:
-                link = await self.links.take(entry, urgent=urgent())
+                connection = await self.connections.take(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await link.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
+                    await connection.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
                     return
                 finally:
-                    self.links.give_back(link)
+                    self.connections.give_back(connection)
             except Refused:
                 break
             # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
@@ -321,16 +338,16 @@
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
-            link = await self.link(entry)
+            connection = await self.connection(entry)
             try:
-                reply = await link.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
+                reply = await connection.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
                 report = http.gauges(reply.text(b"x-gauges"), self.fields)
                 return (
                     it.DispatchOutcome.RETURNED if reply.status == 200 else it.DispatchOutcome.ERRORED,
                     report,
                 )
             finally:
-                self.links.give_back(link)
+                self.connections.give_back(connection)
         except (Refused, Unreached) as why:
             return UNCONNECTED[type(why)], ()
         except Silent:
--- a/thistlelever/carrier/recollection.py
+++ b/thistlelever/carrier/recollection.py
@@ -9,16 +9,21 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 def goes_on_from(
-    batch: Batch, query_class: it.QueryClass, roll: Roll, name: Name, engine: it.EngineId, ran_for: float
+    batch: Batch,
+    query_class: it.QueryClass,
+    registry: EngineRegistry,
+    name: Name,
+    engine: it.EngineId,
+    ran_for: float,
 ) -> bool:
     """What was begun there becomes the batch's first dispatch: whether it can go on from it. Where its
     engine is out of sight only what may run again, or whose repeats all engines drop still, is begun
     anew."""
-    if roll.listed(engine):
+    if registry.listed(engine):
         batch.under[0] = name
         batch.taken = batch.taken._replace(running_on=engine, running_for=ran_for)
         return True
@@ -36,13 +41,13 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         metrics: Metrics,
         remember: Callable[[bytes, tuple[it.EngineId, Name, float] | None], None],
         find: Callable[[bytes], tuple[it.EngineId, Name, float] | None],
     ) -> None:
         self.query_classes = {t.name: t for t in settings.tariffs}
-        self.roll, self.metrics, self.remember, self.find = roll, metrics, remember, find
+        self.registry, self.metrics, self.remember, self.find = registry, metrics, remember, find
 
     def referenced(self, batch: Batch) -> bool:
         repeat = self.query_classes[batch.lane].repeat
@@ -61,7 +66,7 @@
             # No engine drops its repeats any more: it may have run, and must not again.
             good = False
         else:
-            good = goes_on_from(batch, query_class, self.roll, name, engine, ran_for)
+            good = goes_on_from(batch, query_class, self.registry, name, engine, ran_for)
         self.metrics.add("state: gone on with" if good else "state: told that it is not known")
         return None if good else it.Error(batch.number)
 
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -13,7 +13,7 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
-from thistlelever.store.roll import Roll, transitions
+from thistlelever.store.engine_registry import EngineRegistry, transitions
 
 
 class UnknownNameError(Exception):
@@ -38,13 +38,13 @@
     def __init__(
         self,
         subscription: Subscription,
-        roll: Roll,
+        registry: EngineRegistry,
         forget: Callable[[it.EngineId], None],
         desk: Desk,
         names: KnownNames,
     ) -> None:
         """`forget` drops the connections to an engine."""
-        self.subscription, self.roll, self.forget, self.desk = subscription, roll, forget, desk
+        self.subscription, self.registry, self.forget, self.desk = subscription, registry, forget, desk
         self.zones = {name: place for place, name in enumerate(names.zones)}
         self.kinds = {name: place for place, name in enumerate(names.kinds)}
         # Records that have left the subset, of engines that queries are still out at.
@@ -72,11 +72,11 @@
 
     def out(self, engine: str) -> bool:
         """Whether queries of this front are out at the engine."""
-        return self.roll.out[engine.encode()] > 0
+        return self.registry.out[engine.encode()] > 0
 
     def changed(self, listing: Listing) -> None:
         """The subscription holds something else than before."""
-        self.roll.sharing = listing.fronts
+        self.registry.sharing = listing.fronts
         held = self.held()
         for engine, (record, _) in self.entries.items():
             if engine not in held and engine not in self.leaving and self.out(engine):
@@ -84,7 +84,7 @@
         for engine in listing.gone:
             self.leaving.pop(engine, None)
             if self.out(engine):
-                self.roll.ended.add(engine.encode())
+                self.registry.ended.add(engine.encode())
         self.tell()
 
     def tell(self) -> None:
@@ -98,17 +98,19 @@
         }
         serial = self.subscription.replica.version.packed()
         entries = [entry for _, entry in self.entries.values()]
-        before = self.roll.states()
+        before = self.registry.states()
         last_heard = self.heard_at if isfinite(self.heard_at) else None
-        for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
+        for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
         self.desk.log(
             "list",
             version=str(self.subscription.replica.version),
             engines=len(entries),
-            changed=transitions(before, self.roll.states()),
+            changed=transitions(before, self.registry.states()),
+        )
+        self.desk.tell(
+            it.EngineListReceived(it.ListKind.WHOLE, serial, self.registry.told(), self.registry.sharing)
         )
-        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, serial, self.roll.told(), self.roll.sharing))
 
     def still_leaving(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Of the engines that have left, those that queries are out at and whose address is still theirs."""
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -18,7 +18,7 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.takeover.facts import Address, AskOn, CallOff, Enough, Group, Say, Told, may_have_run
 from thistlelever.takeover.judge import Judge
 from thistlelever.takeover.ward import Phase, Run, Ward
@@ -117,12 +117,12 @@
         judge: Judge,
         peers: PeerSocket,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         speech: Callable[[Entry], Speech],
         metrics: Metrics,
         log: Log,
     ) -> None:
-        self.judge, self.peers, self.roll, self.speech = judge, peers, roll, speech
+        self.judge, self.peers, self.registry, self.speech = judge, peers, registry, speech
         self.metrics, self.log = metrics, log
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
@@ -218,7 +218,7 @@
         if value.state is State.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
-        good = goes_on_from(batch, query_class, self.roll, *begun)
+        good = goes_on_from(batch, query_class, self.registry, *begun)
         if 0 in batch.under:
             self.metrics.add("takeover: adopted")
             self.log(
@@ -233,18 +233,18 @@
 
     async def read(self, batch: Batch, value: Value) -> End | None:
         """The result of a run that another front has out, read at its engine; None where there is none."""
-        entry = self.roll.entries.get(value.engine.encode("latin-1"))
+        entry = self.registry.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
         end, sent = End(READING, entry.engine.id), Sending(READING)
         batch.under[READING] = Name(value.txn.hex(), value.number)
-        self.roll.begin(end.engine)
+        self.registry.begin(end.engine)
         try:
             await self.speech(entry).resume(batch, entry, end, sent, batch.limit_at)
         except Ended:
             return None
         finally:
-            self.roll.end(end.engine)
+            self.registry.end(end.engine)
         if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
         self.metrics.add("takeover: read another front's run")
@@ -367,7 +367,7 @@
     async def ask_on(self, order: AskOn) -> None:
         """Until the judge says that it is enough."""
         while True:
-            entry = self.roll.entries.get(order.engine.encode("latin-1"))
+            entry = self.registry.entries.get(order.engine.encode("latin-1"))
             name = Name(order.txn.hex(), order.number)
             said = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
             self.metrics.add(f"takeover: asked on: {said}")
@@ -376,7 +376,7 @@
             await asyncio.sleep(self.judge.terms.ask)
 
     async def call_off(self, order: CallOff) -> None:
-        if entry := self.roll.entries.get(order.engine.encode("latin-1")):
+        if entry := self.registry.entries.get(order.engine.encode("latin-1")):
             await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
 
 
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -44,7 +44,7 @@
             section.threads_a_core,
             config.seed,
             parts.batches,
-            parts.roll,
+            parts.registry,
             parts.metrics,
             parts.log,
         )
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -16,24 +16,24 @@
 from thistlelever.ground.operator import Distribution, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.subsetting import FrontPlace, Requirement
 
 
 class SubscribedDiscovery:
-    """The engine list from distributors, in place of the DNS inquiry (`carrier.directory.Inquiry`), and
-    spoken to as that is."""
+    """The engine list from distributors, in place of DNS (`carrier.directory.DirectoryClient`), and spoken to
+    as that is."""
 
     def __init__(
         self,
         config: Config,
         section: Distribution,
-        roll: Roll,
+        registry: EngineRegistry,
         forget: Callable[[it.EngineId], None],
         desk: Desk,
     ) -> None:
         """Nothing is asked before `open`."""
-        self.roll, self.desk, self.start_within = roll, desk, section.start_within_s
+        self.registry, self.desk, self.start_within = registry, desk, section.start_within_s
         terms = SubscriptionTerms(
             tuple(parse_address(text) for text in section.distributors),
             section.heartbeat_s,
@@ -48,7 +48,7 @@
             self.changed,
         )
         names = KnownNames(config.zones, config.kinds)
-        self.list = SubscribedList(self.subscription, roll, forget, desk, names)
+        self.list = SubscribedList(self.subscription, registry, forget, desk, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the configuration is to be read again.
         self.on_new_configuration: Callable[[], None] = lambda: None
@@ -90,7 +90,7 @@
         if self.task:
             return
         self.task = asyncio.get_running_loop().create_task(self.subscription.run())
-        if not self.roll.entries:
+        if not self.registry.entries:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.first.wait(), self.start_within)
 
@@ -123,7 +123,7 @@
             "last_error": subscription.last_error,
             "engines": sum(record.in_subset for record in engines_of(replica.records.values())),
             "retained": list(self.list.retained()),
-            "fronts": self.roll.sharing,
+            "fronts": self.registry.sharing,
             "configuration": self.configuration.show(),
             "counts": dict(sorted(subscription.counts.items())),
         }
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -23,7 +23,7 @@
         between = max(terms.held_bytes_all // terms.streams, LEAST_BETWEEN)
         self.engines = FlightEngines(
             config.settings,
-            parts.roll,
+            parts.registry,
             parts.desk,
             parts.metrics,
             terms.held_bytes,
--- a/thistlelever/lifecycle/parts.py
+++ b/thistlelever/lifecycle/parts.py
@@ -10,14 +10,14 @@
 
 from thistlelever.carrier.course import Courses
 from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.directory import Inquiry
+from thistlelever.carrier.directory import DirectoryClient
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.intake import Intake
 from thistlelever.ground.log import Log
 from thistlelever.ground.config import Config
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batches
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator
@@ -30,12 +30,12 @@
     log: Log
     metrics: Metrics
     batches: Batches
-    roll: Roll
+    registry: EngineRegistry
     desk: Desk
     intake: Intake
     courses: Courses
     dispatcher: Dispatcher
-    inquiry: Inquiry
+    discovery: DirectoryClient
 
 
 class Side(Protocol):
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.clients import Reception
 from thistlelever.carrier.course import Courses
 from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.directory import Deaf, Inquiry
+from thistlelever.carrier.directory import Deaf, DirectoryClient
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.carrier.intake import Intake
@@ -27,8 +27,8 @@
 from thistlelever.lifecycle.start_times import StartTimes
 from thistlelever.store.batches import Batches
 from thistlelever.store.bounds import bounds
-from thistlelever.store.links import OWN_WANT, Links
-from thistlelever.store.roll import Roll
+from thistlelever.store.connections import OWN_WANT, ConnectionPool
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
@@ -75,18 +75,20 @@
         self.config, self.log, self.read_again = config, log, read_again
         # The operator file, where there is one: what is switched on beyond the platform's own front.
         self.operator, self.operator_again = operator, operator_again
-        self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
-        self.roll.replace(config.serial, list(config.known), clock.now())
+        self.metrics, self.batches, self.registry = Metrics(), Batches(), EngineRegistry()
+        self.registry.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
         self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
         flight = operator.flight if operator else None
         limits = bounds(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
-        self.links = Links(limits.links, config.idle, settings.connect_limit, self.metrics)
-        self.links.listed = self.roll.listed
-        self.links.reachable = self.roll.reachable
-        over_http = HttpEngines(settings, self.roll, self.links, self.desk, self.metrics)
+        self.connections = ConnectionPool(
+            limits.connections, config.idle, settings.connect_limit, self.metrics
+        )
+        self.connections.listed = self.registry.listed
+        self.connections.reachable = self.registry.reachable
+        over_http = HttpEngines(settings, self.registry, self.connections, self.desk, self.metrics)
         self.dispatcher = Dispatcher(
-            settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
+            settings, self.registry, lambda entry: over_http, self.desk, self.metrics, log
         )
         self.flight: FlightSide | None = None
         self.membership: MembershipSide | None = None
@@ -95,9 +97,9 @@
         self.pulse = Pulse()
         self.intake = Intake(settings, self.pulse, self.batches)
         self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
-        self.inquiry = self.discovery(operator)
+        self.discovery = self.create_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
-        self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
+        self.desk.on_ask_list = lambda: self.discovery.ask(by_order=True)
         # What the operator file switches on beside that, in the order in which it is opened.
         self.sides: list[Side] = self.switched_on(operator) if operator else []
         if self.flight:
@@ -105,19 +107,19 @@
             self.dispatcher.speech = lambda entry: side.engines if side.speaks(entry) else over_http
         self.admin: Administration | None = None
         self.stop, self.renew = asyncio.Event(), asyncio.Event()
-        self.inquiry.on_new_configuration = self.renew.set
+        self.discovery.on_new_configuration = self.renew.set
         self.tasks: list[asyncio.Task] = []
 
-    def discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
+    def create_discovery(self, operator: Operator | None) -> DirectoryClient | SubscribedDiscovery:
         """Where the list of engines comes from: DNS, or distributors where the operator file names them."""
         config = self.config
         if operator and operator.distribution:
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
 
             section = operator.distribution
-            return SubscribedDiscovery(config, section, self.roll, self.forget, self.desk)
-        return Inquiry(
-            self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
+            return SubscribedDiscovery(config, section, self.registry, self.forget, self.desk)
+        return DirectoryClient(
+            self.registry, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
         )
 
     def parts(self) -> Parts:
@@ -129,12 +131,12 @@
             self.log,
             self.metrics,
             self.batches,
-            self.roll,
+            self.registry,
             self.desk,
             self.intake,
             self.courses,
             self.dispatcher,
-            self.inquiry,
+            self.discovery,
         )
 
     def switched_on(self, operator: Operator) -> list[Side]:
@@ -153,7 +155,7 @@
             sides.append(self.state)
             # Risk: a front that starts again takes an older list than it had, of a distributor that is
             # behind.
-            self.inquiry.accept_from(self.state.highest_serial())
+            self.discovery.accept_from(self.state.highest_serial())
         if operator.budgets:
             from thistlelever.lifecycle.budgets import BudgetsSide
 
@@ -179,7 +181,7 @@
 
     def forget(self, engine: it.EngineId) -> None:
         """Connections to an engine that is gone or was started anew."""
-        self.links.forget(engine)
+        self.connections.forget(engine)
         if self.flight:
             self.flight.engines.forget(engine)
 
@@ -192,14 +194,14 @@
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.renew.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        await self.inquiry.open(self.config.directory)
+        await self.discovery.open(self.config.directory)
         start_times.reached("directory")
         address = self.config.peer_listen
         if address and not self.membership:
             await patiently(
                 lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
             )
-        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
+        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.registry.serial, self.registry.told()))
         raw = await patiently(lambda: listener(self.config.listen))
         self.reception.listen(raw)
         start_times.reached("listening")
@@ -213,14 +215,14 @@
             self.admin = Administration(self.operator.admin.socket, self.questions())
             await self.admin.listen()
         self.reception.ready = lambda: not self.stop.is_set()
-        works = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.renewing()
+        works = self.discovery.run(), self.pulse.run(), self.housekeeping(), self.renewing()
         self.tasks = [loop.create_task(work) for work in works]
         self.log(
             "ready",
             listen=raw.getsockname(),
-            engines=len(self.roll.entries),
-            serial=self.roll.serial,
-            links=self.links.most,
+            engines=len(self.registry.entries),
+            serial=self.registry.serial,
+            links=self.connections.most,
             start=start_times.stages,
             **further,
         )
@@ -228,7 +230,7 @@
     def questions(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked, by the parts that are on."""
         asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
-        for part in (self.inquiry, *self.sides):
+        for part in (self.discovery, *self.sides):
             asked |= part.questions()
         return asked
 
@@ -258,7 +260,7 @@
             await self.admin.close()
         for task in self.tasks:
             task.cancel()
-        self.inquiry.close()
+        self.discovery.close()
         self.metrics.check_invariant(not self.batches.by_number, "all answered at the end")
         self.log("stopped", counts=self.metrics.counts)
 
@@ -271,15 +273,15 @@
                 continue
             try:
                 new = self.read_again()
-                operator = self.inquiry.overlay(self.operator_again()) if self.operator_again else None
+                operator = self.discovery.overlay(self.operator_again()) if self.operator_again else None
                 if operator and operator.budgets:
                     from thistlelever.lifecycle.budgets import plan
 
                     plan(operator.budgets)
                 if new.directory != self.config.directory:
-                    await self.inquiry.open(new.directory)
+                    await self.discovery.open(new.directory)
                 # Risk: a drain that it names is known only once the directory's new address has answered.
-                self.inquiry.hold(new.serial, list(new.known))
+                self.discovery.hold(new.serial, list(new.known))
             except ConfigError as why:
                 self.log("reload refused", why=str(why))
                 continue
@@ -319,13 +321,13 @@
         written, due = None, clock.now() + COUNTS_EVERY
         while True:
             await asyncio.sleep(HOUSEKEEPING)
-            self.links.sweep()
+            self.connections.sweep()
             self.reception.sweep()
             if clock.now() >= due and self.metrics.counts != written:
                 written = self.metrics.counts.copy()
                 self.log(
                     "counts",
-                    links=self.links.count,
+                    links=self.connections.count,
                     counts=written,
                     turns=self.desk.turns,
                     deciding=round(self.desk.spent, 3),
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -87,10 +87,10 @@
         self.fresh_start = len(self.judge.use) == len(entries)
         if not self.fresh_start:
             self.use()
-        self.serial, self.written_at = parts.roll.serial, 0.0
+        self.serial, self.written_at = parts.registry.serial, 0.0
         self.tasks: list[asyncio.Task] = []
         parts.courses.memory = Recollection(
-            parts.config.settings, parts.roll, parts.metrics, self.remember, self.find
+            parts.config.settings, parts.registry, parts.metrics, self.remember, self.find
         )
 
     # What a former life knew.
@@ -123,7 +123,7 @@
         """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
         serial."""
         entries = [self.entries[engine] for engine in sorted(self.judge.use)]
-        self.parts.roll.remember(entries, clock.now())
+        self.parts.registry.remember(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The serial of the newest list that is kept; 0 where none is."""
@@ -190,17 +190,17 @@
         self.judge.waited()
 
     def tell_list(self) -> None:
-        if self.judge.stage is not Stage.LISTED and not self.parts.roll.serial:
+        if self.judge.stage is not Stage.LISTED and not self.parts.registry.serial:
             self.use()
-            roll = self.parts.roll
-            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
+            registry = self.parts.registry
+            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, registry.serial, registry.told()))
             self.parts.log("started by what was remembered", **self.judge.show())
 
     async def finding(self) -> None:
         """Where nobody answered: again and again, until somebody does or discovery is back."""
         while not self.fresh_start:
             await asyncio.sleep(AGAIN)
-            if self.parts.roll.serial:
+            if self.parts.registry.serial:
                 self.judge.listed()
                 return
             if self.judge.again():
@@ -215,17 +215,17 @@
             self.note()
 
     def note(self) -> None:
-        roll, keeper, heard = self.parts.roll, self.keeper, self.parts.inquiry.heard_at
+        registry, keeper, heard = self.parts.registry, self.keeper, self.parts.discovery.heard_at
         if heard > self.written_at:
             self.written_at, at = heard, moment(clock.now() - heard)
             if self.judge.stage is not Stage.LISTED:
                 self.judge.listed()
-            for engine in [e for e in keeper.records["listed"] if e not in roll.entries]:
+            for engine in [e for e in keeper.records["listed"] if e not in registry.entries]:
                 keeper.drop("listed", engine)
                 keeper.drop("learnt", engine)
-            for engine, entry in roll.entries.items():
+            for engine, entry in registry.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
-                    keeper.put("listed", engine, record(entry, roll.serial, at))
+                    keeper.put("listed", engine, record(entry, registry.serial, at))
         learnt, at = self.parts.desk.front.learned_state(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -68,7 +68,7 @@
             self.judge,
             membership.peers,
             config.settings,
-            parts.roll,
+            parts.registry,
             lambda entry: parts.dispatcher.speech(entry),
             parts.metrics,
             parts.log,
--- a/thistlelever/store/bounds.py
+++ b/thistlelever/store/bounds.py
@@ -18,7 +18,7 @@
     """Connections of clients and to engines; bytes that clients have not read, or not sent whole."""
 
     sessions: int
-    links: int
+    connections: int
     unread: int
     unfinished: int
 
--- a/thistlelever/store/links.py
+++ b/thistlelever/store/connections.py
@@ -56,7 +56,7 @@
     """No whole reply in the time given."""
 
 
-class Link:
+class Connection:
     """One connection to one engine; carries one call at a time."""
 
     def __init__(self, stream: Stream, engine: EngineId) -> None:
@@ -124,14 +124,14 @@
         return False
 
 
-class Links:
+class ConnectionPool:
     """All links of this front. Who finds none free waits in turn, what is urgent before polls."""
 
     def __init__(self, most: int, idle: float, connect_limit: float, metrics: Metrics) -> None:
         self.most, self.idle = most, idle * IDLE_SHARE
         self.connect_limit, self.metrics = connect_limit, metrics
         self.most_polls = most - int(most * URGENT_SHARE)
-        self.kept: dict[EngineId, deque[Link]] = {}
+        self.kept: dict[EngineId, deque[Connection]] = {}
         self.count = 0
         # Risk: a link that comes back after its engine has gone is kept for nobody.
         self.listed: Callable[[EngineId], bool] = lambda engine: True
@@ -140,7 +140,9 @@
         # Who waits, urgent ones and polls apart: for which engine, and what wakes them.
         self.waiting: tuple[deque[tuple[EngineId, asyncio.Future]], ...] = (deque(), deque())
 
-    async def take(self, entry: Entry, urgent: bool, patient: bool = False, unused: bool = False) -> Link:
+    async def take(
+        self, entry: Entry, urgent: bool, patient: bool = False, unused: bool = False
+    ) -> Connection:
         """A link that carries nothing: a kept one, or a new one. Who is patient waits for one that has not
         rested yet sooner than that it opens another; who wants an unused one gets one that never carried
         anything."""
@@ -149,9 +151,9 @@
             if not self.reachable(entry):
                 self.metrics.add("links to an address that is another engine's")
                 raise Refused("the engine has left its address")
-            link = None if unused else self.rested(engine)
-            if link:
-                return link
+            connection = None if unused else self.rested(engine)
+            if connection:
+                return connection
             if patient and not unused and (kept := self.kept.get(engine)):
                 await asyncio.sleep(max(kept[0].idle_since + REST - monotonic(), 0.0005))
                 continue
@@ -162,27 +164,27 @@
                 await asyncio.sleep(REST)
             elif not self.close_idle_one():
                 self.metrics.add("links short")
-                link = await self.turn(NOBODY if unused else engine, urgent)
-                if link:
-                    return link
+                connection = await self.turn(NOBODY if unused else engine, urgent)
+                if connection:
+                    return connection
 
-    def rested(self, engine: EngineId) -> Link | None:
+    def rested(self, engine: EngineId) -> Connection | None:
         """The last one given back that has rested: those longer idle may then be closed for others."""
         kept, before = self.kept.get(engine, deque()), monotonic() - REST
         place = len(kept) - 1
         while place >= 0:
-            link = kept[place]
-            if not link.fresh():
+            connection = kept[place]
+            if not connection.fresh():
                 self.metrics.add("links that were not as left")
                 del kept[place]
-                self.close(link)
-            elif link.idle_since <= before:
+                self.close(connection)
+            elif connection.idle_since <= before:
                 del kept[place]
-                return link
+                return connection
             place -= 1
         return None
 
-    async def turn(self, engine: EngineId, urgent: bool) -> Link | None:
+    async def turn(self, engine: EngineId, urgent: bool) -> Connection | None:
         """Wait for a link that is given back, or for the place of one that is closed."""
         turn = asyncio.get_running_loop().create_future()
         self.waiting[not urgent].append((engine, turn))
@@ -197,7 +199,7 @@
                     self.wake()
             raise
 
-    async def connect(self, entry: Entry) -> Link:
+    async def connect(self, entry: Entry) -> Connection:
         self.count += 1
         stream = None
         try:
@@ -215,7 +217,7 @@
             if isinstance(why, StreamClosedError | OSError):
                 raise self.meaning(why) from None
             raise
-        return Link(stream, entry.engine.id)
+        return Connection(stream, entry.engine.id)
 
     def meaning(self, why: Exception) -> Exception:
         real = getattr(why, "real_error", None) or why
@@ -226,38 +228,38 @@
             return Broken(str(real))
         return Short(str(real)) if getattr(real, "errno", None) in OWN_WANT else Unreached(str(real))
 
-    def give_back(self, link: Link) -> None:
+    def give_back(self, connection: Connection) -> None:
         """Keep a link for the next call, or close it where its call did not end well."""
-        if link.stream.closed() or link.calling or not self.listed(link.engine):
-            self.close(link)
+        if connection.stream.closed() or connection.calling or not self.listed(connection.engine):
+            self.close(connection)
             return
-        link.rest()
+        connection.rest()
         if any(not turn.done() for waiting in self.waiting for _, turn in waiting):
-            asyncio.get_running_loop().call_later(REST, self.settle, link)
+            asyncio.get_running_loop().call_later(REST, self.settle, connection)
         else:
-            self.kept.setdefault(link.engine, deque()).append(link)
+            self.kept.setdefault(connection.engine, deque()).append(connection)
 
-    def settle(self, link: Link) -> None:
+    def settle(self, connection: Connection) -> None:
         """A link that has rested goes to who waits for one."""
-        if not link.fresh():
+        if not connection.fresh():
             self.metrics.add("links that were not as left")
-            self.close(link)
+            self.close(connection)
             return
         for waiting in self.waiting:
             for place, (engine, turn) in enumerate(waiting):
-                if engine == link.engine and not turn.done():
+                if engine == connection.engine and not turn.done():
                     # Risk: closed and made anew for each call, links take the time that they are short of.
                     del waiting[place]
-                    turn.set_result(link)
+                    turn.set_result(connection)
                     return
         if any(not turn.done() for waiting in self.waiting for _, turn in waiting):
             # Who waits wants another engine: a closed link is a place for any.
-            self.close(link)
+            self.close(connection)
             return
-        self.kept.setdefault(link.engine, deque()).append(link)
+        self.kept.setdefault(connection.engine, deque()).append(connection)
 
-    def close(self, link: Link) -> None:
-        link.stream.close()
+    def close(self, connection: Connection) -> None:
+        connection.stream.close()
         self.freed()
 
     def freed(self) -> None:
@@ -278,8 +280,8 @@
         oldest = min((k for k in self.kept.values() if k), key=lambda k: k[0].idle_since, default=None)
         if oldest is None:
             return False
-        link = oldest.popleft()
-        link.stream.close()
+        connection = oldest.popleft()
+        connection.stream.close()
         self.count -= 1
         return True
 
@@ -294,5 +296,5 @@
 
     def forget(self, engine: EngineId) -> None:
         """Close the kept links of an engine that is gone or was started anew: a call on one goes nowhere."""
-        for link in self.kept.pop(engine, ()):
-            self.close(link)
+        for connection in self.kept.pop(engine, ()):
+            self.close(connection)
--- a/thistlelever/store/roll.py
+++ b/thistlelever/store/engine_registry.py
@@ -8,7 +8,7 @@
 from thistlelever.store.engine_starts import EngineStarts
 
 
-class Roll:
+class EngineRegistry:
     """The newest list. An engine that has left it stays known for as long as something of it is out."""
 
     def __init__(self) -> None:
