--- a/rigs/capacity.py
+++ b/rigs/capacity.py
@@ -30,7 +30,7 @@
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import GROUP, SETTINGS, configuration
 from thistlelever.store import connections
-from thistlelever.store.bounds import CLIENTS_SHARE, OWN_DESCRIPTORS, bounds
+from thistlelever.store.connection_limits import CLIENTS_SHARE, OWN_DESCRIPTORS, connection_limits
 
 # A front's mean at the size that is coming, and how often it asks the directory.
 TARGET_CONNECTIONS, TARGET_RATE, ASKS_A_SECOND = 2_031, 2_375, 1 / 0.3
@@ -260,12 +260,12 @@
         "dns_bytes_directory_s": round(answer * ASKS_A_SECOND * slopes.TARGET_FRONTS),
         "dns_questions_directory_s": round(ASKS_A_SECOND * slopes.TARGET_FRONTS),
         "changes_a_second": round(CHANGES_A_SECOND, 3),
-        "client_connections_by_1024_sockets": bounds(1_024, FRONT_MEMORY_MB).sessions,
-        "engine_connections_by_1024_sockets": bounds(1_024, FRONT_MEMORY_MB).connections,
+        "client_connections_by_1024_sockets": connection_limits(1_024, FRONT_MEMORY_MB).client_connections,
+        "engine_connections_by_1024_sockets": connection_limits(1_024, FRONT_MEMORY_MB).engine_connections,
         "sockets_for_all_clients": round(TARGET_CONNECTIONS / CLIENTS_SHARE),
         "sockets_for_all_engines": round((engines + OWN_DESCRIPTORS) / (1 - CLIENTS_SHARE)),
         "engines_connected_by_idle_time": round(linked),
-        "engine_connections_buffers_mb": round(linked * connections.BUFFER / 1e6),
+        "engine_connections_buffers_mb": round(linked * connections.BUFFER_BYTES / 1e6),
     }
 
 
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -16,7 +16,7 @@
 
 from rigs.membership_model import measure as play_membership
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.directory import NAME, DirectoryClient
+from thistlelever.carrier.directory import SERVICE_NAME, DirectoryClient
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
 from thistlelever.ground.metrics import Metrics
@@ -190,12 +190,12 @@
             EngineRegistry(), lambda engine: None, DecisionDesk(), Metrics(), **zones
         )
         # The second answer that a newer list needs is handed to it by the rig.
-        self.client.ask = lambda by_order: None
+        self.client.poll = lambda requested: None
 
     def take(self, answer: bytes) -> None:
         number = int.from_bytes(answer[:2], "big")
         self.client.awaited[number] = number, AnswerTimer()
-        self.client.answered(answer)
+        self.client.receive(answer)
 
 
 def times_played(size: int) -> int:
@@ -213,7 +213,7 @@
     parsed, taken, compared, changed = [], [], [], []
     for _ in range(times_played(count)):
         client = DetachedDirectoryClient()
-        parsed.append(cpu_of(lambda: dns.listing(first, 1, NAME)))
+        parsed.append(cpu_of(lambda: dns.listing(first, 1, SERVICE_NAME)))
         taken.append(cpu_of(lambda client=client: client.take(first)))
         compared.append(cpu_of(lambda client=client: client.take(equal)))
         changed.append(cpu_of(lambda client=client: (client.take(after), client.take(confirming))))
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -3,7 +3,7 @@
 from time import perf_counter
 
 from rigs.scale_front import HollowPlace, empty_front
-from thistlelever.carrier.directory import NAME, PACE, DirectoryClient
+from thistlelever.carrier.directory import POLL_INTERVAL, SERVICE_NAME, DirectoryClient
 from thistlelever.ground import interface as it
 from thistlelever.standins.directory import dns_answer
 from thistlelever.wire import dns
@@ -24,11 +24,11 @@
     fits = len(answer) <= LONGEST_DATAGRAM
     return {
         "list_bytes": len(answer),
-        "control_bytes_s": round(len(answer) / PACE),
+        "control_bytes_s": round(len(answer) / POLL_INTERVAL),
         "fits_a_datagram": fits,
         "engines_in_a_datagram": int(LONGEST_DATAGRAM / an_engine),
         "change_of_one_core_s": round(change_of_one(answer, zones, fronts), 4),
-        "in_force_max_s": PACE if fits else None,
+        "in_force_max_s": POLL_INTERVAL if fits else None,
     }
 
 
@@ -42,11 +42,11 @@
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
-        listing = dns.listing(answer, 1, NAME)
+        listing = dns.listing(answer, 1, SERVICE_NAME)
         listed = [client.entry(found) for found in listing.engines]
         parts.registry.replace(serial, listed, float(serial))
         parts.desk.front.handle(
-            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.registry.told())]
+            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.registry.engine_list())]
         )
         spent.append(perf_counter() - began)
     return min(spent[1:])
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -112,7 +112,7 @@
         listed = {
             name.decode(): "{}:{}".format(*entry.address)
             for name, entry in registry.entries.items()
-            if registry.listed(name)
+            if registry.is_listed(name)
         }
         addresses = {record.id: record.address for record in replica.records.values()}
         return {
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -214,8 +214,8 @@
 
     async def do_volunteers(self, name, *words):
         """The engine sends what nobody asked for on its newest connection; the front has seen it."""
-        kept = self.office.connections.kept[name.encode()]
-        seen = kept[-1].reading
+        kept = self.office.connections.idle[name.encode()]
+        seen = kept[-1].pending_read
         self.engines[name].writers[-1].write(unescaped(words))
         async with asyncio.timeout(LONGEST_WAIT):
             await asyncio.wait((seen,))
@@ -249,7 +249,8 @@
     async def do_listed(self, *names):
         registry = self.office.registry
         await self.until(
-            lambda: sorted(names) == sorted(e.id.decode() for e in registry.told() if registry.open_to(e.id))
+            lambda: sorted(names)
+            == sorted(e.id.decode() for e in registry.engine_list() if registry.accepts_dispatches(e.id))
         )
 
     async def do_lags(self, seconds):
@@ -262,11 +263,11 @@
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
-        assert len(self.office.connections.kept.get(name.encode(), ())) == int(count)
+        assert len(self.office.connections.idle.get(name.encode(), ())) == int(count)
 
     async def do_waiting(self, count):
         """So many calls wait for a connection."""
-        await self.until(lambda: sum(map(len, self.office.connections.waiting)) >= int(count))
+        await self.until(lambda: sum(map(len, self.office.connections.waiters)) >= int(count))
 
     async def do_counted(self, *words):
         name = " ".join(words)
@@ -302,7 +303,7 @@
 
     async def do_places(self, count):
         """So many clients at once, whatever the descriptors allow."""
-        self.office.reception.bounds = self.office.reception.bounds._replace(sessions=int(count))
+        self.office.reception.limits = self.office.reception.limits._replace(client_connections=int(count))
 
     async def do_rush(self, count, silent):
         """In one moment so many clients connect with a batch each, behind them others that say nothing."""
@@ -686,12 +687,12 @@
 @contextmanager
 def brisk():
     """A stop and a directory's pace shorter than in service, so that tests wait less."""
-    was = run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE
-    run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE = 0.05, 0.3, 0.05
+    was = run.STILL_COMING, run.LONGEST_LIMIT, directory.POLL_INTERVAL
+    run.STILL_COMING, run.LONGEST_LIMIT, directory.POLL_INTERVAL = 0.05, 0.3, 0.05
     try:
         yield
     finally:
-        run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE = was
+        run.STILL_COMING, run.LONGEST_LIMIT, directory.POLL_INTERVAL = was
 
 
 @asynccontextmanager
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -101,7 +101,7 @@
             raise why
 
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
-        engines = HttpEngines(terms, None, SimpleNamespace(take=take), None, Metrics())
+        engines = HttpEngines(terms, None, SimpleNamespace(acquire=take), None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         with pytest.raises(Ended) as ended:
             await engines.converse(batch, "entry", End(0, b"a"), Sending(0), 0.0)
@@ -128,7 +128,7 @@
                 await ended.wait()
 
         registry = SimpleNamespace(
-            begin=lambda engine: None, end=lambda engine: None, entries={b"a": "entry"}
+            dispatch_started=lambda engine: None, dispatch_ended=lambda engine: None, entries={b"a": "entry"}
         )
         terms = SimpleNamespace(cancel=False, copies=False)
         dispatcher = Dispatcher(
@@ -163,7 +163,9 @@
 def called_off_before_its_first_step(then):
     async def run():
         registry = SimpleNamespace(
-            begin=lambda engine: out.update([engine]), end=lambda engine: out.subtract([engine]), entries={}
+            dispatch_started=lambda engine: out.update([engine]),
+            dispatch_ended=lambda engine: out.subtract([engine]),
+            entries={},
         )
         out = Counter()
         terms = SimpleNamespace(cancel=True, copies=False)
@@ -195,9 +197,9 @@
     pulse = Pulse()
     intake = Intake(settings, pulse, Batches())
     fields = {"id": "00000000000000aa", "wait": 1500, "tenant": "acme", "cost": 50.0}
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
+    assert intake.batch("lookup", fields, b"select a from sales_17.orders").received.time_limit == 1.5
     pulse.due = clock.now() - 3.0
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit < 0
+    assert intake.batch("lookup", fields, b"select a from sales_17.orders").received.time_limit < 0
 
 
 @asynccontextmanager
@@ -206,7 +208,7 @@
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     entry = SimpleNamespace(engine=SimpleNamespace(id=b"a"), address=server.sockets[0].getsockname())
     connections = ConnectionPool(1, 30.0, 8.0, Metrics())
-    used = await connections.take(entry, urgent=True)
+    used = await connections.acquire(entry, urgent=True)
     used.calls = 1
     async with asyncio.timeout(8):
         yield connections, used, entry
@@ -215,12 +217,12 @@
 
 @pytest.mark.parametrize("unused", (False, True))
 def test_who_wants_an_unused_link_gets_none_that_carried_a_call(unused):
-    # What arrives late on a used connection is taken for the answer to the next call (`ConnectionPool.take`).
-    # With one place only the kept one makes way.
+    # What arrives late on a used connection is taken for the answer to the next call
+    # (`ConnectionPool.acquire`). With one place only the kept one makes way.
     async def run():
         async with one_place() as (connections, kept, entry):
-            connections.give_back(kept)
-            connection = await connections.take(entry, urgent=True, unused=unused)
+            connections.release(kept)
+            connection = await connections.acquire(entry, urgent=True, unused=unused)
             assert (
                 isinstance(connection, Connection)
                 and (connection.calls == 0) is unused
@@ -234,10 +236,10 @@
 def test_who_waits_for_an_unused_link_gets_the_place_of_one_that_comes_back():
     async def run():
         async with one_place() as (connections, used, entry):
-            waits = asyncio.create_task(connections.take(entry, urgent=True, unused=True))
-            while not any(connections.waiting):
+            waits = asyncio.create_task(connections.acquire(entry, urgent=True, unused=True))
+            while not any(connections.waiters):
                 await asyncio.sleep(0)
-            connections.give_back(used)
+            connections.release(used)
             connection = await waits
             assert connection.calls == 0 and connections.count == 1
             connections.close(connection)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.http_engines import RETRY_PACE, HttpEngines
 from thistlelever.ground import clock
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.store.connections import REST, ConnectionPool, Unreached
+from thistlelever.store.connections import MIN_IDLE, ConnectionPool, Unreached
 from thistlelever.ground.metrics import Metrics
 
 TICK = 0.02
@@ -112,7 +112,7 @@
 
     async def run():
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
-        connections = SimpleNamespace(take=take)
+        connections = SimpleNamespace(acquire=take)
         engines = HttpEngines(terms, None, connections, None, Metrics())
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(4 * RETRY_PACE):
@@ -130,11 +130,11 @@
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         courses.batches.add(batch)
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(0) as batch.limits[0]:
+            async with asyncio.timeout(0) as batch.timeouts[0]:
                 await asyncio.Event().wait()
-        async with asyncio.timeout(60) as batch.limits[1]:
+        async with asyncio.timeout(60) as batch.timeouts[1]:
             courses.stop(clock.now() + 1)
-            assert batch.limits[1].when() < asyncio.get_running_loop().time() + 2
+            assert batch.timeouts[1].when() < asyncio.get_running_loop().time() + 2
         batch.backstop.cancel()
 
     asyncio.run(run())
@@ -157,8 +157,8 @@
 
     async def run():
         terms = SimpleNamespace(report_fields=(), cancel=True, connect_limit=0.25, tariffs=())
-        connections = SimpleNamespace(take=take, give_back=lambda connection: None)
-        registry = SimpleNamespace(open_to=lambda engine: False)
+        connections = SimpleNamespace(acquire=take, release=lambda connection: None)
+        registry = SimpleNamespace(accepts_dispatches=lambda engine: False)
         engines = HttpEngines(terms, registry, connections, None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         entry = SimpleNamespace(address=("127.0.0.1", 1), engine=SimpleNamespace(id=b"a"))
@@ -174,18 +174,18 @@
 
     async def run():
         connections = ConnectionPool(10, 30.0, 0.25, Metrics())
-        kept = SimpleNamespace(fresh=lambda: True, idle_since=monotonic())
-        connections.kept["e"] = deque([kept])
+        kept = SimpleNamespace(is_clean=lambda: True, idle_since=monotonic())
+        connections.idle["e"] = deque([kept])
 
         async def connect(entry):
             made.append(entry)
 
         connections.connect = connect
         entry = SimpleNamespace(engine=SimpleNamespace(id="e"))
-        assert await connections.take(entry, urgent=False, patient=True) is kept
-        assert monotonic() - kept.idle_since >= REST and not made
-        connections.kept["e"] = deque([SimpleNamespace(fresh=lambda: True, idle_since=monotonic())])
-        await connections.take(entry, urgent=True)
+        assert await connections.acquire(entry, urgent=False, patient=True) is kept
+        assert monotonic() - kept.idle_since >= MIN_IDLE and not made
+        connections.idle["e"] = deque([SimpleNamespace(is_clean=lambda: True, idle_since=monotonic())])
+        await connections.acquire(entry, urgent=True)
         assert made == [entry]
 
     asyncio.run(run())
--- a/tests/test_engine_registry.py
+++ b/tests/test_engine_registry.py
@@ -24,33 +24,33 @@
 def test_a_gone_engine_is_not_reached_at_an_address_that_is_another_engines():
     registry, old, new = EngineRegistry(), entry(b"old"), entry(b"new")
     registry.replace(1, [old], 0.0)
-    registry.begin(b"old")
-    assert registry.reachable(old)
+    registry.dispatch_started(b"old")
+    assert registry.is_reachable(old)
     assert registry.replace(2, [new], 1.0) == [b"old"]
     assert registry.entries[b"old"].engine.state is it.EngineState.GONE
-    assert not registry.reachable(old) and registry.reachable(new)
+    assert not registry.is_reachable(old) and registry.is_reachable(new)
 
 
 def test_a_gone_engine_whose_address_is_nobodys_is_still_asked_for_what_is_out():
     registry, old = EngineRegistry(), entry(b"old")
     registry.replace(1, [old], 0.0)
-    registry.begin(b"old")
+    registry.dispatch_started(b"old")
     registry.replace(2, [entry(b"new", ("127.0.0.1", 10))], 1.0)
-    assert registry.reachable(old)
+    assert registry.is_reachable(old)
 
 
 def test_an_engine_whose_process_has_ended_is_not_reached_at_all():
     registry, old = EngineRegistry(), entry(b"old")
     registry.replace(1, [old], 0.0)
-    registry.begin(b"old")
-    registry.ended.add(b"old")
+    registry.dispatch_started(b"old")
+    registry.ended_engines.add(b"old")
     registry.update(1, [], 1.0)
-    assert not registry.reachable(old)
+    assert not registry.is_reachable(old)
     # Once nothing is out there it is forgotten.
-    registry.end(b"old")
+    registry.dispatch_ended(b"old")
     registry.update(2, [], 2.0)
     registry.update(3, [], 3.0)
-    assert not registry.entries and not registry.ended
+    assert not registry.entries and not registry.ended_engines
 
 
 def test_no_connection_is_opened_to_an_address_that_is_another_engines():
@@ -60,12 +60,12 @@
         address = server.sockets[0].getsockname()
         registry, old = EngineRegistry(), entry(b"old", address)
         registry.replace(1, [old], 0.0)
-        registry.begin(b"old")
+        registry.dispatch_started(b"old")
         registry.replace(2, [entry(b"new", address)], 1.0)
         connections = ConnectionPool(4, 1.0, 0.25, Metrics())
-        connections.reachable = registry.reachable
+        connections.is_reachable = registry.is_reachable
         with pytest.raises(Refused):
-            await connections.take(old, urgent=False)
+            await connections.acquire(old, urgent=False)
         await asyncio.sleep(0.05)
         assert not accepted
         server.close()
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -109,12 +109,12 @@
     async def whole():
         async with served("engine a\nfront") as stage:
             reception = stage.office.reception
-            bounds = reception.bounds
-            reception.bounds = bounds._replace(unread=10)
+            limits = reception.limits
+            reception.limits = limits._replace(unread_bytes=10)
             stage.writer.write(stage.submission(1, "lookup"))
             await stage.do_counted("clients", "that", "do", "not", "read")
             await stage.do_hung_up()
-            reception.bounds = bounds
+            reception.limits = limits
             await stage.do_crowd("1")
             reader, writer = stage.crowd[0]
             writer.write(stage.submission(2, "lookup"))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -27,7 +27,7 @@
 from thistlelever.ledger.records import Damaged, Mark, Moment, Newer, Rest, Window
 from thistlelever.recovery.ages import Age, Grade, Now, Terms, age, grade, trust
 from thistlelever.recovery.judge import Judge, Stage
-from thistlelever.store.batches import Batch, Name
+from thistlelever.store.batches import Batch, DispatchName
 
 AT = Moment(1e9, 50.0, "boot")
 ROOT = Path(__file__).parents[1]
@@ -431,18 +431,18 @@
 def test_what_may_have_run_before_a_restart_goes_only_where_its_repeat_is_dropped(
     scope, listed, ran, out, answer
 ):
-    registry = SimpleNamespace(listed=lambda engine: listed)
+    registry = SimpleNamespace(is_listed=lambda engine: listed)
     metrics = SimpleNamespace(add=lambda name: None)
-    found = b"e-1", Name("a" * 16, 2), ran
+    found = b"e-1", DispatchName("a" * 16, 2), ran
     memory = Recollection(
         SimpleNamespace(tariffs=(query_class(scope),)), registry, metrics, None, lambda mark: found
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
     told = memory.enter(batch)
-    assert (told and type(told)) == answer and batch.taken.running_on == out
+    assert (told and type(told)) == answer and batch.received.running_on == out
     if out:
-        assert batch.name(0) == Name("a" * 16, 2) and batch.taken.running_for == ran
+        assert batch.dispatch_name(0) == DispatchName("a" * 16, 2) and batch.received.running_for == ran
 
 
 # Commands.
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -35,7 +35,7 @@
     def hear(self, *answers, pause=0.001):
         for one in answers:
             self.now += pause
-            self.step = self.agreement.heard(one, self.held, self.now)
+            self.step = self.agreement.receive(one, self.held, self.now)
             if self.step.adopt:
                 self.held = one
         return self
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -86,7 +86,7 @@
 
     async def whole():
         async with served("engine a\nengine b\nfront") as stage:
-            monkeypatch.setattr(directory, "PACE", 0.005)
+            monkeypatch.setattr(directory, "POLL_INTERVAL", 0.005)
             await pace_answers(stage, 200 * minutes + 1)
             for serial, listed in ((4, "a"), (5, "b")):
                 await stage.do_deaf_to_asker()
@@ -105,7 +105,7 @@
     usual, loop = stage.directory.transport, asyncio.get_running_loop()
 
     def late(data, address):
-        loop.call_later(2 * directory.PATIENCE, usual.sendto, data, address)
+        loop.call_later(2 * directory.ANSWER_TIMEOUT, usual.sendto, data, address)
 
     stage.directory.transport = SimpleNamespace(sendto=late, close=usual.close)
     stage.directory.serial, stage.directory.entries = 4, {"a": (stage.port("a"), False)}
@@ -124,7 +124,9 @@
         await play(stage, f"list {serial} a c\nlisted a")
         await pace_answers(stage, 10)
         await stage.do_listed("a")
-        assert set(stage.office.registry.listing()) == {b"a", b"b"} and stage.office.registry.serial == 5
+        assert (
+            set(stage.office.registry.listed_entries()) == {b"a", b"b"} and stage.office.registry.serial == 5
+        )
         await play(stage, "list 5 a b\nlisted a b")
     await play(stage, "list 6 b\nlisted b")
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -101,8 +101,8 @@
     registry.replace(1, list(entries), 0.0)
     fresh = entries[0]._replace(engine=entries[0].engine._replace(id=b"s-9"))
     assert registry.replace(2, [fresh], 1.0) == [b"s-1"] and registry.replace(1, list(entries), 2.0) is None
-    assert (registry.open_to(b"s-1"), registry.open_to(b"s-9")) == (False, True)
-    assert [e.id for e in registry.told()] == [b"s-9"]
+    assert (registry.accepts_dispatches(b"s-1"), registry.accepts_dispatches(b"s-9")) == (False, True)
+    assert [e.id for e in registry.engine_list()] == [b"s-9"]
 
 
 def test_what_must_hold_is_raised_in_debug_builds():
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -13,7 +13,7 @@
 
 from thistlelever.carrier import directory
 
-SERVICE_PACE = directory.PACE
+SERVICE_PACE = directory.POLL_INTERVAL
 
 
 @pytest.mark.parametrize("delay", (0.3, 1.0, 2.0, 3.0, 4.0))
@@ -22,14 +22,14 @@
 
     async def whole():
         async with served("engine a\nengine b\nfront") as stage:
-            monkeypatch.setattr(directory, "PACE", SERVICE_PACE)
+            monkeypatch.setattr(directory, "POLL_INTERVAL", SERVICE_PACE)
             loop, office = asyncio.get_running_loop(), stage.office
             await asyncio.sleep(2 * SERVICE_PACE)
             stage.directory.delay = delay
             stage.directory.serial = 4
             stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
             async with asyncio.timeout(3 * delay + 2.0):
-                while office.registry.open_to(b"b"):
+                while office.registry.accepts_dispatches(b"b"):
                     await asyncio.sleep(0.005)
             assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
 
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -64,22 +64,22 @@
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, draining=True))
     assert front.states() == {"a": READY, "b": DRAINING}
-    assert front.told[-1].fronts == 4 and front.registry.sharing == 4
+    assert front.told[-1].fronts == 4 and front.registry.sharing_fronts == 4
     assert front.told[-1].kind is it.ListKind.WHOLE
 
 
 def test_an_engine_that_leaves_the_subset_is_kept_as_draining_while_queries_are_out_there():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.registry.begin(b"a")
+    front.registry.dispatch_started(b"a")
     front.holds(record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY}
-    assert front.list.retained() == ("a",) and not front.registry.open_to(b"a")
-    assert front.registry.reachable(front.registry.entries[b"a"]) and not front.forgotten
+    assert front.list.retained() == ("a",) and not front.registry.accepts_dispatches(b"a")
+    assert front.registry.is_reachable(front.registry.entries[b"a"]) and not front.forgotten
     # The distributor goes on telling of it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
-    front.registry.end(b"a")
+    front.registry.dispatch_ended(b"a")
     assert front.list.retained() == ()
     front.holds(record("b", 2))
     assert front.states() == {"b": READY} and front.forgotten == [b"a"]
@@ -88,20 +88,22 @@
 def test_a_retained_engine_that_is_gone_is_not_reached_any_more():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.registry.begin(b"a")
+    front.registry.dispatch_started(b"a")
     front.holds(record("b", 2))
     entry = front.registry.entries[b"a"]
     front.holds(record("b", 2), gone=("a",))
-    assert front.states() == {"b": READY} and not front.registry.reachable(entry)
+    assert front.states() == {"b": READY} and not front.registry.is_reachable(entry)
 
 
 def test_an_address_that_another_engine_has_now_is_not_the_former_ones():
     front = Subscribed()
     front.holds(record("a", 1))
-    front.registry.begin(b"a")
+    front.registry.dispatch_started(b"a")
     entry = front.registry.entries[b"a"]
     front.holds(record("new", 1))
-    assert not front.registry.reachable(entry) and front.registry.reachable(front.registry.entries[b"new"])
+    assert not front.registry.is_reachable(entry) and front.registry.is_reachable(
+        front.registry.entries[b"new"]
+    )
 
 
 def test_an_engine_of_an_unknown_zone_is_left_out_and_counted():
@@ -201,7 +203,7 @@
             distributors=distributors.addresses
         )
         await stage.holds(version)
-        assert not stage.office.registry.open_to(b"cala")
+        assert not stage.office.registry.accepts_dispatches(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
     play(scenario, ("cala", "duna"))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,7 +16,7 @@
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.store.engine_starts import FORGOTTEN_AFTER, TOLD_LATE, EngineStarts, believable
+from thistlelever.store.engine_starts import RETENTION, LISTING_DELAY, EngineStarts, estimate_start
 from thistlelever.store.engine_registry import EngineRegistry
 
 NOW, HOUR = 1_000_000.0, 3_600.0
@@ -56,38 +56,38 @@
     ],
 )
 def test_a_told_start_is_a_moment_of_the_clock_that_counts_on(told, ahead, believed):
-    assert believable(told, NOW, NOW - 0.5, ahead) == believed
+    assert estimate_start(told, NOW, NOW - 0.5, ahead) == believed
 
 
 def test_an_engine_that_was_not_there_a_moment_ago_did_not_start_long_before():
-    assert believable(NOW - TOLD_LATE - 1, NOW, NOW - 0.5, 5.0) == NOW
-    assert believable(NOW - TOLD_LATE - 1, NOW, NOW - 2.0, 5.0) == NOW - TOLD_LATE - 1
+    assert estimate_start(NOW - LISTING_DELAY - 1, NOW, NOW - 0.5, 5.0) == NOW
+    assert estimate_start(NOW - LISTING_DELAY - 1, NOW, NOW - 2.0, 5.0) == NOW - LISTING_DELAY - 1
     # The first list has none before it.
-    assert believable(NOW - HOUR, NOW, None, 5.0) == NOW - HOUR
+    assert estimate_start(NOW - HOUR, NOW, None, 5.0) == NOW - HOUR
 
 
 def test_what_is_believed_of_a_start_stays_when_the_clock_is_stepped_later():
     starts = EngineStarts()
     starts.learn([engine(NOW - 3)], NOW, None, 0.0)
     starts.learn([engine(NOW - 3)], NOW + 60, NOW + 59, -HOUR)
-    assert starts.of(engine(NOW - 3)) == NOW - 3
+    assert starts.started_at(engine(NOW - 3)) == NOW - 3
     # It comes again under the same start, and under another.
     starts.learn([], NOW + 120, NOW + 119, -HOUR)
-    assert starts.of(engine(NOW - 3)) == NOW - 3
+    assert starts.started_at(engine(NOW - 3)) == NOW - 3
     starts.learn([engine(NOW + 130 - HOUR)], NOW + 132, NOW + 131, -HOUR)
-    assert starts.of(engine(NOW + 130 - HOUR)) == NOW + 130
-    starts.learn([], NOW + 133 + FORGOTTEN_AFTER, NOW, 0.0)
-    assert not starts.believed
+    assert starts.started_at(engine(NOW + 130 - HOUR)) == NOW + 130
+    starts.learn([], NOW + 133 + RETENTION, NOW, 0.0)
+    assert not starts.estimates
 
 
 def test_decisions_are_told_starts_of_the_front_s_own_clock():
     registry, told = EngineRegistry(), engine(NOW + 5 - HOUR)
     registry.update(4, [Entry(told, ("127.0.0.1", 1)), Entry(engine(0.0, b"b"), ("127.0.0.1", 2))], NOW)
-    assert [e.started for e in registry.told()] == [NOW + 5 - HOUR, 0.0]
+    assert [e.started for e in registry.engine_list()] == [NOW + 5 - HOUR, 0.0]
     registry = EngineRegistry()
     registry.update(4, [Entry(engine(0.0), ("127.0.0.1", 1))], NOW)
     registry.update(5, [Entry(told, ("127.0.0.1", 1))], NOW + 6, NOW + 5.7, -HOUR)
-    assert [e.started for e in registry.told()] == [NOW + 5]
+    assert [e.started for e in registry.engine_list()] == [NOW + 5]
     # What the list says is compared as it was said.
     assert registry.entries[b"a"].engine == told
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,7 +3,7 @@
 import pytest
 from stage import dns_answer
 
-from thistlelever.carrier.directory import NAME
+from thistlelever.carrier.directory import SERVICE_NAME
 from thistlelever.wire import dns, http, jsonrpc, statement
 from thistlelever.wire.inflow import Inflow, Purse, TooLong
 
@@ -78,7 +78,7 @@
 
 
 def test_a_list_is_read_and_each_cut_of_it_refused():
-    listing = dns.listing(LISTING, 77, NAME)
+    listing = dns.listing(LISTING, 77, SERVICE_NAME)
     assert listing.serial == 41
     first, second = listing.engines
     assert (first.id, first.zone, first.address) == ("s-1", "nord", ("127.0.0.1", 8443))
@@ -86,7 +86,7 @@
     assert (second.draining, second.weight, second.facts["kind"]) == (True, 4.0, "std")
     for cut in range(len(LISTING)):
         with pytest.raises(dns.Unreadable):
-            dns.listing(LISTING[:cut], 77, NAME)
+            dns.listing(LISTING[:cut], 77, SERVICE_NAME)
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     data = bytearray(LISTING)
     data[at] = value
     with pytest.raises(dns.Unreadable):
-        dns.listing(bytes(data), 77, NAME)
+        dns.listing(bytes(data), 77, SERVICE_NAME)
 
 
 @pytest.mark.parametrize(
--- a/thistlelever/carrier/budget_gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -55,20 +55,22 @@
     def submit(self, batch: Batch) -> None:
         """Submit the batch to the fair queue. Where its client gives no estimate of its work, the typical
         work of its query class is used."""
-        query_class, taken, now = self.query_classes[batch.lane], batch.taken, clock.now()
+        query_class, taken, now = self.query_classes[batch.class_name], batch.received, clock.now()
         if taken.work:
-            self.typical_work[batch.lane] += WORK_LEARNING_RATE * (taken.work - self.typical_work[batch.lane])
+            self.typical_work[batch.class_name] += WORK_LEARNING_RATE * (
+                taken.work - self.typical_work[batch.class_name]
+            )
         spec = BatchSpec(
             batch.number,
-            batch.asked.tenant,
-            batch.lane,
+            batch.submission.tenant,
+            batch.class_name,
             query_class.utility,
-            taken.work or self.typical_work[batch.lane],
+            taken.work or self.typical_work[batch.class_name],
             float(query_class.width),
-            batch.limit_at,
-            min(now + query_class.goal, batch.limit_at),
+            batch.deadline,
+            min(now + query_class.goal, batch.deadline),
             taken.key,
-            batch.asked.is_retry,
+            batch.submission.is_retry,
         )
         self.deliver(self.fair_queue.submit(now, spec))
         self.schedule_tick()
@@ -135,7 +137,7 @@
                 for entry in self.registry.entries.values()
                 if entry.engine.state is it.EngineState.READY
             )
-            fronts = min(self.fronts, self.registry.sharing or self.fronts)
+            fronts = min(self.fronts, self.registry.sharing_fronts or self.fronts)
             self.cached_capacity = cores * self.threads_a_core / fronts
         return self.cached_capacity
 
@@ -153,7 +155,7 @@
         """The answer to the client of a pre-empted batch: a push-back where a retry is harmless, because the
         batch had no dispatch, is idempotent, or is deduplicated by all engines; otherwise an error, as it may
         have run."""
-        query_class = self.query_classes[batch.lane]
+        query_class = self.query_classes[batch.class_name]
         is_deduplicated = (
             query_class.repeat is it.Idempotency.DEDUPLICATED
             and query_class.scope is it.DeduplicationScope.ALL
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -17,7 +17,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.submission import InvalidFieldError
 from thistlelever.store.batches import Batch
-from thistlelever.store.bounds import Bounds
+from thistlelever.store.connection_limits import ConnectionLimits
 from thistlelever.store.stream import Stream
 from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
@@ -48,11 +48,13 @@
 class Reception:
     """Takes connections and turns what clients submit into batches."""
 
-    def __init__(self, intake: Intake, courses: Courses, metrics: Metrics, log: Log, bounds: Bounds) -> None:
+    def __init__(
+        self, intake: Intake, courses: Courses, metrics: Metrics, log: Log, limits: ConnectionLimits
+    ) -> None:
         self.intake, self.courses, self.metrics = intake, courses, metrics
-        self.log, self.bounds = log, bounds
+        self.log, self.limits = log, limits
         self.ready: Callable[[], bool] = lambda: False
-        self.unread, self.purse = 0, Purse(bounds.unfinished)
+        self.unread, self.purse = 0, Purse(limits.unfinished_bytes)
         # The connection that waits for a place, others behind it at the port, and since when some do.
         self.waits: socket.socket | None = None
         self.full_since = float("inf")
@@ -98,7 +100,7 @@
                 self.metrics.add("connections that could not be taken")
                 self.look_away()
                 return
-            place = len(self.sessions) < self.bounds.sessions or self.close_one()
+            place = len(self.sessions) < self.limits.client_connections or self.close_one()
             if not place and clock.now() < self.full_since + NO_PLACE:
                 # Risk: closed unread, its first request is lost; a place may be free in a moment.
                 self.full_since, self.waits = min(self.full_since, clock.now()), raw
@@ -359,9 +361,13 @@
         """Log an answer that is no result: whose it is, and how far the batch had come."""
         if type(told) in (it.PushBack, it.Error):
             said = "query refused" if type(told) is it.PushBack else "query errored"
-            left = round(batch.limit_at - clock.now(), 3)
+            left = round(batch.deadline - clock.now(), 3)
             self.reception.log(
-                said, id=batch.asked.txn, group=batch.lane, dispatches=batch.dispatches, left_s=left
+                said,
+                id=batch.submission.txn,
+                group=batch.class_name,
+                dispatches=batch.dispatches,
+                left_s=left,
             )
 
     def withdraw(self, call: jsonrpc.Call) -> None:
@@ -369,7 +375,7 @@
         self.metrics.add("withdrawn")
         named = call.params.get("id", call.number)
         for number, batch in list(self.open.items()):
-            if named in (number, batch.asked.txn):
+            if named in (number, batch.submission.txn):
                 del self.open[number]
                 batch.inbox.put_nowait(LEFT)
         # A number of its own wants an answer of its own; that of a request would get a second one.
@@ -381,7 +387,7 @@
         """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
         if self.ending or self.stream.closed():
             return
-        if self.reception.unread + len(data) > self.reception.bounds.unread:
+        if self.reception.unread + len(data) > self.reception.limits.unread_bytes:
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -64,7 +64,7 @@
         except Exception as why:
             self.metrics.add("course failed")
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
-            for number, task in batch.out.items():
+            for number, task in batch.dispatch_tasks.items():
                 task.cancel()
                 end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
                 self.desk.tell(end.event(batch.number, complete=True))
@@ -73,7 +73,7 @@
                 self.desk.tell(it.ClientLeft(batch.number))
         finally:
             if self.gate:
-                self.gate.completed(batch, batch.true_work)
+                self.gate.completed(batch, batch.measured_work)
             if batch.ward:
                 batch.ward.close()
             batch.backstop.cancel()
@@ -82,18 +82,18 @@
     def watch(self, batch: Batch) -> None:
         if batch.backstop:
             batch.backstop.cancel()
-        overdue_at = clock.on_loop(batch.limit_at) + BACKSTOP
+        overdue_at = clock.on_loop(batch.deadline) + BACKSTOP
         loop = asyncio.get_running_loop()
         batch.backstop = loop.call_at(overdue_at, batch.inbox.put_nowait, OVERDUE)
 
     def stop(self, at: float) -> None:
         """The front ends at that time: what is open must be over by then, what is out included."""
         for batch in self.batches.by_number.values():
-            if batch.limit_at > at:
-                batch.limit_at = at
+            if batch.deadline > at:
+                batch.deadline = at
                 self.watch(batch)
                 # Risk: one that has struck can't be moved, and its refusal would end the stop halfway.
-                for limit in (limit for limit in batch.limits.values() if not limit.expired()):
+                for limit in (limit for limit in batch.timeouts.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
         self.desk.tell(it.FrontStopping(at))
         if self.gate:
@@ -107,8 +107,8 @@
             return
         if self.gate and not await self.admitted(batch, answer):
             return
-        self.desk.tell(batch.taken)
-        while batch.out or not batch.answered:
+        self.desk.tell(batch.received)
+        while batch.dispatch_tasks or not batch.answered:
             told = await batch.inbox.get()
             match told:
                 case it.Terms():
@@ -119,11 +119,11 @@
                     number, batch.dispatches = batch.dispatches, batch.dispatches + 1
                     if self.memory:
                         self.memory.goes_out(batch, number, told.engine)
-                    batch.out[number] = self.dispatcher.start(batch, number, told)
+                    batch.dispatch_tasks[number] = self.dispatcher.start(batch, number, told)
                     if self.gate:
                         self.gate.dispatch_started(batch)
                 case it.Cancel():
-                    task = batch.out.get(told.number)
+                    task = batch.dispatch_tasks.get(told.number)
                     if task and not task.cancelling():
                         task.cancel()
                 # Risk: two dispatches' rows in one result. Only the first to ask passes on, and only while no
@@ -136,8 +136,8 @@
                 case Begun():
                     told.flow.leave()
                 case End():
-                    del batch.out[told.number]
-                    batch.true_work += told.true_work
+                    del batch.dispatch_tasks[told.number]
+                    batch.measured_work += told.true_work
                     if batch.ward:
                         batch.ward.came_back(told)
                     if self.memory:
@@ -159,9 +159,9 @@
                 case _ if told is LEFT and not batch.answered:
                     batch.answered = True
                     self.desk.tell(it.ClientLeft(batch.number))
-                case _ if told is LEFT and batch.flow and batch.flow.number in batch.out:
+                case _ if told is LEFT and batch.flow and batch.flow.number in batch.dispatch_tasks:
                     batch.flow.leave()
-                    batch.out[batch.flow.number].cancel()
+                    batch.dispatch_tasks[batch.flow.number].cancel()
                 case _ if told is OVERDUE and not batch.answered:
                     self.metrics.add("left without an answer at the limit")
                     self.final(batch, answer, it.Error(batch.number))
@@ -170,7 +170,7 @@
     async def led(self, batch: Batch, answer: Answer) -> bool:
         """Find out whose the batch is before anything is done for it; whether it is this front's to go on
         with, and its client still there."""
-        if not batch.asked.reference:
+        if not batch.submission.reference:
             self.wards.enter_lazy(batch)
             return True
         loop = asyncio.get_running_loop()
@@ -186,7 +186,9 @@
             elif told is OVERDUE:
                 # Nothing of it was sent from here. One that has come before may be another front's by now,
                 # and what becomes of it there is not known here.
-                again = it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
+                again = (
+                    it.Error(batch.number) if batch.submission.is_retry else it.PushBack(batch.number, 0.0)
+                )
                 self.final(batch, answer, again)
             return False
         hearing.cancel()
@@ -197,7 +199,7 @@
             self.final(batch, answer, told)
             return False
         # What looking for it took is time that the batch no longer has.
-        batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
+        batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
         return True
 
     async def settle(self, batch: Batch, answer: Answer, told: it.Action | End) -> None:
@@ -213,7 +215,7 @@
             told = await batch.inbox.get()
             match told:
                 case Release():
-                    batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
+                    batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
                     return True
                 case Refuse():
                     self.final(batch, answer, it.PushBack(batch.number, told.after))
@@ -232,9 +234,9 @@
     def unbind(self, batch: Batch, number: int) -> None:
         """A result that goes on has until the client's own limit, not just while another dispatch could still
         meet the goal: there will be no other."""
-        limit = batch.limits.get(number)
+        limit = batch.timeouts.get(number)
         if limit and not limit.expired():
-            limit.reschedule(clock.on_loop(batch.limit_at))
+            limit.reschedule(clock.on_loop(batch.deadline))
 
     def final(self, batch: Batch, answer: Answer, told: it.Action | End | Begun) -> None:
         if self.metrics.check_invariant(not batch.answered, "one final answer"):
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -20,17 +20,17 @@
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator
 
-NAME = "_api._tcp.svc.local"
+SERVICE_NAME = "_api._tcp.svc.local"
 # An event counts as told 1.5 s after it happened, and sends must cease 0.25 s or so later: asked this
 # often, three datagrams in a row may be lost before that is late.
-PACE = 0.3
+POLL_INTERVAL = 0.3
 # Without an answer in this time a query is put again; an answer that comes later, within the second time, is
 # still read for what is newer. What the directory tells counts as told after 7 s, whatever became of it.
-PATIENCE, READ_LATE = 0.25, 8.0
+ANSWER_TIMEOUT, LATE_ANSWER_WINDOW = 0.25, 8.0
 # A socket that can't be had is tried for again after this.
-OPEN_AGAIN = 0.1
+REOPEN_DELAY = 0.1
 # So many times in a row what is no news is asked again at once; after that the pace holds.
-MOST_AT_ONCE = 8
+MAX_IMMEDIATE_RETRIES = 8
 
 
 class DirectoryClient:
@@ -39,7 +39,7 @@
     def __init__(
         self,
         registry: EngineRegistry,
-        forget: Callable[[it.EngineId], None],
+        drop_connections: Callable[[it.EngineId], None],
         desk: Desk,
         metrics: Metrics,
         zones: tuple[str, ...],
@@ -47,21 +47,26 @@
         seed: int,
     ) -> None:
         # What drops connections to an engine that is gone or was started anew.
-        self.registry, self.forget, self.desk, self.metrics = registry, forget, desk, metrics
+        self.registry, self.drop_connections, self.desk, self.metrics = (
+            registry,
+            drop_connections,
+            desk,
+            metrics,
+        )
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
-        self.seed, self.asked = seed, 0
+        self.seed, self.polls = seed, 0
         # Queries by the number that they carry, each with its place in the order of asking: those that an
         # answer is due to, and those given up, as it may be late.
         self.awaited: dict[int, tuple[int, asyncio.TimerHandle]] = {}
         self.overdue: dict[int, tuple[int, asyncio.TimerHandle]] = {}
         # The latest query whose answer agreed with the list in force.
-        self.agreement, self.settled_by = ListAgreement(), 0
+        self.agreement, self.last_agreed_query = ListAgreement(), 0
         # Sockets are listened to for as long as late answers on their way to them would be read.
-        self.sockets = DirectorySockets(self.answered, PATIENCE + READ_LATE, metrics)
+        self.sockets = DirectorySockets(self.receive, ANSWER_TIMEOUT + LATE_ANSWER_WINDOW, metrics)
         self.renewal: asyncio.Task | None = None
         self.opening: asyncio.Task | None = None
-        self.last, self.misses, self.heard_at = b"", 0, 0.0
+        self.last_answer, self.retries, self.heard_at = b"", 0, 0.0
         # Called where the configuration is to be read again; nothing that comes by DNS asks for that.
         self.on_new_configuration: Callable[[], None] = lambda: None
 
@@ -70,16 +75,16 @@
         it is asked."""
         if self.opening:
             self.opening.cancel()
-        if not await self.opened(address):
-            self.opening = asyncio.get_running_loop().create_task(self.open_later(address))
+        if not await self.try_open(address):
+            self.opening = asyncio.get_running_loop().create_task(self.open_with_retries(address))
 
-    async def open_later(self, address: tuple[str, int]) -> None:
+    async def open_with_retries(self, address: tuple[str, int]) -> None:
         """Try again until a socket can be had. Risk: a configuration that moves discovery in the moment in
         which the machine is short of sockets leaves this front at an address that nobody keeps up."""
-        while not await self.opened(address):
-            await asyncio.sleep(OPEN_AGAIN)
+        while not await self.try_open(address):
+            await asyncio.sleep(REOPEN_DELAY)
 
-    async def opened(self, address: tuple[str, int]) -> bool:
+    async def try_open(self, address: tuple[str, int]) -> bool:
         """Whether a socket asks at that address by now. Risk: a timer or a late answer of an address that is
         left would pass for word of the next."""
         try:
@@ -89,8 +94,8 @@
             self.desk.log("directory can't be asked yet", address=address, why=str(why))
             return False
         self.drop_queries()
-        self.misses = 0
-        self.ask(by_order=False)
+        self.retries = 0
+        self.poll(requested=False)
         return True
 
     async def renew(self) -> None:
@@ -98,10 +103,10 @@
         if await self.sockets.renew():
             sockets = len(self.sockets.transports)
             self.metrics.add("directory asked by a new socket")
-            self.desk.log("directory asked by a new socket", asked=self.asked, sockets=sockets)
-            self.ask(by_order=False)
+            self.desk.log("directory asked by a new socket", asked=self.polls, sockets=sockets)
+            self.poll(requested=False)
 
-    def accept_from(self, serial: int) -> None:
+    def resume_from(self, serial: int) -> None:
         """A former life held that serial. The directory may begin anew: its newest answer is believed."""
 
     def overlay(self, operator: Operator) -> Operator:
@@ -128,41 +133,41 @@
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(PACE)
-            self.ask(by_order=False)
+            await asyncio.sleep(POLL_INTERVAL)
+            self.poll(requested=False)
 
-    def missed(self) -> None:
+    def retry_at_once(self) -> None:
         """What came was no news. Risk: a pace later a drain is known late; asked again without pause, a
         directory that says no each time takes the core."""
-        self.misses += 1
-        if self.misses <= MOST_AT_ONCE:
-            self.ask(by_order=False)
+        self.retries += 1
+        if self.retries <= MAX_IMMEDIATE_RETRIES:
+            self.poll(requested=False)
 
-    def ask(self, by_order: bool) -> None:
+    def poll(self, requested: bool) -> None:
         """Send a query. Its number is not to be guessed, or any datagram could pass for the answer."""
-        self.asked += 1
-        number = crc32(b"%d dns %d" % (self.seed, self.asked)) & 0xFFFF
+        self.polls += 1
+        number = crc32(b"%d dns %d" % (self.seed, self.polls)) & 0xFFFF
         if number in self.awaited or number in self.overdue:
             return
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(PATIENCE, self.unanswered, number, by_order)
-        self.awaited[number] = self.asked, timer
-        self.sockets.send(dns.query(number, NAME))
+        timer = loop.call_later(ANSWER_TIMEOUT, self.query_timed_out, number, requested)
+        self.awaited[number] = self.polls, timer
+        self.sockets.send(dns.query(number, SERVICE_NAME))
 
-    def unanswered(self, number: int, by_order: bool) -> None:
+    def query_timed_out(self, number: int, requested: bool) -> None:
         loop = asyncio.get_running_loop()
         query, _ = self.awaited.pop(number)
-        self.overdue[number] = query, loop.call_later(READ_LATE, self.overdue.pop, number, None)
+        self.overdue[number] = query, loop.call_later(LATE_ANSWER_WINDOW, self.overdue.pop, number, None)
         self.metrics.add("directory silent")
-        if self.sockets.unanswered():
+        if self.sockets.note_timeout():
             self.renewal = loop.create_task(self.renew())
-        self.missed()
-        if by_order:
+        self.retry_at_once()
+        if requested:
             self.desk.tell(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
 
-    def answered(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take what an answer tells, also a late one."""
-        self.sockets.answered()
+        self.sockets.note_answer()
         number = int.from_bytes(data[:2], "big")
         in_time = number in self.awaited
         due = self.awaited.pop(number, None) or self.overdue.pop(number, None)
@@ -172,51 +177,53 @@
         query, timer = due
         timer.cancel()
         try:
-            settled = self.take(data, number, query)
+            settled = self.apply(data, number, query)
         except (dns.Unreadable, KeyError, ValueError) as why:
             self.metrics.add("directory answers out of form")
             self.desk.log("directory answer out of form", why=str(why))
             settled = False
         if in_time and settled:
-            self.misses, self.heard_at = 0, clock.now()
+            self.retries, self.heard_at = 0, clock.now()
         elif in_time:
-            self.missed()
+            self.retry_at_once()
 
-    def take(self, data: bytes, number: int, query: int) -> bool:
+    def apply(self, data: bytes, number: int, query: int) -> bool:
         """Compare an answer with the list in force, and put it in its place where it is newer and confirmed;
         whether nothing is left to ask again at once."""
-        if data[2:] == self.last:
-            self.settled_by = max(self.settled_by, query)
+        if data[2:] == self.last_answer:
+            self.last_agreed_query = max(self.last_agreed_query, query)
             return True
-        listing = dns.listing(data, number, NAME)
+        listing = dns.listing(data, number, SERVICE_NAME)
         entries = [self.entry(found) for found in listing.engines]
         answer = Answer(listing.serial, {entry.engine.id: entry for entry in entries})
-        held = Answer(self.registry.serial, self.registry.listing())
-        if answer.serial <= held.serial and query < self.settled_by:
+        current = Answer(self.registry.serial, self.registry.listed_entries())
+        if answer.serial <= current.serial and query < self.last_agreed_query:
             # It was overtaken on its way by one to a later query.
             self.metrics.add("directory answers overtaken by later ones")
             return True
-        step = self.agreement.heard(answer, held, clock.now())
-        if self.agreement.contrary is answer:
-            self.report_contrary(answer)
-        if step.adopt:
-            self.registry.closed = step.closed
+        decision = self.agreement.receive(answer, current, clock.now())
+        if self.agreement.contradiction is answer:
+            self.report_contradiction(answer)
+        if decision.adopt:
+            self.registry.closed_engines = decision.closed
             self.adopt(listing.serial, entries)
         else:
-            self.close_engines(step.closed)
-        self.last = data[2:] if step.settled else b""
-        self.settled_by = max(self.settled_by, query) if step.settled else self.settled_by
-        return step.settled
+            self.close_engines(decision.closed)
+        self.last_answer = data[2:] if decision.settled else b""
+        self.last_agreed_query = (
+            max(self.last_agreed_query, query) if decision.settled else self.last_agreed_query
+        )
+        return decision.settled
 
     def close_engines(self, closed: frozenset[it.EngineId]) -> None:
         """Send nothing new to these engines, which an answer in doubt does not name as ready."""
-        if closed != self.registry.closed:
+        if closed != self.registry.closed_engines:
             names = sorted(engine.decode("latin-1") for engine in closed)
             self.desk.log("engines closed for a doubt", engines=names, serial=self.registry.serial)
-            self.registry.closed = closed
-            self.tell()
+            self.registry.closed_engines = closed
+            self.notify()
 
-    def report_contrary(self, answer: Answer) -> None:
+    def report_contradiction(self, answer: Answer) -> None:
         """Count and log an answer older than the list held, or one that differs from it under its serial."""
         listed = {engine: entry.engine.state for engine, entry in answer.entries.items()}
         differing = transitions(self.registry.states(), listed)
@@ -225,11 +232,11 @@
         self.metrics.add(f"directory answers {what}")
         self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
-    def hold(self, serial: int, entries: list[Entry]) -> None:
+    def adopt_configured(self, serial: int, entries: list[Entry]) -> None:
         """Take the list of a configuration that was read again, if it is newer than the one in force."""
         if serial > self.registry.serial or not self.registry.entries:
-            self.agreement.forget()
-            self.last = b""
+            self.agreement.reset()
+            self.last_answer = b""
             self.adopt(serial, entries)
 
     def adopt(self, serial: int, entries: list[Entry]) -> None:
@@ -237,21 +244,23 @@
         before, held = self.registry.states(), self.registry.serial
         last_heard = self.heard_at or None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
-            self.forget(engine)
+            self.drop_connections(engine)
         self.desk.log(
             "list",
             serial=serial,
             engines=len(entries),
             changed=transitions(before, self.registry.states()),
             after_serial=held,
-            asked=self.asked,
+            asked=self.polls,
             unheard_s=round(clock.now() - self.heard_at, 3) if self.heard_at else None,
         )
-        self.tell()
+        self.notify()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Tell the decisions the list as it is held now."""
-        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.told()))
+        self.desk.tell(
+            it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.engine_list())
+        )
 
     def entry(self, found: dns.Found) -> Entry:
         facts = found.facts
@@ -267,7 +276,7 @@
         return Entry(engine, found.address)
 
 
-class Deaf(asyncio.DatagramProtocol):
+class PeerDatagramSink(asyncio.DatagramProtocol):
     """Where other fronts' datagrams arrive. The decisions use none: they are dropped and counted."""
 
     def __init__(self, metrics: Metrics) -> None:
--- a/thistlelever/carrier/directory_sockets.py
+++ b/thistlelever/carrier/directory_sockets.py
@@ -11,34 +11,36 @@
 
 # So many queries in a row without any answer, and the next goes by a new socket: a way that has fallen silent
 # without a word stays so, and what is told must be known within 1.5 s.
-MOST_SILENT = 4
-# Seconds between two new sockets at the least, so that those listened to stay few.
-RENEWAL_PACE = 1.0
+MAX_SILENT_QUERIES = 4
+# Seconds between two new sockets at the least, so that those linger to stay few.
+MIN_RENEWAL_INTERVAL = 1.0
 
 
 class DirectorySockets:
-    """The last socket opened asks. Those before it are listened to for as long as late answers may be on
+    """The last socket opened asks. Those before it are linger to for as long as late answers may be on
     their way to them: closed sooner, they take along all that a slow directory tells."""
 
-    def __init__(self, received: Callable[[bytes], None], listened: float, metrics: Metrics) -> None:
-        """`received` is handed each datagram; `listened`: seconds that a socket that was left is kept."""
-        self.received, self.listened, self.metrics = received, listened, metrics
+    def __init__(self, received: Callable[[bytes], None], linger: float, metrics: Metrics) -> None:
+        """`received` is handed each datagram; `linger`: seconds that a socket that was left is kept."""
+        self.received, self.linger, self.metrics = received, linger, metrics
         self.transports: list[asyncio.DatagramTransport] = []
         self.address: tuple[str, int] | None = None
         # Queries in a row without an answer, and when the socket that asks was opened.
-        self.silent, self.renewed_at = 0, 0.0
+        self.silent_queries, self.renewed_at = 0, 0.0
 
     async def open(self, address: tuple[str, int]) -> None:
         """Ask at that address from now on. The one asked before is let go only once the new one stands."""
         transport = await self.connect(address)
         self.close()
         self.transports, self.address = [transport], address
-        self.silent, self.renewed_at = 0, clock.now()
+        self.silent_queries, self.renewed_at = 0, clock.now()
 
     async def connect(self, address: tuple[str, int]) -> asyncio.DatagramTransport:
         """A new socket that sends to that address and hears it alone."""
         loop = asyncio.get_running_loop()
-        transport, _ = await loop.create_datagram_endpoint(lambda: Line(self), remote_addr=address)
+        transport, _ = await loop.create_datagram_endpoint(
+            lambda: DirectoryProtocol(self), remote_addr=address
+        )
         return transport
 
     def send(self, query: bytes) -> None:
@@ -46,16 +48,16 @@
         if self.transports:
             self.transports[-1].sendto(query)
 
-    def answered(self) -> None:
+    def note_answer(self) -> None:
         """Something has come."""
-        self.silent = 0
+        self.silent_queries = 0
 
-    def unanswered(self) -> bool:
+    def note_timeout(self) -> bool:
         """A query got no answer in time; whether a new socket should ask from now on."""
-        self.silent += 1
-        if self.silent < MOST_SILENT or clock.now() < self.renewed_at + RENEWAL_PACE:
+        self.silent_queries += 1
+        if self.silent_queries < MAX_SILENT_QUERIES or clock.now() < self.renewed_at + MIN_RENEWAL_INTERVAL:
             return False
-        self.silent, self.renewed_at = 0, clock.now()
+        self.silent_queries, self.renewed_at = 0, clock.now()
         return True
 
     async def renew(self) -> bool:
@@ -69,12 +71,12 @@
                 return False
             left = self.transports[-1]
             self.transports.append(transport)
-            asyncio.get_running_loop().call_later(self.listened, self.leave, left)
+            asyncio.get_running_loop().call_later(self.linger, self.close_replaced, left)
             return True
         self.metrics.add("directory: no new socket")
         return False
 
-    def leave(self, transport: asyncio.DatagramTransport) -> None:
+    def close_replaced(self, transport: asyncio.DatagramTransport) -> None:
         """Close a socket that another has taken the place of."""
         if transport in self.transports:
             self.transports.remove(transport)
@@ -87,7 +89,7 @@
         self.transports = []
 
 
-class Line(asyncio.DatagramProtocol):
+class DirectoryProtocol(asyncio.DatagramProtocol):
     """One socket. What comes on one that was closed counts no more."""
 
     def __init__(self, sockets: DirectorySockets) -> None:
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -17,7 +17,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
+from thistlelever.store.batches import Batch, DispatchName
 from thistlelever.store.engine_registry import EngineRegistry
 
 
@@ -92,14 +92,14 @@
         run."""
 
     async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `converse`, and
-        nothing is begun. `ASTRAY` where the engine does not know of it."""
+        """Go on with a dispatch that another front has begun, by its id in `batch.adopted_names`: as
+        `converse`, and nothing is begun. `ASTRAY` where the engine does not know of it."""
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
         """Ask for a batch that nobody waits for here, so that its engine goes on with it or keeps its result:
         `running`, `over`, `unknown` or `silent`."""
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def call_off(self, entry: Entry, name: DispatchName) -> None:
         """Give up a batch that another front had out."""
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
@@ -136,7 +136,7 @@
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
         batch.engines[number] = order.engine
-        self.registry.begin(order.engine)
+        self.registry.dispatch_started(order.engine)
         # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
         end = End(number, order.engine, it.DispatchOutcome.UNSENT)
         task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
@@ -145,7 +145,7 @@
 
     def finished(self, batch: Batch, end: End) -> None:
         """The one place where a dispatch's end is told, however its task ended."""
-        self.registry.end(end.engine)
+        self.registry.dispatch_ended(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
@@ -157,14 +157,14 @@
         if not why:
             return True
         self.metrics.add(f"dispatches withheld: {why}")
-        self.log("dispatch withheld", id=batch.asked.txn, engine=order.engine.decode("latin-1"), why=why)
+        self.log("dispatch withheld", id=batch.submission.txn, engine=order.engine.decode("latin-1"), why=why)
         return False
 
     def withheld(self, batch: Batch, order: it.Dispatch) -> str:
         """Why nothing of a dispatch may be sent any more; empty where it may."""
         if batch.answered:
             return "answered or left"
-        if not self.registry.open_to(order.engine):
+        if not self.registry.accepts_dispatches(order.engine):
             return "engine draining or gone"
         if clock.now() >= order.begin_by:
             return "too late to begin"
@@ -175,14 +175,14 @@
     async def dispatch(self, batch: Batch, end: End, order: it.Dispatch) -> None:
         """One dispatch from its first byte to its end."""
         begun, number = clock.now(), end.number
-        till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
+        till = min(begun + order.time_out, batch.deadline) if order.time_out > 0 else batch.deadline
         sent = Sending(number, lambda: self.may_begin(batch, order), ordered=begun)
         try:
             entry = self.registry.entries.get(order.engine)
             if batch.answered or till <= begun or entry is None:
                 end.outcome = self.unsent(batch, number)
             else:
-                async with asyncio.timeout_at(clock.on_loop(till)) as batch.limits[number]:
+                async with asyncio.timeout_at(clock.on_loop(till)) as batch.timeouts[number]:
                     await self.sending(batch, entry, end, sent, till)
         except TimeoutError:
             # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
@@ -199,10 +199,10 @@
         self.report(batch, end, sent)
         if end.flow:
             end.flow.end(end.outcome)
-        batch.limits.pop(number, None)
+        batch.timeouts.pop(number, None)
         if sent.begun and end.outcome in MAY_RUN_ON:
-            another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
-            left = max(batch.limit_at - clock.now(), 0.0)
+            another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.deadline
+            left = max(batch.deadline - clock.now(), 0.0)
             # Risk: an end that a second order to give up swallows leaves the batch open for good.
             with suppress(asyncio.CancelledError, TimeoutError):
                 if self.cancels:
@@ -221,7 +221,7 @@
             return
         self.log(
             "dispatch ended",
-            id=batch.asked.txn,
+            id=batch.submission.txn,
             number=end.number,
             engine=end.engine.decode("latin-1"),
             fate=end.outcome.name.lower(),
@@ -232,14 +232,14 @@
     async def sending(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
         if batch.ward and not await batch.ward.out(end.number, end.engine):
             raise Ended(self.unsent(batch, end.number))
-        if end.number in batch.under:
+        if end.number in batch.adopted_names:
             await self.speech(entry).resume(batch, entry, end, sent, till)
         else:
             await self.speech(entry).converse(batch, entry, end, sent, till)
 
     def unsent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Risk: what another front has begun, told as never sent, is taken for what never ran."""
-        return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
+        return it.DispatchOutcome.ASTRAY if number in batch.adopted_names else it.DispatchOutcome.UNSENT
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
@@ -248,7 +248,7 @@
 
     def reprioritise(self, batch: Batch) -> None:
         """The batch's priority also holds for what is out."""
-        for number in batch.out:
+        for number in batch.dispatch_tasks:
             entry = self.registry.entries.get(batch.engines[number])
             if entry:
                 self.aside(self.speech(entry).put(batch, entry, number))
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -20,7 +20,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
+from thistlelever.store.batches import Batch, DispatchName
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
@@ -128,7 +128,7 @@
         await self.fetch(channel, order, batch, entry, end, sent, till)
 
     async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        if batch.update:
+        if batch.is_update:
             # Its count is in the one answer to its call, which went to another front.
             raise Ended(it.DispatchOutcome.ASTRAY)
         try:
@@ -152,7 +152,7 @@
         sent.begun, sent.asked = True, clock.now()
         hold = Hold(self.held if batch.columns else MOST_FOR_ROWS, self.purse)
         try:
-            if batch.update:
+            if batch.is_update:
                 await self.update(channel, order, batch, end, sent, till)
                 return
             terms = self.terms(batch, end.number, till, further)
@@ -265,7 +265,7 @@
             return it.DispatchOutcome.ERRORED
         # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
         # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
-        name = batch.name(sent.number)
+        name = batch.dispatch_name(sent.number)
         if not sent.heard and await self.cancel(entry, name, command(batch)) is StatusCode.NOT_FOUND:
             return it.DispatchOutcome.ASTRAY
         return it.DispatchOutcome.RESET
@@ -273,15 +273,20 @@
     def terms(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
         """A call's time limit and headers. The call may last as long as the client waits, as a result that
         has begun to go on does; the dispatch's own end, when it comes sooner, is told to the engine."""
-        asked, left = batch.asked, max(ceil((till - clock.now()) * 1e3), 1)
-        fields = [*which(batch.name(number)), *further, ("x-lane", batch.lane), ("x-limit-ms", str(left))]
+        asked, left = batch.submission, max(ceil((till - clock.now()) * 1e3), 1)
+        fields = [
+            *which(batch.dispatch_name(number)),
+            *further,
+            ("x-lane", batch.class_name),
+            ("x-limit-ms", str(left)),
+        ]
         if asked.reference:
             fields.append(("x-dedupe", asked.reference))
         if batch.grant >= 1:
             fields.append(("pool-mb", str(round(batch.grant))))
         if batch.priority is not None:
             fields.append(("pool-rank", str(batch.priority)))
-        return {"timeout": max(batch.limit_at - clock.now(), 0.001), "metadata": tuple(fields)}
+        return {"timeout": max(batch.deadline - clock.now(), 0.001), "metadata": tuple(fields)}
 
     def figures(self, metadata, end: End) -> None:
         """Report, work and memory, where the call's trailer has them."""
@@ -299,7 +304,7 @@
             value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
             self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
@@ -312,14 +317,14 @@
             return "silent"
         return "over"
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def call_off(self, entry: Entry, name: DispatchName) -> None:
         await self.until_called_off(entry, name, NOTHING, clock.now() + DROPPED_AFTER)
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
-        name, till = batch.name(sent.number), sent.asked + DROPPED_AFTER
+        name, till = batch.dispatch_name(sent.number), sent.asked + DROPPED_AFTER
         await self.until_called_off(entry, name, command(batch), till)
 
-    async def until_called_off(self, entry: Entry, name: Name, order: bytes, till: float) -> None:
+    async def until_called_off(self, entry: Entry, name: DispatchName, order: bytes, till: float) -> None:
         """The cancel, until the engine has it, can't cancel at all, or is out of reach for as long as it goes
         on with a batch that nobody reads."""
         while clock.now() < till:
@@ -331,7 +336,7 @@
             await asyncio.sleep(RETRY_PACE)
         self.metrics.add("flight cancel failed")
 
-    async def cancel(self, entry: Entry, name: Name, order: bytes) -> StatusCode | None:
+    async def cancel(self, entry: Entry, name: DispatchName, order: bytes) -> StatusCode | None:
         """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
         None where it is out of reach."""
         descriptor = read(pb.FlightDescriptor, order)
@@ -353,7 +358,7 @@
 
     async def put(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
-            await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.name(number)))
+            await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.dispatch_name(number)))
         except (aio.AioRpcError, Ended):
             self.metrics.add("flight priority failed")
 
@@ -428,13 +433,13 @@
             await asyncio.wait(self.closing, timeout=0.2)
 
 
-def which(name: Name) -> Metadata:
+def which(name: DispatchName) -> Metadata:
     """What names a dispatch: an engine that has called one off may get the same batch's next."""
     return ("x-txn", name.txn), ("x-dispatch", str(name.number))
 
 
 def command(batch: Batch) -> bytes:
     """The descriptor that asks for a batch."""
-    kind = sql.CommandStatementUpdate if batch.update else sql.CommandStatementQuery
-    order = wrapped(kind(query=batch.asked.statement.decode()))
+    kind = sql.CommandStatementUpdate if batch.is_update else sql.CommandStatementQuery
+    order = wrapped(kind(query=batch.submission.statement.decode()))
     return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=order).SerializeToString()
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -12,7 +12,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
+from thistlelever.store.batches import Batch, DispatchName
 from thistlelever.store.connections import (
     Broken,
     Connection,
@@ -89,7 +89,7 @@
             # What its engine never got was no dispatch so far, and goes there again. Of a once-only batch
             # that the engine does not know of it is not proof enough. Risk: the engine had it, and has
             # dropped it by now: sent again when its repeats are no longer dropped, it runs twice.
-            if batch.lane in self.once_only or sent.posts >= MOST_SPOILT or not sent.may_begin():
+            if batch.class_name in self.once_only or sent.posts >= MOST_SPOILT or not sent.may_begin():
                 break
         await self.further(path, batch, entry, end, sent)
 
@@ -119,18 +119,20 @@
     ) -> http.Reply | None:
         """The call that starts it, and its reply if it got one of use."""
         try:
-            connection = await self.connection(entry, batch.lane in self.wary)
+            connection = await self.connection(entry, batch.class_name in self.wary)
         except (Refused, Unreached, Broken, Short) as why:
             raise Ended(proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)) from None
         if not sent.may_begin():
-            self.connections.give_back(connection)
+            self.connections.release(connection)
             raise Ended(proven(it.DispatchOutcome.UNSENT, sent.posts))
         sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
         self.count_call("POST", entry)
         waited = sent.asked - sent.ordered
         if waited > BEGUN_LATE:
             engine = entry.engine.id.decode("latin-1")
-            self.desk.log("dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4))
+            self.desk.log(
+                "dispatch begun late", id=batch.submission.txn, engine=engine, waited=round(waited, 4)
+            )
         try:
             reply = await connection.call(self.request(batch, entry.address, till), NEWS_WITHIN)
             self.read(reply, 0, connection, end, sent, batch)
@@ -140,21 +142,21 @@
             self.spoilt(why)
             return None
         finally:
-            self.connections.give_back(connection)
+            self.connections.release(connection)
 
     async def connection(self, entry: Entry, unused: bool = False) -> Connection:
         """A link for what must not wait. A reset as it comes up is news of that connection alone."""
         for _ in range(MOST_SPOILT):
             try:
-                return await self.connections.take(entry, urgent=True, unused=unused)
+                return await self.connections.acquire(entry, urgent=True, unused=unused)
             except Broken as why:
                 self.spoilt(why)
         raise Broken("each new connection is reset")
 
     def request(self, batch: Batch, address: tuple[str, int], till: float) -> bytes:
-        asked = batch.asked
+        asked = batch.submission
         left = max(ceil((till - clock.now()) * 1e3), 1)
-        fields = {"X-Txn": asked.txn, "X-Lane": batch.lane, "X-Limit-Ms": str(left)}
+        fields = {"X-Txn": asked.txn, "X-Lane": batch.class_name, "X-Limit-Ms": str(left)}
         if asked.reference:
             fields["X-Dedupe"] = asked.reference
         if batch.grant >= 1:
@@ -194,7 +196,9 @@
         spoilt, unused = 0, False
         while spoilt < MOST_SPOILT:
             try:
-                connection = await self.connections.take(entry, urgent=False, patient=not page, unused=unused)
+                connection = await self.connections.acquire(
+                    entry, urgent=False, patient=not page, unused=unused
+                )
             except Refused:
                 sent.dead = True
                 break
@@ -208,7 +212,7 @@
                 request = http.call("GET", f"{path}{page}", entry.address, {})
                 reply = await connection.call(request, WORD_WITHIN if page else NEWS_WITHIN)
                 self.read(reply, page, connection, end, sent, batch)
-                if reply.status in UNRUN and batch.lane in self.wary and connection.calls > 1:
+                if reply.status in UNRUN and batch.class_name in self.wary and connection.calls > 1:
                     # Risk: a second copy of the answer to another batch, late on a link that carried that
                     # one, taken for proof that this one never ran. Only an unused connection proves it.
                     unused = True
@@ -221,13 +225,13 @@
                 self.spoilt(why)
                 spoilt += 1
             finally:
-                self.connections.give_back(connection)
+                self.connections.release(connection)
             await asyncio.sleep(RETRY_PACE * (spoilt - 1))
         raise Ended(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
-        if not self.registry.open_to(entry.engine.id):
+        if not self.registry.accepts_dispatches(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
     def spoilt(self, why: Exception) -> None:
@@ -265,9 +269,9 @@
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.page(reply.body)
-        if connection.repeats(reply):
+        if connection.is_repeated(reply):
             raise Spoilt("the same answer twice on one connection")
-        if connection.surplus and sent.doubts < DOUBTED:
+        if connection.has_surplus and sent.doubts < DOUBTED:
             # Risk: what lies behind may be the rest of these rows, cut off by a length put too low.
             sent.doubts += 1
             raise Spoilt("more than one answer")
@@ -278,14 +282,14 @@
     async def put(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
             async with asyncio.timeout(NEWS_WITHIN):
-                connection = await self.connections.take(entry, urgent=False)
+                connection = await self.connections.acquire(entry, urgent=False)
                 try:
                     path, priority = way(batch, number)[:-1], b"%d" % batch.priority
                     call = http.call("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
                     await connection.call(call, WORD_WITHIN)
                 finally:
-                    self.connections.give_back(connection)
+                    self.connections.release(connection)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
@@ -302,17 +306,17 @@
         if not sent.dead:
             await asyncio.sleep(sent.asked + NEWS_WITHIN + DROPPED_AFTER - clock.now())
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def call_off(self, entry: Entry, name: DispatchName) -> None:
         await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROPPED_AFTER, lambda: False)
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
         try:
-            connection = await self.connections.take(entry, urgent=False)
+            connection = await self.connections.acquire(entry, urgent=False)
             try:
                 request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
                 reply = await connection.call(request, NEWS_WITHIN)
             finally:
-                self.connections.give_back(connection)
+                self.connections.release(connection)
         except Refused:
             return "unknown"
         except (Unreached, Short, Broken, Silent, http.Unreadable):
@@ -322,13 +326,13 @@
     async def delete(self, entry: Entry, path: str, till: float, urgent: Callable[[], bool]) -> None:
         while clock.now() < till:
             try:
-                connection = await self.connections.take(entry, urgent=urgent())
+                connection = await self.connections.acquire(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
                     await connection.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
                     return
                 finally:
-                    self.connections.give_back(connection)
+                    self.connections.release(connection)
             except Refused:
                 break
             # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
@@ -347,7 +351,7 @@
                     report,
                 )
             finally:
-                self.connections.give_back(connection)
+                self.connections.release(connection)
         except (Refused, Unreached) as why:
             return UNCONNECTED[type(why)], ()
         except Silent:
@@ -365,4 +369,4 @@
 def way(batch: Batch, number: int) -> str:
     """Where its engine is asked for a dispatch: under the id that it was begun with, by this front or
     another."""
-    return f"/fetch/{batch.name(number).txn}/"
+    return f"/fetch/{batch.dispatch_name(number).txn}/"
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/intake.py
@@ -44,7 +44,7 @@
         table = sql.table(asked.statement)
         if table is None:
             raise InvalidFieldError("bytes", "the statement names no table of a group")
-        number, now = self.batches.number(), clock.now()
+        number, now = self.batches.next_number(), clock.now()
         # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
         left = min(asked.wait - 2 * self.pulse.behind(), self.stop_at - now)
         taken = it.BatchReceived(
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -39,12 +39,17 @@
         self,
         subscription: Subscription,
         registry: EngineRegistry,
-        forget: Callable[[it.EngineId], None],
+        drop_connections: Callable[[it.EngineId], None],
         desk: Desk,
         names: KnownNames,
     ) -> None:
-        """`forget` drops the connections to an engine."""
-        self.subscription, self.registry, self.forget, self.desk = subscription, registry, forget, desk
+        """`drop_connections` closes the connections to an engine."""
+        self.subscription, self.registry, self.drop_connections, self.desk = (
+            subscription,
+            registry,
+            drop_connections,
+            desk,
+        )
         self.zones = {name: place for place, name in enumerate(names.zones)}
         self.kinds = {name: place for place, name in enumerate(names.kinds)}
         # Records that have left the subset, of engines that queries are still out at.
@@ -62,46 +67,48 @@
     def retained(self) -> tuple[str, ...]:
         """Engines that queries are out at and that are not in the subset."""
         held = self.held()
-        outside = [engine for engine in self.leaving if self.out(engine)]
-        outside += [engine for engine, record in held.items() if not record.in_subset and self.out(engine)]
+        outside = [engine for engine in self.leaving if self.has_dispatches(engine)]
+        outside += [
+            engine for engine, record in held.items() if not record.in_subset and self.has_dispatches(engine)
+        ]
         return tuple(sorted(set(outside)))
 
     def held(self) -> dict[str, EngineRecord]:
         """The engines that the subscription holds."""
         return {record.id: record for record in engines_of(self.subscription.replica.records.values())}
 
-    def out(self, engine: str) -> bool:
+    def has_dispatches(self, engine: str) -> bool:
         """Whether queries of this front are out at the engine."""
-        return self.registry.out[engine.encode()] > 0
+        return self.registry.dispatches[engine.encode()] > 0
 
     def changed(self, listing: Listing) -> None:
         """The subscription holds something else than before."""
-        self.registry.sharing = listing.fronts
+        self.registry.sharing_fronts = listing.fronts
         held = self.held()
         for engine, (record, _) in self.entries.items():
-            if engine not in held and engine not in self.leaving and self.out(engine):
+            if engine not in held and engine not in self.leaving and self.has_dispatches(engine):
                 self.leaving[engine] = record._replace(in_subset=False)
         for engine in listing.gone:
             self.leaving.pop(engine, None)
-            if self.out(engine):
-                self.registry.ended.add(engine.encode())
-        self.tell()
+            if self.has_dispatches(engine):
+                self.registry.ended_engines.add(engine.encode())
+        self.notify()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Tell the registry and the decisions what is held now."""
         held = self.held()
-        self.leaving = self.still_leaving(held)
+        self.leaving = self.retained_leavers(held)
         self.entries = {
             record.id: known
             for record in (*held.values(), *self.leaving.values())
-            if (known := self.entry_of(record))
+            if (known := self.entry_for(record))
         }
         serial = self.subscription.replica.version.packed()
         entries = [entry for _, entry in self.entries.values()]
         before = self.registry.states()
         last_heard = self.heard_at if isfinite(self.heard_at) else None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
-            self.forget(engine)
+            self.drop_connections(engine)
         self.desk.log(
             "list",
             version=str(self.subscription.replica.version),
@@ -109,31 +116,33 @@
             changed=transitions(before, self.registry.states()),
         )
         self.desk.tell(
-            it.EngineListReceived(it.ListKind.WHOLE, serial, self.registry.told(), self.registry.sharing)
+            it.EngineListReceived(
+                it.ListKind.WHOLE, serial, self.registry.engine_list(), self.registry.sharing_fronts
+            )
         )
 
-    def still_leaving(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
+    def retained_leavers(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Of the engines that have left, those that queries are out at and whose address is still theirs."""
         owners = {record.address: record.id for record in held.values()}
         return {
             engine: record
             for engine, record in self.leaving.items()
-            if engine not in held and self.out(engine) and record.address not in owners
+            if engine not in held and self.has_dispatches(engine) and record.address not in owners
         }
 
-    def entry_of(self, record: EngineRecord) -> tuple[EngineRecord, Entry] | None:
+    def entry_for(self, record: EngineRecord) -> tuple[EngineRecord, Entry] | None:
         """The record with its registry entry; None where this front can't use it."""
         known = self.entries.get(record.id)
         if known and known[0] == record:
             return known
         try:
-            return record, self.made(record)
+            return record, self.build_entry(record)
         except (UnknownNameError, ValueError) as error:
             self.desk.metrics.add("engines of the list that can't be used")
             self.desk.log("engine not usable", engine=record.id, why=str(error))
             return None
 
-    def made(self, record: EngineRecord) -> Entry:
+    def build_entry(self, record: EngineRecord) -> Entry:
         """The registry's entry of a record; `UnknownNameError` where its zone or kind is not known here."""
         if record.zone not in self.zones or record.kind not in self.kinds:
             raise UnknownNameError(f"zone {record.zone!r} or kind {record.kind!r} is not in the settings")
--- a/thistlelever/carrier/subscription.py
+++ b/thistlelever/carrier/subscription.py
@@ -26,12 +26,12 @@
 
 WATCH_PATH = "/v1/watch"
 # So many updates in a row that can't be applied, and another distributor is asked.
-MOST_FAULTS = 2
+MAX_FAULTS = 2
 # How long a connection may take to come up.
-CONNECT_WITHIN = 0.5
+CONNECT_TIMEOUT = 0.5
 # A connection is given up after this long, a part of it drawn by chance, and the preferred distributor is
 # tried again: otherwise one that was restarted stays without fronts.
-CONNECTION_AGE = 600.0
+MAX_CONNECTION_AGE = 600.0
 
 
 class SubscriptionTerms(NamedTuple):
@@ -96,7 +96,7 @@
         """Watch one distributor for as long as it serves; seconds to wait before the next is tried."""
         address = self.terms.distributors[self.failover.current]
         try:
-            self.connection = await DistributorConnection.open(address, CONNECT_WITHIN)
+            self.connection = await DistributorConnection.open(address, CONNECT_TIMEOUT)
             self.connected_to = address
             self.counts["connections"] += 1
             self.log("distributor connected", at="{}:{}".format(*address), version=str(self.replica.version))
@@ -136,7 +136,7 @@
 
     async def watch(self, connection: DistributorConnection) -> None:
         """Watch by one connection until it is old; `DistributorError` as soon as it is of no use."""
-        till = clock.now() + CONNECTION_AGE * (0.5 + 0.5 * self.failover.chance())
+        till = clock.now() + MAX_CONNECTION_AGE * (0.5 + 0.5 * self.failover.chance())
         everything, faults = True, 0
         while clock.now() < till:
             wait, within = self.watch_times()
@@ -146,7 +146,7 @@
             if outcome in (Outcome.STALE, Outcome.CONFLICT):
                 raise DistributorBehindError(f"its update was {outcome.name.lower()}")
             faults = faults + 1 if outcome in (Outcome.GAP, Outcome.DAMAGED) else 0
-            if faults > MOST_FAULTS:
+            if faults > MAX_FAULTS:
                 raise DistributorError(f"its updates are {outcome.name.lower()}")
             # After a gap or a damaged update the distributor is told anew what is held.
             everything = faults > 0
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -17,7 +17,7 @@
 from thistlelever.ground.commands import TakenOver
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
+from thistlelever.store.batches import Batch, DispatchName
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.takeover.facts import Address, AskOn, CallOff, Enough, Group, Say, Told, may_have_run
 from thistlelever.takeover.judge import Judge
@@ -50,7 +50,7 @@
     async def out(self, number: int, engine: it.EngineId) -> bool:
         """A dispatch is about to go there; whether it may. Risk: its front dies between its first byte and
         the word of it, and whoever comes after takes it for one that never ran."""
-        name, wards, ward = self.batch.name(number), self.wards, self.ward
+        name, wards, ward = self.batch.dispatch_name(number), self.wards, self.ward
         if wards.lost(ward):
             return False
         if not wards.judge.goes_out(
@@ -145,19 +145,19 @@
 
     def enter_lazy(self, batch: Batch) -> None:
         """One that no client can come back for; nothing is waited for."""
-        group, _ = self.query_classes[batch.lane]
-        ward = self.judge.enter_lazy(clock.now(), bytes.fromhex(batch.asked.txn), group, batch.limit_at)
+        group, _ = self.query_classes[batch.class_name]
+        ward = self.judge.enter_lazy(clock.now(), bytes.fromhex(batch.submission.txn), group, batch.deadline)
         batch.ward = Guard(self, batch, ward)
 
     async def enter(self, batch: Batch) -> End | it.PushBack | it.Error | None:
         """Find out whose a batch is that its client can come back for: the answer where it is not this
         front's to go on with, None where it is. It waits for another's run for as long as its client
         waits."""
-        group, query_class = self.query_classes[batch.lane]
-        mark, txn = bytes.fromhex(batch.asked.reference), bytes.fromhex(batch.asked.txn)
+        group, query_class = self.query_classes[batch.class_name]
+        mark, txn = bytes.fromhex(batch.submission.reference), bytes.fromhex(batch.submission.txn)
         heard = None
         while True:
-            ward = self.judge.enter(clock.now(), mark, txn, group, batch.limit_at, heard)
+            ward = self.judge.enter(clock.now(), mark, txn, group, batch.deadline, heard)
             try:
                 told = await self.answer(ward)
             except asyncio.CancelledError:
@@ -193,7 +193,7 @@
             # Without a majority too: what is known to have begun is not begun anew.
             if not self.adopts(batch, told.value, query_class):
                 return self.not_known(batch, told, "its engine is gone")
-        elif unknown and once_only and batch.asked.is_retry:
+        elif unknown and once_only and batch.submission.is_retry:
             # It may have run at a front that nobody can be asked about.
             return self.not_known(batch, told, ward.bare or "nobody would know")
         elif unknown and demands:
@@ -209,7 +209,11 @@
     def not_known(self, batch: Batch, told: Told, why: str) -> it.Error:
         self.metrics.add("takeover: told that it is not known")
         self.log(
-            "work not known", batch=batch.asked.txn, mark=batch.asked.reference, say=told.say.value, why=why
+            "work not known",
+            batch=batch.submission.txn,
+            mark=batch.submission.reference,
+            say=told.say.value,
+            why=why,
         )
         return it.Error(batch.number)
 
@@ -217,13 +221,17 @@
         """Another front's run becomes this one's first dispatch: whether the batch can go on from there."""
         if value.state is State.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
-        begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
+        begun = (
+            DispatchName(value.txn.hex(), value.number),
+            value.engine.encode("latin-1"),
+            value.ran_ms / 1e3,
+        )
         good = goes_on_from(batch, query_class, self.registry, *begun)
-        if 0 in batch.under:
+        if 0 in batch.adopted_names:
             self.metrics.add("takeover: adopted")
             self.log(
                 "work adopted",
-                batch=batch.asked.txn,
+                batch=batch.submission.txn,
                 began_as=value.txn.hex(),
                 engine=value.engine,
                 state=value.state.name.lower(),
@@ -237,14 +245,14 @@
         if entry is None:
             return None
         end, sent = End(READING, entry.engine.id), Sending(READING)
-        batch.under[READING] = Name(value.txn.hex(), value.number)
-        self.registry.begin(end.engine)
+        batch.adopted_names[READING] = DispatchName(value.txn.hex(), value.number)
+        self.registry.dispatch_started(end.engine)
         try:
-            await self.speech(entry).resume(batch, entry, end, sent, batch.limit_at)
+            await self.speech(entry).resume(batch, entry, end, sent, batch.deadline)
         except Ended:
             return None
         finally:
-            self.registry.end(end.engine)
+            self.registry.dispatch_ended(end.engine)
         if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
         self.metrics.add("takeover: read another front's run")
@@ -368,7 +376,7 @@
         """Until the judge says that it is enough."""
         while True:
             entry = self.registry.entries.get(order.engine.encode("latin-1"))
-            name = Name(order.txn.hex(), order.number)
+            name = DispatchName(order.txn.hex(), order.number)
             said = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
             self.metrics.add(f"takeover: asked on: {said}")
             self.judge.heirs.asked(order.key, said)
@@ -377,7 +385,7 @@
 
     async def call_off(self, order: CallOff) -> None:
         if entry := self.registry.entries.get(order.engine.encode("latin-1")):
-            await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
+            await self.speech(entry).call_off(entry, DispatchName(order.txn.hex(), order.number))
 
 
 def groups(settings: it.Settings, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -286,7 +286,7 @@
             raise self.ticket_refused(status)
         batch = self.batch(order, context)
         try:
-            async with asyncio.timeout_at(clock.on_loop(batch.limit_at + LAST_BYTES)):
+            async with asyncio.timeout_at(clock.on_loop(batch.deadline + LAST_BYTES)):
                 await self.deliver(batch, context)
         except TimeoutError:
             # Its reader is slow: what it has is not the whole, and its status says so.
@@ -319,7 +319,7 @@
             return Refusal(StatusCode.CANCELLED, CALLED_OFF)
         if type(told) is it.PushBack:
             return answers.pushed_back(told.return_in, self.stopping)
-        return answers.errored(clock.now() >= batch.limit_at - LIMIT_EARLY)
+        return answers.errored(clock.now() >= batch.deadline - LIMIT_EARLY)
 
     async def do_put(self, requests: AsyncIterator[bytes], context: aio.ServicerContext) -> None:
         stream = aiter(requests)
@@ -355,7 +355,7 @@
         """Take an update at once: the rows changed, -1 where its engine does not say."""
         _, order = self.ticket(statement, context)
         batch = self.batch(order, context)
-        batch.update = True
+        batch.is_update = True
         async with Taking(self, batch) as told:
             return told.changed
 
--- a/thistlelever/flight/taking.py
+++ b/thistlelever/flight/taking.py
@@ -39,7 +39,7 @@
             if not told.done():
                 told.set_result(said)
 
-        door.open[batch.asked.txn] = Open(batch, told)
+        door.open[batch.submission.txn] = Open(batch, told)
         door.metrics.add("taken")
         door.courses.start(batch, answer)
         try:
@@ -56,8 +56,8 @@
         if kind:
             self.leave()
         else:
-            self.door.open.pop(self.batch.asked.txn, None)
+            self.door.open.pop(self.batch.submission.txn, None)
 
     def leave(self) -> None:
-        self.door.open.pop(self.batch.asked.txn, None)
+        self.door.open.pop(self.batch.submission.txn, None)
         self.batch.inbox.put_nowait(LEFT)
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -68,7 +68,7 @@
         if self.configuration.differs():
             self.on_new_configuration()
 
-    def hold(self, serial: int, entries: list[Entry]) -> None:
+    def adopt_configured(self, serial: int, entries: list[Entry]) -> None:
         """The list of a configuration that was read again; its serials are not the distributors' versions."""
 
     def overlay(self, operator: Operator) -> Operator:
@@ -80,7 +80,7 @@
             self.desk.log("configuration in force", version=str(self.configuration.in_force_since))
         return found
 
-    def accept_from(self, serial: int) -> None:
+    def resume_from(self, serial: int) -> None:
         """A former life of this front held that version: nothing older is taken."""
         self.subscription.replica.floor = unpacked(serial)
 
@@ -94,7 +94,7 @@
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.first.wait(), self.start_within)
 
-    def ask(self, by_order: bool) -> None:
+    def poll(self, requested: bool) -> None:
         """The list is told as it changes; there is nothing to ask for."""
 
     async def run(self) -> None:
@@ -123,7 +123,7 @@
             "last_error": subscription.last_error,
             "engines": sum(record.in_subset for record in engines_of(replica.records.values())),
             "retained": list(self.list.retained()),
-            "fronts": self.registry.sharing,
+            "fronts": self.registry.sharing_fronts,
             "configuration": self.configuration.show(),
             "counts": dict(sorted(subscription.counts.items())),
         }
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.clients import Reception
 from thistlelever.carrier.course import Courses
 from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.directory import Deaf, DirectoryClient
+from thistlelever.carrier.directory import PeerDatagramSink, DirectoryClient
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.carrier.intake import Intake
@@ -26,8 +26,8 @@
 from thistlelever.ground.config import Config, load
 from thistlelever.lifecycle.start_times import StartTimes
 from thistlelever.store.batches import Batches
-from thistlelever.store.bounds import bounds
-from thistlelever.store.connections import OWN_WANT, ConnectionPool
+from thistlelever.store.connection_limits import connection_limits
+from thistlelever.store.connections import LOCAL_SHORTAGE_ERRNOS, ConnectionPool
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.ground.metrics import Metrics
 
@@ -80,12 +80,12 @@
         settings = config.settings
         self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
         flight = operator.flight if operator else None
-        limits = bounds(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
+        limits = connection_limits(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
         self.connections = ConnectionPool(
-            limits.connections, config.idle, settings.connect_limit, self.metrics
+            limits.engine_connections, config.idle, settings.connect_limit, self.metrics
         )
-        self.connections.listed = self.registry.listed
-        self.connections.reachable = self.registry.reachable
+        self.connections.is_listed = self.registry.is_listed
+        self.connections.is_reachable = self.registry.is_reachable
         over_http = HttpEngines(settings, self.registry, self.connections, self.desk, self.metrics)
         self.dispatcher = Dispatcher(
             settings, self.registry, lambda entry: over_http, self.desk, self.metrics, log
@@ -99,7 +99,7 @@
         self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
         self.discovery = self.create_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
-        self.desk.on_ask_list = lambda: self.discovery.ask(by_order=True)
+        self.desk.on_ask_list = lambda: self.discovery.poll(requested=True)
         # What the operator file switches on beside that, in the order in which it is opened.
         self.sides: list[Side] = self.switched_on(operator) if operator else []
         if self.flight:
@@ -155,7 +155,7 @@
             sides.append(self.state)
             # Risk: a front that starts again takes an older list than it had, of a distributor that is
             # behind.
-            self.discovery.accept_from(self.state.highest_serial())
+            self.discovery.resume_from(self.state.highest_serial())
         if operator.budgets:
             from thistlelever.lifecycle.budgets import BudgetsSide
 
@@ -181,7 +181,7 @@
 
     def forget(self, engine: it.EngineId) -> None:
         """Connections to an engine that is gone or was started anew."""
-        self.connections.forget(engine)
+        self.connections.drop_engine(engine)
         if self.flight:
             self.flight.engines.forget(engine)
 
@@ -199,9 +199,13 @@
         address = self.config.peer_listen
         if address and not self.membership:
             await patiently(
-                lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
+                lambda: loop.create_datagram_endpoint(
+                    lambda: PeerDatagramSink(self.metrics), local_addr=address
+                )
             )
-        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.registry.serial, self.registry.told()))
+        self.desk.tell(
+            it.EngineListReceived(it.ListKind.CACHED, self.registry.serial, self.registry.engine_list())
+        )
         raw = await patiently(lambda: listener(self.config.listen))
         self.reception.listen(raw)
         start_times.reached("listening")
@@ -222,7 +226,7 @@
             listen=raw.getsockname(),
             engines=len(self.registry.entries),
             serial=self.registry.serial,
-            links=self.connections.most,
+            links=self.connections.limit,
             start=start_times.stages,
             **further,
         )
@@ -281,7 +285,7 @@
                 if new.directory != self.config.directory:
                     await self.discovery.open(new.directory)
                 # Risk: a drain that it names is known only once the directory's new address has answered.
-                self.discovery.hold(new.serial, list(new.known))
+                self.discovery.adopt_configured(new.serial, list(new.known))
             except ConfigError as why:
                 self.log("reload refused", why=str(why))
                 continue
@@ -321,7 +325,7 @@
         written, due = None, clock.now() + COUNTS_EVERY
         while True:
             await asyncio.sleep(HOUSEKEEPING)
-            self.connections.sweep()
+            self.connections.close_expired()
             self.reception.sweep()
             if clock.now() >= due and self.metrics.counts != written:
                 written = self.metrics.counts.copy()
@@ -362,7 +366,7 @@
         try:
             return await make()
         except OSError as why:
-            if why.errno not in OWN_WANT:
+            if why.errno not in LOCAL_SHORTAGE_ERRNOS:
                 raise
             await asyncio.sleep(START_AGAIN)
     return await make()
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -21,7 +21,7 @@
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.recovery.ages import Age, Now, Terms, age
 from thistlelever.recovery.judge import Judge, Stage
-from thistlelever.store.batches import Name
+from thistlelever.store.batches import DispatchName
 
 # What is learnt and confirmed is written down this often, and a start that found nobody is tried again.
 NOTE, AGAIN = 1.0, 1.0
@@ -123,7 +123,7 @@
         """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
         serial."""
         entries = [self.entries[engine] for engine in sorted(self.judge.use)]
-        self.parts.registry.remember(entries, clock.now())
+        self.parts.registry.restore(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The serial of the newest list that is kept; 0 where none is."""
@@ -147,17 +147,17 @@
         )
         self.parts.desk.tell(told)
 
-    def remember(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
+    def remember(self, mark: bytes, what: tuple[it.EngineId, DispatchName, float] | None) -> None:
         if what is None:
             self.keeper.drop("mark", mark)
             return
         engine, name, window = what
         self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment()))
 
-    def find(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
+    def find(self, mark: bytes) -> tuple[it.EngineId, DispatchName, float] | None:
         found = self.keeper.records["mark"].get(mark)
         # By the least that it may be its repeats would still be dropped; by the most they are not.
-        return found and (found.engine, Name(found.txn, found.number), since(found.ran).most)
+        return found and (found.engine, DispatchName(found.txn, found.number), since(found.ran).most)
 
     # Its life.
 
@@ -193,7 +193,9 @@
         if self.judge.stage is not Stage.LISTED and not self.parts.registry.serial:
             self.use()
             registry = self.parts.registry
-            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, registry.serial, registry.told()))
+            self.parts.desk.tell(
+                it.EngineListReceived(it.ListKind.CACHED, registry.serial, registry.engine_list())
+            )
             self.parts.log("started by what was remembered", **self.judge.show())
 
     async def finding(self) -> None:
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -10,7 +10,7 @@
 from thistlelever.ground.submission import Submission
 
 
-class Name(NamedTuple):
+class DispatchName(NamedTuple):
     """A dispatch as its engine knows it: the id of the batch, and which of its dispatches it was where it was
     begun."""
 
@@ -23,35 +23,35 @@
     """One batch from its reading to its one final answer and the end of its last dispatch."""
 
     number: int
-    asked: Submission
-    taken: it.BatchReceived
-    lane: str
-    limit_at: float
+    submission: Submission
+    received: it.BatchReceived
+    class_name: str
+    deadline: float
     inbox: asyncio.Queue = field(default_factory=asyncio.Queue)
     grant: float = 0.0
     priority: int | None = None
     dispatches: int = 0
-    out: dict[int, asyncio.Task] = field(default_factory=dict)
+    dispatch_tasks: dict[int, asyncio.Task] = field(default_factory=dict)
     engines: dict[int, it.EngineId] = field(default_factory=dict)
-    limits: dict[int, asyncio.Timeout] = field(default_factory=dict)
+    timeouts: dict[int, asyncio.Timeout] = field(default_factory=dict)
     answered: bool = False
     # What its dispatches cost by their engines' word, in core-seconds.
-    true_work: float = 0.0
+    measured_work: float = 0.0
     # Whether its door takes columns, and lets a result begin before it is whole; whether it only changes
     # rows, so that a count is its result.
     columns: bool = False
-    update: bool = False
+    is_update: bool = False
     # The result that has begun to go on, of type `carrier.flow.Flow`.
     flow: Any = None
     # Where takeover is on: the batch's hold on itself, of type `carrier.wards.Guard`; and the ids at their
     # engines of dispatches that another front has begun.
     ward: Any = None
-    under: dict[int, Name] = field(default_factory=dict)
+    adopted_names: dict[int, DispatchName] = field(default_factory=dict)
     backstop: asyncio.TimerHandle | None = None
 
-    def name(self, number: int) -> Name:
+    def dispatch_name(self, number: int) -> DispatchName:
         """How its engine knows a dispatch."""
-        return self.under.get(number) or Name(self.asked.txn, number)
+        return self.adopted_names.get(number) or DispatchName(self.submission.txn, number)
 
 
 class Batches:
@@ -60,17 +60,17 @@
     def __init__(self) -> None:
         self.by_number: dict[int, Batch] = {}
         self.by_txn: dict[str, Batch] = {}
-        self.read = 0
+        self.last_number = 0
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """Numbers follow the order of reading, as ties are decided by them."""
-        self.read += 1
-        return self.read
+        self.last_number += 1
+        return self.last_number
 
     def add(self, batch: Batch) -> None:
         self.by_number[batch.number] = batch
-        self.by_txn[batch.asked.txn] = batch
+        self.by_txn[batch.submission.txn] = batch
 
     def drop(self, batch: Batch) -> None:
         del self.by_number[batch.number]
-        del self.by_txn[batch.asked.txn]
+        del self.by_txn[batch.submission.txn]
--- a/thistlelever/store/bounds.py
+++ b/thistlelever/store/connection_limits.py
@@ -9,28 +9,28 @@
 # connection that is taken only to be closed.
 CLIENTS_SHARE, OWN_DESCRIPTORS = 0.4, 24
 # The program with its libraries and an ordinary day's batches, in MB, and what is left at the least.
-AT_REST, LEAST_ROOM = 24.0, 4.0
-# Shares of the room beside that: answers not yet read by clients, and lines not yet whole.
+BASE_MEMORY_MB, MIN_BUFFER_MEMORY_MB = 24.0, 4.0
+# Shares of the buffer_bytes beside that: answers not yet read by clients, and lines not yet whole.
 UNREAD_SHARE, UNFINISHED_SHARE = 0.4, 0.15
 
 
-class Bounds(NamedTuple):
+class ConnectionLimits(NamedTuple):
     """Connections of clients and to engines; bytes that clients have not read, or not sent whole."""
 
-    sessions: int
-    connections: int
-    unread: int
-    unfinished: int
+    client_connections: int
+    engine_connections: int
+    unread_bytes: int
+    unfinished_bytes: int
 
 
-def bounds(sockets: int, memory_mb: float, elsewhere: int = 0) -> Bounds:
+def connection_limits(sockets: int, memory_mb: float, reserved: int = 0) -> ConnectionLimits:
     """What follows from the limits, where so many descriptors are set aside for other doors and engines."""
-    sockets -= elsewhere
-    sessions = int(sockets * CLIENTS_SHARE)
-    room = max(memory_mb - AT_REST, LEAST_ROOM) * 1e6
-    return Bounds(
-        sessions,
-        max(sockets - sessions - OWN_DESCRIPTORS, 1),
-        int(room * UNREAD_SHARE),
-        int(room * UNFINISHED_SHARE),
+    sockets -= reserved
+    client_connections = int(sockets * CLIENTS_SHARE)
+    buffer_bytes = max(memory_mb - BASE_MEMORY_MB, MIN_BUFFER_MEMORY_MB) * 1e6
+    return ConnectionLimits(
+        client_connections,
+        max(sockets - client_connections - OWN_DESCRIPTORS, 1),
+        int(buffer_bytes * UNREAD_SHARE),
+        int(buffer_bytes * UNFINISHED_SHARE),
     )
--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -21,19 +21,21 @@
 from thistlelever.wire.inflow import Inflow, TooLong
 
 # A page with its head fits into 16 KiB; a reply of more is none that the protocol knows.
-BUFFER, LONGEST = 8_192, 16_384
+BUFFER_BYTES, MAX_REPLY_BYTES = 8_192, 16_384
 # Kept places for what must not wait behind polls: dispatches, cancels, probes.
 URGENT_SHARE = 0.25
 # Ours are closed at this share of the engines' idle time, so that a call never meets their closing.
 IDLE_SHARE = 0.8
 # No engine's id: who waits under it waits for a place.
-NOBODY = b""
+ANY_ENGINE = b""
 # What this side is out of, as no engine is to blame for it.
-OWN_WANT = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+LOCAL_SHORTAGE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
 # A link rests this long between two calls: what an engine sends beside its reply is then seen to be that.
-REST = 0.01
+MIN_IDLE = 0.01
 # A reply that has begun goes on within this, or it has stopped short.
-STOPPED_SHORT = 0.15
+STALL_TIMEOUT = 0.15
 
 
 class Refused(Exception):
@@ -61,59 +63,59 @@
 
     def __init__(self, stream: Stream, engine: EngineId) -> None:
         self.stream, self.engine, self.idle_since, self.calls = stream, engine, 0.0, 0
-        self.inflow = Inflow(BUFFER, LONGEST)
-        self.calling, self.whole, self.surplus = False, False, False
+        self.inflow = Inflow(BUFFER_BYTES, MAX_REPLY_BYTES)
+        self.call_pending, self.request_sent, self.has_surplus = False, False, False
         # A digest of the last good reply. Risk: a copy that comes late, while the next call is under way, is
         # taken for the answer to that call.
-        self.last_good = 0
+        self.last_digest = 0
         # While idle a read is under way, so that what comes unasked is seen, and by whom.
-        self.reading: asyncio.Future | None = None
+        self.pending_read: asyncio.Future | None = None
 
     async def call(self, request: bytes, within: float) -> http.Reply:
         """Send one call and read its reply, which is void once the link is used again."""
-        self.calling, self.whole, self.calls = True, False, self.calls + 1
+        self.call_pending, self.request_sent, self.calls = True, False, self.calls + 1
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(within) as limit:
                 await self.stream.write(request)
-                self.whole = True
+                self.request_sent = True
                 reply = None
                 while reply is None:
-                    reading = self.reading or self.stream.read_into(self.inflow.room(), partial=True)
-                    self.reading = None
+                    reading = self.pending_read or self.stream.read_into(self.inflow.room(), partial=True)
+                    self.pending_read = None
                     self.inflow.filled(await reading)
-                    limit.reschedule(min(limit.when(), loop.time() + STOPPED_SHORT))
+                    limit.reschedule(min(limit.when(), loop.time() + STALL_TIMEOUT))
                     reply = http.reply(self.inflow)
         except TimeoutError:
             raise Silent from None
         except (StreamClosedError, TooLong, http.Unreadable) as why:
             raise Broken(f"{type(why).__name__}: {why}") from None
-        self.calling = False
-        self.surplus = self.inflow.start != self.inflow.end
-        if not reply.keeps or self.surplus:
+        self.call_pending = False
+        self.has_surplus = self.inflow.start != self.inflow.end
+        if not reply.keeps or self.has_surplus:
             # What comes unasked could be taken for the answer to the next call.
             self.stream.close()
         return reply
 
-    def repeats(self, reply: http.Reply) -> bool:
+    def is_repeated(self, reply: http.Reply) -> bool:
         """Whether a good reply is, field by field, the one that came before it on this link, the work that
         was measured included: no two queries take the same."""
         if b"elapsed-work" not in reply.fields:
             return False
-        words = (b"%b:%b" % (name, value) for name, value in sorted(reply.fields.items()))
-        before, self.last_good = self.last_good, crc32(b"\n".join((*words, reply.body))) or 1
-        return before == self.last_good
+        parts = (b"%b:%b" % (name, value) for name, value in sorted(reply.fields.items()))
+        before, self.last_digest = self.last_digest, crc32(b"\n".join((*parts, reply.body))) or 1
+        return before == self.last_digest
 
-    def rest(self) -> None:
+    def start_idle(self) -> None:
         """Void what the last reply lay in, and listen for what may still come."""
         self.idle_since = monotonic()
         with suppress(StreamClosedError):
-            self.reading = self.reading or self.stream.read_into(self.inflow.room(), partial=True)
+            self.pending_read = self.pending_read or self.stream.read_into(self.inflow.room(), partial=True)
 
-    def fresh(self) -> bool:
+    def is_clean(self) -> bool:
         """Whether nothing has come since the last reply, its end included. Risk: what the stream has read
         is no longer at the socket, and what is at the socket the loop has not seen yet."""
-        if self.stream.closed() or self.calling or self.reading and self.reading.done():
+        if self.stream.closed() or self.call_pending or self.pending_read and self.pending_read.done():
             return False
         try:
             self.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -127,20 +129,20 @@
 class ConnectionPool:
     """All links of this front. Who finds none free waits in turn, what is urgent before polls."""
 
-    def __init__(self, most: int, idle: float, connect_limit: float, metrics: Metrics) -> None:
-        self.most, self.idle = most, idle * IDLE_SHARE
+    def __init__(self, limit: int, idle_timeout: float, connect_limit: float, metrics: Metrics) -> None:
+        self.limit, self.idle_timeout = limit, idle_timeout * IDLE_SHARE
         self.connect_limit, self.metrics = connect_limit, metrics
-        self.most_polls = most - int(most * URGENT_SHARE)
-        self.kept: dict[EngineId, deque[Connection]] = {}
+        self.poll_limit = limit - int(limit * URGENT_SHARE)
+        self.idle: dict[EngineId, deque[Connection]] = {}
         self.count = 0
         # Risk: a link that comes back after its engine has gone is kept for nobody.
-        self.listed: Callable[[EngineId], bool] = lambda engine: True
+        self.is_listed: Callable[[EngineId], bool] = lambda engine: True
         # Whether an entry's address still is its engine's; nothing is sent to one that is another's by now.
-        self.reachable: Callable[[Entry], bool] = lambda entry: True
+        self.is_reachable: Callable[[Entry], bool] = lambda entry: True
         # Who waits, urgent ones and polls apart: for which engine, and what wakes them.
-        self.waiting: tuple[deque[tuple[EngineId, asyncio.Future]], ...] = (deque(), deque())
+        self.waiters: tuple[deque[tuple[EngineId, asyncio.Future]], ...] = (deque(), deque())
 
-    async def take(
+    async def acquire(
         self, entry: Entry, urgent: bool, patient: bool = False, unused: bool = False
     ) -> Connection:
         """A link that carries nothing: a kept one, or a new one. Who is patient waits for one that has not
@@ -148,33 +150,33 @@
         anything."""
         engine = entry.engine.id
         while True:
-            if not self.reachable(entry):
+            if not self.is_reachable(entry):
                 self.metrics.add("links to an address that is another engine's")
                 raise Refused("the engine has left its address")
-            connection = None if unused else self.rested(engine)
+            connection = None if unused else self.take_idle(engine)
             if connection:
                 return connection
-            if patient and not unused and (kept := self.kept.get(engine)):
-                await asyncio.sleep(max(kept[0].idle_since + REST - monotonic(), 0.0005))
+            if patient and not unused and (kept := self.idle.get(engine)):
+                await asyncio.sleep(max(kept[0].idle_since + MIN_IDLE - monotonic(), 0.0005))
                 continue
-            if self.count < (self.most if urgent else self.most_polls):
+            if self.count < (self.limit if urgent else self.poll_limit):
                 return await self.connect(entry)
-            if not unused and self.kept.get(engine):
+            if not unused and self.idle.get(engine):
                 # They have not rested yet, and there is place for no other.
-                await asyncio.sleep(REST)
-            elif not self.close_idle_one():
+                await asyncio.sleep(MIN_IDLE)
+            elif not self.close_oldest_idle():
                 self.metrics.add("links short")
-                connection = await self.turn(NOBODY if unused else engine, urgent)
+                connection = await self.wait_turn(ANY_ENGINE if unused else engine, urgent)
                 if connection:
                     return connection
 
-    def rested(self, engine: EngineId) -> Connection | None:
+    def take_idle(self, engine: EngineId) -> Connection | None:
         """The last one given back that has rested: those longer idle may then be closed for others."""
-        kept, before = self.kept.get(engine, deque()), monotonic() - REST
+        kept, before = self.idle.get(engine, deque()), monotonic() - MIN_IDLE
         place = len(kept) - 1
         while place >= 0:
             connection = kept[place]
-            if not connection.fresh():
+            if not connection.is_clean():
                 self.metrics.add("links that were not as left")
                 del kept[place]
                 self.close(connection)
@@ -184,19 +186,19 @@
             place -= 1
         return None
 
-    async def turn(self, engine: EngineId, urgent: bool) -> Connection | None:
+    async def wait_turn(self, engine: EngineId, urgent: bool) -> Connection | None:
         """Wait for a link that is given back, or for the place of one that is closed."""
         turn = asyncio.get_running_loop().create_future()
-        self.waiting[not urgent].append((engine, turn))
+        self.waiters[not urgent].append((engine, turn))
         try:
             return await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
                 # Woken and called off in one moment: what it got is for the next.
                 if turn.result():
-                    self.settle(turn.result())
+                    self.hand_over(turn.result())
                 else:
-                    self.wake()
+                    self.wake_next()
             raise
 
     async def connect(self, entry: Entry) -> Connection:
@@ -205,79 +207,83 @@
         try:
             raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            stream = Stream(raw, max_buffer_size=LONGEST, read_chunk_size=BUFFER)
+            stream = Stream(raw, max_buffer_size=MAX_REPLY_BYTES, read_chunk_size=BUFFER_BYTES)
             async with asyncio.timeout(self.connect_limit):
                 await stream.connect(entry.address)
         except BaseException as why:
             if stream:
                 stream.close()
-            self.freed()
+            self.slot_freed()
             if isinstance(why, TimeoutError):
                 raise Unreached from None
             if isinstance(why, StreamClosedError | OSError):
-                raise self.meaning(why) from None
+                raise self.connect_error(why) from None
             raise
         return Connection(stream, entry.engine.id)
 
-    def meaning(self, why: Exception) -> Exception:
+    def connect_error(self, why: Exception) -> Exception:
         real = getattr(why, "real_error", None) or why
         if isinstance(real, ConnectionRefusedError):
             return Refused(str(real))
         self.metrics.add("connect failed otherwise")
         if isinstance(real, ConnectionError):
             return Broken(str(real))
-        return Short(str(real)) if getattr(real, "errno", None) in OWN_WANT else Unreached(str(real))
+        return (
+            Short(str(real))
+            if getattr(real, "errno", None) in LOCAL_SHORTAGE_ERRNOS
+            else Unreached(str(real))
+        )
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Keep a link for the next call, or close it where its call did not end well."""
-        if connection.stream.closed() or connection.calling or not self.listed(connection.engine):
+        if connection.stream.closed() or connection.call_pending or not self.is_listed(connection.engine):
             self.close(connection)
             return
-        connection.rest()
-        if any(not turn.done() for waiting in self.waiting for _, turn in waiting):
-            asyncio.get_running_loop().call_later(REST, self.settle, connection)
+        connection.start_idle()
+        if any(not turn.done() for waiting in self.waiters for _, turn in waiting):
+            asyncio.get_running_loop().call_later(MIN_IDLE, self.hand_over, connection)
         else:
-            self.kept.setdefault(connection.engine, deque()).append(connection)
+            self.idle.setdefault(connection.engine, deque()).append(connection)
 
-    def settle(self, connection: Connection) -> None:
+    def hand_over(self, connection: Connection) -> None:
         """A link that has rested goes to who waits for one."""
-        if not connection.fresh():
+        if not connection.is_clean():
             self.metrics.add("links that were not as left")
             self.close(connection)
             return
-        for waiting in self.waiting:
+        for waiting in self.waiters:
             for place, (engine, turn) in enumerate(waiting):
                 if engine == connection.engine and not turn.done():
                     # Risk: closed and made anew for each call, links take the time that they are short of.
                     del waiting[place]
                     turn.set_result(connection)
                     return
-        if any(not turn.done() for waiting in self.waiting for _, turn in waiting):
+        if any(not turn.done() for waiting in self.waiters for _, turn in waiting):
             # Who waits wants another engine: a closed link is a place for any.
             self.close(connection)
             return
-        self.kept.setdefault(connection.engine, deque()).append(connection)
+        self.idle.setdefault(connection.engine, deque()).append(connection)
 
     def close(self, connection: Connection) -> None:
         connection.stream.close()
-        self.freed()
+        self.slot_freed()
 
-    def freed(self) -> None:
+    def slot_freed(self) -> None:
         self.count -= 1
         self.metrics.check_invariant(self.count >= 0, "links counted")
-        self.wake()
+        self.wake_next()
 
-    def wake(self) -> None:
-        for waiting in self.waiting:
+    def wake_next(self) -> None:
+        for waiting in self.waiters:
             while waiting:
                 _, turn = waiting.popleft()
                 if not turn.done():
                     turn.set_result(None)
                     return
 
-    def close_idle_one(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Make place for another engine's link; the one longest idle goes."""
-        oldest = min((k for k in self.kept.values() if k), key=lambda k: k[0].idle_since, default=None)
+        oldest = min((k for k in self.idle.values() if k), key=lambda k: k[0].idle_since, default=None)
         if oldest is None:
             return False
         connection = oldest.popleft()
@@ -285,16 +291,16 @@
         self.count -= 1
         return True
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle too long, and forget engines that have no link."""
-        before = monotonic() - self.idle
-        for engine, kept in list(self.kept.items()):
-            while kept and (kept[0].idle_since < before or not kept[0].fresh()):
+        before = monotonic() - self.idle_timeout
+        for engine, kept in list(self.idle.items()):
+            while kept and (kept[0].idle_since < before or not kept[0].is_clean()):
                 self.close(kept.popleft())
             if not kept:
-                del self.kept[engine]
+                del self.idle[engine]
 
-    def forget(self, engine: EngineId) -> None:
+    def drop_engine(self, engine: EngineId) -> None:
         """Close the kept links of an engine that is gone or was started anew: a call on one goes nowhere."""
-        for connection in self.kept.pop(engine, ()):
+        for connection in self.idle.pop(engine, ()):
             self.close(connection)
--- a/thistlelever/store/engine_starts.py
+++ b/thistlelever/store/engine_starts.py
@@ -12,11 +12,11 @@
 from thistlelever.ground import interface as it
 
 # Seconds by which the wall clock may leave the clock that counts on before it was stepped.
-STEPPED = 0.5
+CLOCK_STEP = 0.5
 # A list may name a start so many seconds after it, counted from the last answer without it.
-TOLD_LATE = 7.0
+LISTING_DELAY = 7.0
 # An engine that has left the list for so many seconds is forgotten.
-FORGOTTEN_AFTER = 600.0
+RETENTION = 600.0
 
 
 class EngineStarts:
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         """No engine has been listed."""
         # By engine the start as it was told, what it is believed to be, and when the engine was last listed.
-        self.believed: dict[it.EngineId, tuple[float, float, float]] = {}
+        self.estimates: dict[it.EngineId, tuple[float, float, float]] = {}
 
     def learn(
         self, engines: Iterable[it.Engine], now: float, last_heard: float | None, wall_ahead: float
@@ -35,22 +35,22 @@
         for engine in engines:
             if not engine.started:
                 continue
-            told, believed, _ = self.believed.get(engine.id, (None, 0.0, 0.0))
+            told, believed, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
             if told != engine.started:
-                believed = believable(engine.started, now, last_heard, wall_ahead)
-            self.believed[engine.id] = engine.started, believed, now
-        for engine_id in [e for e, (*_, at) in self.believed.items() if now - at > FORGOTTEN_AFTER]:
-            del self.believed[engine_id]
+                believed = estimate_start(engine.started, now, last_heard, wall_ahead)
+            self.estimates[engine.id] = engine.started, believed, now
+        for engine_id in [e for e, (*_, at) in self.estimates.items() if now - at > RETENTION]:
+            del self.estimates[engine_id]
 
-    def of(self, engine: it.Engine) -> float:
+    def started_at(self, engine: it.Engine) -> float:
         """The engine's start on this front's clock; 0.0 where it started before anybody counted."""
         if not engine.started:
             return 0.0
-        told, believed, _ = self.believed.get(engine.id, (None, 0.0, 0.0))
+        told, believed, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
         return believed if told == engine.started else engine.started
 
 
-def believable(told: float, now: float, last_heard: float | None, wall_ahead: float) -> float:
+def estimate_start(told: float, now: float, last_heard: float | None, wall_ahead: float) -> float:
     """The start on this front's clock for a told one, both in seconds.
 
     While the wall clock has not been stepped a told start is believed, unless it lies in the future: then
@@ -58,8 +58,8 @@
     stand for the later is believed, as an engine that is taken for colder than it is comes to no harm; where
     neither can be, the engine started when it appeared.
     """
-    if abs(wall_ahead) < STEPPED:
+    if abs(wall_ahead) < CLOCK_STEP:
         return min(told, now)
-    earliest = float("-inf") if last_heard is None else last_heard - TOLD_LATE
+    earliest = float("-inf") if last_heard is None else last_heard - LISTING_DELAY
     possible = [start for start in (told, told - wall_ahead) if earliest <= start <= now]
     return max(possible, default=now)
--- a/thistlelever/store/list_agreement.py
+++ b/thistlelever/store/list_agreement.py
@@ -20,12 +20,12 @@
 # Answers that say the list in force before newer ones are dropped that nobody has confirmed.
 DENIALS = 3
 # Newer lists that may await confirmation beside each other.
-MOST_CANDIDATES = 4
+MAX_CANDIDATES = 4
 # Answers in a row under old numbers before what they do not name as ready is closed: a single one came late.
 CONTRADICTIONS = 2
 # Seconds, and answers, after which a directory that goes on contradicting has begun its numbers anew. One
 # that is only behind a configuration read again has caught up by then: all counts as told after 7 s.
-CONTRADICTED_FOR, CONTRADICTED_OFTEN = 8.0, 4
+CONTRADICTED_FOR, MIN_CONTRADICTIONS = 8.0, 4
 
 
 class Answer(NamedTuple):
@@ -47,7 +47,7 @@
         return (own.address, own.engine.started) == (entry.address, entry.engine.started)
 
 
-class Step(NamedTuple):
+class Decision(NamedTuple):
     """What follows from an answer: whether its list is in force now; the engines that nothing new may be sent
     to although the list in force names them as ready; whether there is nothing to ask again at once."""
 
@@ -71,67 +71,69 @@
         """Nothing has been heard."""
         # Newer lists that await confirmation, and the answers since the last of them that deny them.
         self.candidates: list[Candidate] = []
-        self.denied = 0
+        self.denials = 0
         # The last answer under an old number, how many came in a row, and since when.
-        self.contrary: Answer | None = None
-        self.contradicted, self.contradicted_since = 0, 0.0
+        self.contradiction: Answer | None = None
+        self.contradictions, self.contradicting_since = 0, 0.0
 
-    def heard(self, answer: Answer, held: Answer, now: float) -> Step:
-        """Take an answer; `held` is the list in force, `now` in seconds of a clock that does not go back."""
+    def receive(self, answer: Answer, current: Answer, now: float) -> Decision:
+        """Take an answer; `current` is the list in force, `now` in seconds of a monotonic clock."""
         # A list without a number was remembered, not told.
-        if answer.serial > held.serial or not held.serial or not held.entries:
-            adopt = self.heard_newer(answer) or not held.entries
-        elif answer == held:
+        if answer.serial > current.serial or not current.serial or not current.entries:
+            adopt = self.count_newer(answer) or not current.entries
+        elif answer == current:
             adopt = False
-            self.heard_held()
+            self.count_agreeing()
         else:
-            adopt = self.heard_contrary(answer, now)
+            adopt = self.count_contradicting(answer, now)
         if adopt:
-            self.forget()
-        return Step(adopt, self.closed(held), not self.candidates and self.contrary is None)
+            self.reset()
+        return Decision(
+            adopt, self.closed_engines(current), not self.candidates and self.contradiction is None
+        )
 
-    def heard_newer(self, answer: Answer) -> bool:
+    def count_newer(self, answer: Answer) -> bool:
         """Count an answer with a higher number; whether it is confirmed."""
-        self.contrary, self.contradicted, self.denied = None, 0, 0
+        self.contradiction, self.contradictions, self.denials = None, 0, 0
         candidate = next((known for known in self.candidates if known.answer == answer), None)
         if candidate is None:
             candidate = Candidate(answer)
-            self.candidates = [*self.candidates, candidate][-MOST_CANDIDATES:]
+            self.candidates = [*self.candidates, candidate][-MAX_CANDIDATES:]
         candidate.confirmed += 1
         return candidate.confirmed >= CONFIRMATIONS
 
-    def heard_held(self) -> None:
+    def count_agreeing(self) -> None:
         """Count an answer that says the list in force."""
-        self.contrary, self.contradicted = None, 0
-        self.denied += 1
+        self.contradiction, self.contradictions = None, 0
+        self.denials += 1
         # A newer list is not dropped for one answer, which may be a late one from before it.
-        if self.denied >= DENIALS:
+        if self.denials >= DENIALS:
             self.candidates = []
 
-    def heard_contrary(self, answer: Answer, now: float) -> bool:
+    def count_contradicting(self, answer: Answer, now: float) -> bool:
         """Count an answer that differs under an old number; whether the numbers have begun anew."""
-        if not self.contradicted:
-            self.contradicted_since = now
-        self.contrary = answer
-        self.contradicted += 1
-        lasting = now - self.contradicted_since >= CONTRADICTED_FOR
-        return lasting and self.contradicted >= CONTRADICTED_OFTEN
-
-    def closed(self, held: Answer) -> frozenset[it.EngineId]:
+        if not self.contradictions:
+            self.contradicting_since = now
+        self.contradiction = answer
+        self.contradictions += 1
+        lasting = now - self.contradicting_since >= CONTRADICTED_FOR
+        return lasting and self.contradictions >= MIN_CONTRADICTIONS
+
+    def closed_engines(self, current: Answer) -> frozenset[it.EngineId]:
         """The engines that the list in force names as ready and a list in doubt does not."""
-        if not self.candidates and self.contrary is None:
+        if not self.candidates and self.contradiction is None:
             return frozenset()
-        doubts = [candidate.answer for candidate in self.candidates]
+        unconfirmed = [candidate.answer for candidate in self.candidates]
         # An empty list under an old number is no word on any engine.
-        if self.contrary and self.contradicted >= CONTRADICTIONS and self.contrary.entries:
-            doubts.append(self.contrary)
+        if self.contradiction and self.contradictions >= CONTRADICTIONS and self.contradiction.entries:
+            unconfirmed.append(self.contradiction)
         return frozenset(
             engine
-            for engine, entry in held.entries.items()
-            if held.ready(engine) and not all(doubt.ready_as(entry) for doubt in doubts)
+            for engine, entry in current.entries.items()
+            if current.ready(engine) and not all(other.ready_as(entry) for other in unconfirmed)
         )
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Another list is in force: what was heard beside the old one counts no more."""
-        self.candidates, self.denied = [], 0
-        self.contrary, self.contradicted = None, 0
+        self.candidates, self.denials = [], 0
+        self.contradiction, self.contradictions = None, 0
--- a/thistlelever/store/stream.py
+++ b/thistlelever/store/stream.py
@@ -13,26 +13,26 @@
 from tornado.iostream import IOStream
 
 # The connection stands and the call may be made again: the machine is short of something.
-SHORT_OF = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.EINTR))
+TRANSIENT_ERRNOS = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.EINTR))
 # So many such failures in a row, each in a turn of the loop of its own, and the stream ends all the same.
-MOST_SHORT = 100
+MAX_TRANSIENT_FAILURES = 100
 
 
 class Stream(IOStream):
     """A client's or an engine's connection."""
 
     # Reads and writes in a row that failed for want of memory.
-    short = 0
+    transient_failures = 0
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         """Bytes read, 0 at the end; `None` where nothing can be read now."""
         try:
             count = super().read_from_fd(buf)
         except OSError as error:
-            if not self.may_try_again(error):
+            if not self.is_transient(error):
                 raise
             return None
-        self.short = 0
+        self.transient_failures = 0
         return count
 
     def write_to_fd(self, data: memoryview) -> int:
@@ -40,17 +40,17 @@
         try:
             count = super().write_to_fd(data)
         except OSError as error:
-            if not self.may_try_again(error):
+            if not self.is_transient(error):
                 raise
             raise BlockingIOError(error.errno, error.strerror) from None
-        self.short = 0
+        self.transient_failures = 0
         return count
 
-    def may_try_again(self, error: OSError) -> bool:
+    def is_transient(self, error: OSError) -> bool:
         """Whether a failed call says nothing of the connection."""
-        if error.errno not in SHORT_OF or self.short >= MOST_SHORT:
+        if error.errno not in TRANSIENT_ERRNOS or self.transient_failures >= MAX_TRANSIENT_FAILURES:
             return False
-        self.short += 1
+        self.transient_failures += 1
         return True
 
     def close_fd(self) -> None:
