--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -211,7 +211,7 @@
     parsed, taken, compared, changed = [], [], [], []
     for _ in range(times_played(count)):
         client = DirectoryClient()
-        parsed.append(cpu_of(lambda: dns.listing(first, 1, NAME)))
+        parsed.append(cpu_of(lambda: dns.decode_list(first, 1, NAME)))
         taken.append(cpu_of(lambda client=client: client.take(first)))
         compared.append(cpu_of(lambda client=client: client.take(equal)))
         changed.append(cpu_of(lambda client=client: (client.take(after), client.take(confirming))))
--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -46,7 +46,7 @@
 from thistlelever.standins.http_engine import Engine as HttpEngine
 from thistlelever.standins.papers import configuration
 from thistlelever.standins.relay import Relay
-from thistlelever.wire.flight import columns, parcels
+from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 
@@ -90,7 +90,7 @@
         """The messages of a result, some hundred rows each, so that there are places to break between."""
         lines, made = text.splitlines(keepends=True), []
         for start in range(0, len(lines), 100):
-            schema, *batches = columns.of_rows(["".join(lines[start : start + 100]).encode()])
+            schema, *batches = columns.encode_rows(["".join(lines[start : start + 100]).encode()])
             made = made or [schema]
             made += batches
         return made
@@ -269,14 +269,14 @@
 
     async def prepared(self, asked, channel, said):
         wanted = sql.ActionCreatePreparedStatementRequest(query=asked.statement())
-        body, _ = await flight_client.action(channel, "CreatePreparedStatement", parcels.wrapped(wanted))
-        handle = parcels.command(body).prepared_statement_handle
+        body, _ = await flight_client.action(channel, "CreatePreparedStatement", codec.encode_any(wanted))
+        handle = codec.decode_command(body).prepared_statement_handle
         command = sql.CommandPreparedStatementQuery(prepared_statement_handle=handle)
         info = await flight_client.unary(channel, "GetFlightInfo", flight_client.descriptor(command), said)
         await flight_client.action(
             channel,
             "ClosePreparedStatement",
-            parcels.wrapped(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
+            codec.encode_any(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
         return pb.FlightInfo.FromString(info)
 
@@ -348,7 +348,7 @@
         left = counts["taken"] - told
         if not 0 <= left <= sum(a.manner in LEAVERS for a in self.asked):
             broken.append("the front's own book")
-        if self.office.flight.engines.purse.spent or self.office.flight.door.open:
+        if self.office.flight.engines.quota.reserved or self.office.flight.door.open:
             broken.append("something is still held")
         by_engine = Counter()
         for name, engine in self.engines.items():
--- a/rigs/flight_cost.py
+++ b/rigs/flight_cost.py
@@ -86,7 +86,7 @@
         "ms_a_batch": cpu / times * 1e3,
         "memory_mb": memory,
     }
-    flight, whole = FlightEngine(stir), columns.of_rows(["".join(small).encode()])
+    flight, whole = FlightEngine(stir), columns.encode_rows(["".join(small).encode()])
     flight.result = lambda statement: whole
     cpu, count, memory = await measured(flight, over_flight, True)
     figures["columns_by_flight"] = {
@@ -94,14 +94,14 @@
         "ms_a_batch": cpu / times * 1e3,
         "memory_mb": memory,
     }
-    flight, least = FlightEngine(stir), columns.of_rows([b"a\tb\tc\n"])
+    flight, least = FlightEngine(stir), columns.encode_rows([b"a\tb\tc\n"])
     flight.result = lambda statement: least
     cpu, count, memory = await measured(flight, over_flight, True)
     figures["one_row_by_flight"] = {"ms_a_batch": cpu / times * 1e3}
     large, over_flight.times = rows(LARGE), max(times // 20, 5)
-    table = columns.table_of(columns.of_rows(["".join(large).encode()]))
+    table = columns.decode_table(columns.encode_rows(["".join(large).encode()]))
     chunks = table.to_batches(max_chunksize=8_000)
-    parts = [columns.of_table(pa.Table.from_batches([part])) for part in chunks]
+    parts = [columns.encode_table(pa.Table.from_batches([part])) for part in chunks]
     messages = [parts[0][0], *(part[1] for part in parts)]
     flight = FlightEngine(stir)
     flight.result = lambda statement: messages
--- a/rigs/flight_slow.py
+++ b/rigs/flight_slow.py
@@ -49,8 +49,8 @@
 
 async def run(seconds):
     big = FlightEngine(asyncio.Event())
-    schema, message = columns.of_table(pa.table({"c": ["x" * MESSAGE]}))
-    usual_result = columns.of_rows([b"a\tb\tc\n"])
+    schema, message = columns.encode_table(pa.table({"c": ["x" * MESSAGE]}))
+    usual_result = columns.encode_rows([b"a\tb\tc\n"])
     long = [schema] + [message] * int(seconds / PACE * 2 + 400)
     big.result = lambda statement: long if statement == STATEMENT.encode() else usual_result
     await big.start()
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -42,7 +42,7 @@
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
-        listing = dns.listing(answer, 1, NAME)
+        listing = dns.decode_list(answer, 1, NAME)
         listed = [inquiry.entry(found) for found in listing.engines]
         parts.roll.replace(serial, listed, float(serial))
         parts.desk.front.handle(
--- a/rigs/takeover_engines.py
+++ b/rigs/takeover_engines.py
@@ -64,7 +64,7 @@
         return f"{mark}\t{number}\t\n" + f"{'x' * 60}\t\t\n" * 400
 
     def columns(self, statement):
-        return columns.of_rows([self.result(statement).encode()])
+        return columns.encode_rows([self.result(statement).encode()])
 
     async def sweeping(self):
         while True:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -489,7 +489,7 @@
 
         from thistlelever.wire.flight import columns
 
-        whole = columns.of_table(pa.table({"c": pa.array([name + "x" * int(size)], pa.string())}))
+        whole = columns.encode_table(pa.table({"c": pa.array([name + "x" * int(size)], pa.string())}))
         self.engines[name].result = lambda statement: [whole[0], *whole[1:] * int(messages)]
 
     async def do_one_drains(self, serial):
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thistlelever.wire.binding import Unbindable, bound, literal, places
+from thistlelever.wire.binding import Unbindable, bind, count_placeholders, literal
 
 TEXT = st.text(st.characters(exclude_characters="\0", codec="utf-8"), max_size=12)
 VALUES = st.one_of(
@@ -33,10 +33,10 @@
 @given(st.lists(VALUES, min_size=2, max_size=2))
 def test_places_inside_strings_comments_and_names_stay(row):
     statement = b"select '?' , \"a?\" from sales_1.x -- ? '\n where a = ? /* ? */ and b = ? and c = 'it''s ?'"
-    assert places(statement) == 2
+    assert count_placeholders(statement) == 2
     a, b = (literal(value) for value in row)
     wanted = b"where a = " + a + b" /* ? */ and b = " + b + b" and c = 'it''s ?'"
-    assert bound(statement, [row]).endswith(wanted)
+    assert bind(statement, [row]).endswith(wanted)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     ],
 )
 def test_rows(statement, rows, wanted):
-    assert bound(statement, rows) == wanted
+    assert bind(statement, rows) == wanted
 
 
 @pytest.mark.parametrize(
@@ -69,4 +69,4 @@
 )
 def test_what_does_not_fit(statement, rows):
     with pytest.raises(Unbindable):
-        bound(statement, rows)
+        bind(statement, rows)
--- a/tests/test_failed_sync.py
+++ b/tests/test_failed_sync.py
@@ -19,7 +19,7 @@
 from thistlelever.ledger import file as files
 from thistlelever.ledger import folder, records
 from thistlelever.ledger.file import File
-from thistlelever.ledger.keeper import Keeper
+from thistlelever.ledger.writer import Keeper
 from thistlelever.ledger.records import Mark, Moment
 from thistlelever.ledger.replacement import replaced
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -17,7 +17,7 @@
 
 from thistlelever.standins import flight_client as client
 from thistlelever.standins.flight_client import descriptor as asked
-from thistlelever.wire.flight import columns, parcels
+from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 
@@ -48,7 +48,7 @@
 def test_pyarrow_as_it_comes():
     def use(address):
         with arrow_flight.connect(address) as flight:
-            command = parcels.wrapped(sql.CommandStatementQuery(query=STATEMENT))
+            command = codec.encode_any(sql.CommandStatementQuery(query=STATEMENT))
             info = flight.get_flight_info(arrow_flight.FlightDescriptor.for_command(command))
             table = flight.do_get(info.endpoints[0].ticket).read_all()
             with pytest.raises(pa.ArrowException, match="redeemed already"):
@@ -76,7 +76,7 @@
             pass
         statement = "select cargo, weight, port from customs_17.declarations"
         with arrow_flight.connect(address) as flight:
-            command = parcels.wrapped(sql.CommandStatementQuery(query=statement))
+            command = codec.encode_any(sql.CommandStatementQuery(query=statement))
             info = flight.get_flight_info(arrow_flight.FlightDescriptor.for_command(command))
             assert flight.do_get(info.endpoints[0].ticket).read_all().num_rows == 3
         with dbapi.connect(address) as connection, connection.cursor() as cursor:
@@ -228,9 +228,9 @@
     [
         b"",
         b"\xff",
-        parcels.wrapped(sql.TicketStatementQuery(statement_handle=b"abc")),
-        parcels.wrapped(sql.TicketStatementQuery(statement_handle=b"\x97.abc")),
-        parcels.wrapped(sql.CommandStatementQuery(query=STATEMENT)),
+        codec.encode_any(sql.TicketStatementQuery(statement_handle=b"abc")),
+        codec.encode_any(sql.TicketStatementQuery(statement_handle=b"\x97.abc")),
+        codec.encode_any(sql.CommandStatementQuery(query=STATEMENT)),
         b"x" * 300_000,
     ],
 )
@@ -271,8 +271,8 @@
 
     async def work(stage, address):
         wanted = sql.ActionCreatePreparedStatementRequest(query=f"{STATEMENT} where b = ? and c = ?")
-        said, _ = await client.action(stage.channel(), "CreatePreparedStatement", parcels.wrapped(wanted))
-        handle = parcels.command(said).prepared_statement_handle
+        said, _ = await client.action(stage.channel(), "CreatePreparedStatement", codec.encode_any(wanted))
+        handle = codec.decode_command(said).prepared_statement_handle
         command = sql.CommandPreparedStatementQuery(prepared_statement_handle=handle)
         try:
             if type(table) is pa.Table:
@@ -286,7 +286,7 @@
         await client.action(
             stage.channel(),
             "ClosePreparedStatement",
-            parcels.wrapped(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
+            codec.encode_any(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
         assert not stage.office.flight.door.shelf.held and not stage.office.flight.door.shelf.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
@@ -295,7 +295,7 @@
 
 
 async def put_raw(channel, command, messages):
-    call = channel.stream_stream(parcels.SERVICE + "DoPut")()
+    call = channel.stream_stream(codec.SERVICE + "DoPut")()
     first = pb.FlightData(flight_descriptor=asked(command)).SerializeToString()
     try:
         for raw in (first, *messages):
@@ -341,12 +341,15 @@
 
 
 def test_a_batch_that_does_not_fit_its_schema():
-    one, two = columns.of_table(pa.table({"b": [1], "c": [2]})), columns.of_table(pa.table({"b": ["x" * 99]}))
+    one, two = (
+        columns.encode_table(pa.table({"b": [1], "c": [2]})),
+        columns.encode_table(pa.table({"b": ["x" * 99]})),
+    )
     assert parameters([one[0], two[1]]).startswith("INVALID_ARGUMENT")
     assert parameters([b"\xff" * 40]).startswith("INVALID_ARGUMENT")
-    assert parameters([parcels.packed(b"\xff" * 40, b"x")]).startswith("INVALID_ARGUMENT")
+    assert parameters([codec.encode_stream_message(b"\xff" * 40, b"x")]).startswith("INVALID_ARGUMENT")
     # A dictionary that is named in the schema and never comes.
-    words = columns.of_table(pa.table({"b": pa.array(["x"]).dictionary_encode(), "c": [1]}))
+    words = columns.encode_table(pa.table({"b": pa.array(["x"]).dictionary_encode(), "c": [1]}))
     assert parameters([words[0], words[-1]]).startswith("INVALID_ARGUMENT")
 
 
@@ -378,7 +381,7 @@
     """By hand, as no client library says such things (RFC 9113; the length prefix is gRPC's)."""
 
     async def work(stage, address):
-        path = parcels.SERVICE.encode() + b"DoPut"
+        path = codec.SERVICE.encode() + b"DoPut"
         head = b"".join(
             (
                 literal(b":method", b"POST"),
@@ -428,7 +431,7 @@
     assert set(found) <= {len(ROWS), "RESOURCE_EXHAUSTED", "INTERNAL", "DEADLINE_EXCEEDED"}
     assert len(found) == 301 and found.count(len(ROWS)) >= 40
     assert not stage.office.batches.by_number and not stage.office.flight.door.open
-    assert stage.office.flight.engines.purse.spent == 0
+    assert stage.office.flight.engines.quota.reserved == 0
 
 
 def test_the_catalogue_and_facts():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -23,10 +23,10 @@
 from thistlelever.ground import interface as it
 from thistlelever.ledger import records
 from thistlelever.ledger.file import Failing, File, size
-from thistlelever.ledger.keeper import Keeper
+from thistlelever.ledger.writer import Keeper
 from thistlelever.ledger.records import Damaged, Mark, Moment, Newer, Rest, Window
 from thistlelever.recovery.ages import Age, Grade, Now, Terms, age, grade, trust
-from thistlelever.recovery.judge import Judge, Stage
+from thistlelever.recovery.restart import Judge, Stage
 from thistlelever.store.batches import Batch, Name
 
 AT = Moment(1e9, 50.0, "boot")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 
 from thistlelever.carrier.directory import NAME
 from thistlelever.wire import dns, http, jsonrpc, statement
-from thistlelever.wire.inflow import Inflow, Purse, TooLong
+from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
 PAGE = b"HTTP/1.1 200 OK\r\nChunk:  2 \r\nX-Gauges: inflight:7;util:0.61\r\nContent-Length: 5\r\n\r\nrow\t1"
 CHUNKED = (
@@ -17,15 +17,15 @@
 
 def poured(data, cuts, read, size=16):
     """What `read` finds in a buffer that is filled piece by piece, copied as each is found."""
-    inflow, found, at = Inflow(size, 4096), [], 0
+    buffer, found, at = ReadBuffer(size, 4096), [], 0
     for cut in (*cuts, len(data)):
         while at < cut:
-            room = inflow.room()
+            room = buffer.writable()
             piece = data[at : min(cut, at + len(room))]
             room[: len(piece)] = piece
-            inflow.filled(len(piece))
+            buffer.advance(len(piece))
             at += len(piece)
-            while (message := read(inflow)) is not None:
+            while (message := read(buffer)) is not None:
                 found.append(bytes(message) if isinstance(message, memoryview) else copied(message))
     return found
 
@@ -35,7 +35,7 @@
         reply.status,
         bytes(reply.body),
         reply.number(b"chunk"),
-        http.gauges(reply.text(b"x-gauges"), ("inflight", "util")),
+        http.parse_load_report(reply.text(b"x-gauges"), ("inflight", "util")),
         reply.keeps,
     )
 
@@ -46,7 +46,7 @@
     two = b"HTTP/1.1 100 Continue\r\n\r\n" + data + b"HTTP/1.0 204 X\r\n\r\n"
     wanted = [(200, b"row\t1", 2.0, (7.0, 0.61), True), (204, b"", None, (), False)]
     for cut in range(len(two)):
-        assert poured(two, [cut], http.reply) == wanted, cut
+        assert poured(two, [cut], http.read_reply) == wanted, cut
 
 
 @pytest.mark.parametrize(
@@ -66,19 +66,19 @@
 )
 def test_a_reply_out_of_form(data):
     with pytest.raises((http.Unreadable, TooLong)):
-        poured(data, [], http.reply)
+        poured(data, [], http.read_reply)
 
 
 def test_lines_cut_at_each_byte_and_a_slice_holds_until_the_next_read():
     data = b'{"a":1}\n' + b"x" * 40 + b"\n\nlast\n"
     for cut in range(len(data)):
-        assert poured(data, [cut], Inflow.line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
+        assert poured(data, [cut], ReadBuffer.next_line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
     with pytest.raises(TooLong):
-        poured(b"x" * 5000, [], Inflow.line)
+        poured(b"x" * 5000, [], ReadBuffer.next_line)
 
 
 def test_a_list_is_read_and_each_cut_of_it_refused():
-    listing = dns.listing(LISTING, 77, NAME)
+    listing = dns.decode_list(LISTING, 77, NAME)
     assert listing.serial == 41
     first, second = listing.engines
     assert (first.id, first.zone, first.address) == ("s-1", "nord", ("127.0.0.1", 8443))
@@ -86,7 +86,7 @@
     assert (second.draining, second.weight, second.facts["kind"]) == (True, 4.0, "std")
     for cut in range(len(LISTING)):
         with pytest.raises(dns.Unreadable):
-            dns.listing(LISTING[:cut], 77, NAME)
+            dns.decode_list(LISTING[:cut], 77, NAME)
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     data = bytearray(LISTING)
     data[at] = value
     with pytest.raises(dns.Unreadable):
-        dns.listing(bytes(data), 77, NAME)
+        dns.decode_list(bytes(data), 77, NAME)
 
 
 @pytest.mark.parametrize(
@@ -122,13 +122,13 @@
     ],
 )
 def test_the_table_group_of_a_statement(text, found):
-    assert statement.table(text.encode()) == found
+    assert statement.find_table(text.encode()) == found
 
 
 def test_an_answer_keeps_its_rows_and_a_pushback_its_time():
-    answer = jsonrpc.result(7, [b"a\tb\n", b"c\n"])
+    answer = jsonrpc.encode_result(7, [b"a\tb\n", b"c\n"])
     assert answer == b'{"jsonrpc":"2.0","id":7,"result":{"bytes":"YQliCmMK"}}\n'
-    assert b'"data":{"after":200}' in jsonrpc.error(7, -32001, "x", 0.2)
+    assert b'"data":{"after":200}' in jsonrpc.encode_error(7, -32001, "x", 0.2)
 
 
 # Risk: one figure that is none stays in the decisions' averages for good.
@@ -145,7 +145,7 @@
     ],
 )
 def test_a_load_report_is_whole_or_none(word, report):
-    assert http.gauges(word, ("inflight", "util")) == report
+    assert http.parse_load_report(word, ("inflight", "util")) == report
 
 
 @pytest.mark.parametrize(
@@ -163,34 +163,34 @@
 )
 def test_a_page_holds_whole_rows_of_three_columns(body, whole):
     if whole:
-        assert http.page(memoryview(body)) == body
+        assert http.check_page(memoryview(body)) == body
     else:
         with pytest.raises(http.Unreadable):
-            http.page(memoryview(body))
+            http.check_page(memoryview(body))
 
 
 # Risk: each interim reply in a call of its own ends in a full stack; without end they are no reply.
 def test_interim_replies_without_end_are_none():
-    inflow = Inflow(65_536, 65_536)
+    buffer = ReadBuffer(65_536, 65_536)
     sent = b"HTTP/1.1 100 X\r\n\r\n" * 3000
-    inflow.room()[: len(sent)] = sent
-    inflow.filled(len(sent))
+    buffer.writable()[: len(sent)] = sent
+    buffer.advance(len(sent))
     with pytest.raises(http.Unreadable):
-        http.reply(inflow)
+        http.read_reply(buffer)
 
 
 # Risk: a few hundred clients, each with a long line that never ends, fill the front's memory.
-def test_unfinished_lines_share_one_purse():
-    purse = Purse(10)
-    first, second = Inflow(4, 12, purse), Inflow(4, 12, purse)
-    for inflow in (first, second):
-        inflow.room()
-        inflow.filled(4)
-    first.room()
-    first.filled(4)
-    second.room()
-    second.filled(4)
+def test_unfinished_lines_share_one_quota():
+    quota = BufferQuota(10)
+    first, second = ReadBuffer(4, 12, quota), ReadBuffer(4, 12, quota)
+    for buffer in (first, second):
+        buffer.writable()
+        buffer.advance(4)
+    first.writable()
+    first.advance(4)
+    second.writable()
+    second.advance(4)
     with pytest.raises(TooLong):
-        first.room()
-    second.drop()
-    assert len(first.room()) == 4
+        first.writable()
+    second.release()
+    assert len(first.writable()) == 4
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -21,7 +21,7 @@
 from thistlelever.store.stream import Stream
 from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
-from thistlelever.wire.inflow import Inflow, Purse, TooLong
+from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
 # Most lines are a few hundred bytes; a statement of 190 KB still passes.
 BUFFER, LONGEST_LINE = 4_096, 262_144
@@ -52,7 +52,7 @@
         self.intake, self.courses, self.metrics = intake, courses, metrics
         self.log, self.bounds = log, bounds
         self.ready: Callable[[], bool] = lambda: False
-        self.unread, self.purse = 0, Purse(bounds.unfinished)
+        self.unread, self.quota = 0, BufferQuota(bounds.unfinished)
         # The connection that waits for a place, others behind it at the port, and since when some do.
         self.waits: socket.socket | None = None
         self.full_since = float("inf")
@@ -152,7 +152,7 @@
         """Close who has nothing open and said nothing whole for too long."""
         now = clock.now()
         for session in [s for s in self.sessions if not s.open and not s.ending]:
-            waits = session.spoken and session.inflow.start == session.inflow.end
+            waits = session.spoken and session.buffer.start == session.buffer.end
             if now - session.since > (IDLE if waits else SILENT) and not session.hears():
                 self.metrics.add("idle clients closed" if waits else "silent clients closed")
                 session.end()
@@ -160,16 +160,18 @@
     def batch(self, call: jsonrpc.Call) -> Batch:
         """The batch that a call submits; `Bad` where it can't be one."""
         if call.method not in self.intake.groups:
-            raise jsonrpc.Bad(jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number)
+            raise jsonrpc.InvalidCall(
+                jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number
+            )
         if call.number is None:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
+            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
         try:
-            return self.intake.batch(call.method, call.params, jsonrpc.statement(call))
+            return self.intake.batch(call.method, call.params, jsonrpc.submitted_statement(call))
         except Unfit as why:
             code, field = jsonrpc.BAD_FIELD, str(why)
             if why.still_open:
                 code, field = jsonrpc.NO_REQUEST, f"params.{why}"
-            raise jsonrpc.Bad(code, field, call.number) from None
+            raise jsonrpc.InvalidCall(code, field, call.number) from None
 
 
 class Session:
@@ -178,7 +180,7 @@
     def __init__(self, stream: Stream, reception: Reception) -> None:
         self.stream, self.reception = stream, reception
         self.metrics = reception.metrics
-        self.inflow = Inflow(BUFFER, LONGEST_LINE, reception.purse)
+        self.buffer = ReadBuffer(BUFFER, LONGEST_LINE, reception.quota)
         self.open: dict[int, Batch] = {}
         self.latest, self.bad, self.slow_till = 0, 0, 0.0
         # The read that is under way, as one always is; answers not yet out; whether this side has ended it.
@@ -199,7 +201,9 @@
                     self.read()
                 except TooLong as why:
                     self.metrics.add("lines too long")
-                    self.write(jsonrpc.error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}"))
+                    self.write(
+                        jsonrpc.encode_error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}")
+                    )
                     self.end_when_answered()
                 self.take_lines()
                 await self.stir()
@@ -217,23 +221,23 @@
         taken, and what it sent first is dispatched for nobody."""
         for _ in range(READS_A_TURN):
             if self.reading is None:
-                full = self.inflow.end == len(self.inflow.data)
-                if full and self.inflow.whole() and not self.may_read_ahead():
+                full = self.buffer.end == len(self.buffer.data)
+                if full and self.buffer.has_line() and not self.may_read_ahead():
                     return
-                self.reading = self.stream.read_into(self.inflow.room(), partial=True)
+                self.reading = self.stream.read_into(self.buffer.writable(), partial=True)
             if not self.reading.done():
                 return
             reading, self.reading = self.reading, None
-            if self.inflow.start == self.inflow.end:
+            if self.buffer.start == self.buffer.end:
                 self.line_since = clock.now()
-            self.inflow.filled(reading.result())
+            self.buffer.advance(reading.result())
             if self.closing:
-                self.inflow.void()
+                self.buffer.discard()
 
     def may_read_ahead(self) -> bool:
         """Whether more is read though whole lines wait. Who has sent that much, and lines out of form before
         it, is not waited for."""
-        if len(self.inflow.data) < READ_AHEAD and self.inflow.can_grow():
+        if len(self.buffer.data) < READ_AHEAD and self.buffer.can_grow():
             return True
         if self.bad:
             self.metrics.add("clients that flood")
@@ -243,7 +247,7 @@
     def take_lines(self) -> None:
         """Some of the lines that have come; one client must not hold the loop."""
         for _ in range(LINES_A_TURN):
-            if self.closing or clock.now() < self.slow_till or (message := self.inflow.line()) is None:
+            if self.closing or clock.now() < self.slow_till or (message := self.buffer.next_line()) is None:
                 return
             self.take(message)
             if self.bad:
@@ -252,7 +256,7 @@
     async def stir(self) -> None:
         """Wait until there is something to do."""
         slow = self.slow_till - clock.now()
-        if not self.inflow.whole() and self.reading is not None:
+        if not self.buffer.has_line() and self.reading is not None:
             await self.reading
         elif slow > 0 and self.reading is not None:
             await asyncio.wait((self.reading,), timeout=slow)
@@ -263,7 +267,7 @@
         """Take nothing more, and end the connection once what is open on it is answered. Risk: a request that
         was read is lost for what came behind it."""
         self.closing = True
-        self.inflow.void()
+        self.buffer.discard()
         self.end_if_answered()
 
     def end_if_answered(self) -> None:
@@ -279,7 +283,7 @@
         if self.ending or self.stream.closed():
             return
         self.closing = self.ending = True
-        self.inflow.void()
+        self.buffer.discard()
         self.abandon()
         self.shut()
         asyncio.get_running_loop().call_later(LINGER, self.stream.close)
@@ -297,7 +301,7 @@
             return False
         till = max(self.since, self.line_since) + SILENT
         till = till if self.spoken else min(till, self.since + FIRST_LINE)
-        return self.inflow.start == self.inflow.end or clock.now() < till
+        return self.buffer.start == self.buffer.end or clock.now() < till
 
     def unread(self) -> bool:
         """Whether something has come that no batch was made of yet."""
@@ -308,38 +312,38 @@
         with suppress(OSError):
             if self.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        return self.inflow.start != self.inflow.end
+        return self.buffer.start != self.buffer.end
 
     def take(self, message: memoryview) -> None:
         if not bytes(message[:64]).strip():
             return
         self.since, self.spoken = clock.now(), True
         try:
-            call = jsonrpc.read(message)
+            call = jsonrpc.parse_call(message)
             if call.method == "status":
                 if call.number is not None:
-                    self.write(jsonrpc.value(call.number, {"ready": self.reception.ready()}))
+                    self.write(jsonrpc.encode_value(call.number, {"ready": self.reception.ready()}))
             elif call.method == "withdraw":
                 self.withdraw(call)
             else:
                 self.submit(call)
                 self.bad = 0
-        except jsonrpc.Bad as why:
+        except jsonrpc.InvalidCall as why:
             self.metrics.add("bad lines")
             self.bad += 1
             self.reception.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
             # Risk: an error under a number that is open would be the answer to what is open under it.
             number = None if why.number in self.open else why.number
-            self.write(jsonrpc.error(number, why.code, why.why))
+            self.write(jsonrpc.encode_error(number, why.code, why.why))
             if self.bad >= MOST_BAD:
                 self.metrics.add("clients that send nothing of use")
                 self.end_when_answered()
 
     def submit(self, call: jsonrpc.Call) -> None:
         if call.number in self.open:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: still open", call.number)
+            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: still open", call.number)
         if len(self.open) >= MOST_OPEN:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, f"more than {MOST_OPEN} open requests", call.number)
+            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, f"more than {MOST_OPEN} open requests", call.number)
         batch = self.reception.batch(call)
         self.open[call.number] = batch
         self.latest = max(self.latest, call.number)
@@ -375,7 +379,7 @@
         # A number of its own wants an answer of its own; that of a request would get a second one.
         if call.number is not None and call.number > self.latest:
             self.latest = call.number
-            self.write(jsonrpc.value(call.number, {}))
+            self.write(jsonrpc.encode_value(call.number, {}))
 
     def write(self, data: bytes) -> None:
         """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
@@ -407,7 +411,7 @@
     def left(self) -> None:
         """The connection has ended, and with it the client's interest in all that is open on it."""
         self.reception.sessions.pop(self, None)
-        self.inflow.drop()
+        self.buffer.release()
         self.abandon()
         self.stream.close()
 
@@ -424,7 +428,7 @@
     """The one final answer as it goes to the client."""
     match told:
         case End():
-            return jsonrpc.result(number, told.pages)
+            return jsonrpc.encode_result(number, told.pages)
         case it.PushBack():
-            return jsonrpc.error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
-    return jsonrpc.error(number, jsonrpc.ERRORED, "errored")
+            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
+    return jsonrpc.encode_error(number, jsonrpc.ERRORED, "errored")
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -147,7 +147,7 @@
         loop = asyncio.get_running_loop()
         timer = loop.call_later(PATIENCE, self.unanswered, number, by_order)
         self.awaited[number] = self.asked, timer
-        self.sockets.send(dns.query(number, NAME))
+        self.sockets.send(dns.encode_query(number, NAME))
 
     def unanswered(self, number: int, by_order: bool) -> None:
         loop = asyncio.get_running_loop()
@@ -188,7 +188,7 @@
         if data[2:] == self.last:
             self.settled_by = max(self.settled_by, query)
             return True
-        listing = dns.listing(data, number, NAME)
+        listing = dns.decode_list(data, number, NAME)
         entries = [self.entry(found) for found in listing.engines]
         answer = Answer(listing.serial, {entry.engine.id: entry for entry in entries})
         held = Answer(self.roll.serial, self.roll.listing())
@@ -253,7 +253,7 @@
         """Tell the decisions the list as it is held now."""
         self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
 
-    def entry(self, found: dns.Found) -> Entry:
+    def entry(self, found: dns.EngineRecord) -> Entry:
         facts = found.facts
         engine = it.Engine(
             found.id.encode(),
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -42,7 +42,7 @@
     true_memory: float = 0.0
     report: tuple[float, ...] = ()
     pages: list[bytes] = field(default_factory=list)
-    parcels: list[bytes] | None = None
+    stream_messages: list[bytes] | None = None
     # Rows that an update has changed, where its engine says so.
     changed: int = -1
     # Where the result went on before it was whole.
--- a/thistlelever/carrier/distributor_connection.py
+++ b/thistlelever/carrier/distributor_connection.py
@@ -12,7 +12,7 @@
 from thistlelever.distribution import codec
 from thistlelever.store.stream import Stream
 from thistlelever.wire import http
-from thistlelever.wire.inflow import Inflow, TooLong
+from thistlelever.wire.read_buffer import ReadBuffer, TooLong
 
 Address = tuple[str, int]
 Answer = TypeVar("Answer", codec.Reply, codec.VersionReply)
@@ -47,7 +47,7 @@
     def __init__(self, stream: Stream, address: Address) -> None:
         """Use `open`."""
         self.stream, self.address = stream, address
-        self.inflow = Inflow(BUFFER_BYTES, LONGEST_ANSWER_BYTES)
+        self.buffer = ReadBuffer(BUFFER_BYTES, LONGEST_ANSWER_BYTES)
         self.bytes_sent, self.bytes_received = 0, 0
 
     @classmethod
@@ -83,15 +83,15 @@
     async def exchange(self, path: str, request: codec.Request) -> http.Reply:
         """POST a request and read the HTTP reply; `DistributorError` for any status but 200."""
         fields = {"Content-Type": CONTENT_TYPE}
-        data = http.call("POST", path, self.address, fields, codec.encode(request))
+        data = http.encode_request("POST", path, self.address, fields, codec.encode(request))
         await self.stream.write(data)
         self.bytes_sent += len(data)
-        reply = http.reply(self.inflow)
+        reply = http.read_reply(self.buffer)
         while reply is None:
-            count = await self.stream.read_into(self.inflow.room(), partial=True)
-            self.inflow.filled(count)
+            count = await self.stream.read_into(self.buffer.writable(), partial=True)
+            self.buffer.advance(count)
             self.bytes_received += count
-            reply = http.reply(self.inflow)
+            reply = http.read_reply(self.buffer)
         if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise DistributorBusyError(reply.number(b"retry-after") or 0.0)
         if reply.status == HTTPStatus.CONFLICT:
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -25,9 +25,9 @@
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import SERVICE, Unreadable, parcel, read, wrapped
-from thistlelever.wire.http import counted, gauges
-from thistlelever.wire.inflow import Purse, TooLong
+from thistlelever.wire.flight.codec import SERVICE, Unreadable, decode, decode_stream_message, encode_any
+from thistlelever.wire.http import parse_load_report, parse_measure
+from thistlelever.wire.read_buffer import BufferQuota, TooLong
 
 # Retries that gRPC makes of itself would be dispatches that nobody decided; keep-alives find a peer that has
 # vanished; windows that grow by measure would hold what a slow reader leaves.
@@ -52,7 +52,7 @@
 WORD_WITHIN, DROPPED_AFTER, RETRY_PACE = 0.25, 2.0, 0.05
 MOST_ENDPOINTS = 64
 # Rows of text that fit the platform's own door take less than this as columns.
-MOST_FOR_ROWS = 4 * columns.LONGEST_TEXT
+MOST_FOR_ROWS = 4 * columns.MAX_TEXT_BYTES
 # What our own protocol calls its actions on engines.
 PRIORITY, STATS, CANCEL = "thistlelever.priority", "thistlelever.stats", "CancelFlightInfo"
 PROGRESS_KINDS = {
@@ -74,8 +74,8 @@
 class Hold:
     """The first messages of one result, while it could still come from another dispatch."""
 
-    def __init__(self, most: int, purse: Purse) -> None:
-        self.most, self.purse, self.size = most, purse, 0
+    def __init__(self, most: int, quota: BufferQuota) -> None:
+        self.most, self.quota, self.size = most, quota, 0
         self.messages: list[bytes] = []
         self.schema = None
 
@@ -83,14 +83,14 @@
         """Keep a message; whether there is room for more."""
         self.messages.append(raw)
         try:
-            self.purse.spend(len(raw))
+            self.quota.reserve(len(raw))
         except TooLong:
             return False
         self.size += len(raw)
         return self.size <= self.most
 
     def release(self) -> None:
-        self.purse.spend(-self.size)
+        self.quota.reserve(-self.size)
         self.messages, self.size = [], 0
 
 
@@ -105,12 +105,12 @@
         metrics: Metrics,
         held: int,
         between: int,
-        purse: Purse,
+        quota: BufferQuota,
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
         self.roll, self.desk, self.metrics = roll, desk, metrics
         # What one result may hold before it begins to go on, and all of them together.
-        self.held, self.purse = held, purse
+        self.held, self.quota = held, quota
         # What of a result that goes on may lie between its engine and its client.
         self.between = between
         self.channels: dict[it.EngineId, aio.Channel] = {}
@@ -150,14 +150,14 @@
     ) -> None:
         """The calls of one dispatch."""
         sent.begun, sent.asked = True, clock.now()
-        hold = Hold(self.held if batch.columns else MOST_FOR_ROWS, self.purse)
+        hold = Hold(self.held if batch.columns else MOST_FOR_ROWS, self.quota)
         try:
             if batch.update:
                 await self.update(channel, order, batch, end, sent, till)
                 return
             terms = self.terms(batch, end.number, till, further)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")(order, **terms)
-            info = read(pb.FlightInfo, await call)
+            info = decode(pb.FlightInfo, await call)
             sent.heard, sent.asked = True, clock.now()
             self.figures(await call.trailing_metadata(), end)
             if not 1 <= len(info.endpoint) <= MOST_ENDPOINTS:
@@ -190,13 +190,13 @@
         first = True
         try:
             async for raw in call:
-                said = parcel(raw)
+                said = decode_stream_message(raw)
                 if not said.header:
                     self.note(said.metadata, batch, end)
                     continue
                 if first:
                     first = False
-                    schema = columns.schema_of(raw)
+                    schema = columns.decode_schema(raw)
                     if hold.schema is not None:
                         # Of a further endpoint; the schema was passed on already, and must be the same.
                         if not schema.equals(hold.schema):
@@ -222,9 +222,9 @@
         """All is in. For a client of rows it becomes rows here, so that what does not fit is an error of this
         dispatch and not of the client's."""
         if batch.columns and not end.flow:
-            end.parcels = list(hold.messages)
+            end.stream_messages = list(hold.messages)
         elif not batch.columns:
-            end.pages = [columns.to_rows(hold.messages)]
+            end.pages = [columns.decode_rows(hold.messages)]
         end.outcome = it.DispatchOutcome.RETURNED
 
     async def update(
@@ -232,13 +232,13 @@
     ) -> None:
         call = channel.stream_stream(SERVICE + "DoPut")(**self.terms(batch, end.number, till))
         try:
-            descriptor = read(pb.FlightDescriptor, order)
+            descriptor = decode(pb.FlightDescriptor, order)
             await call.write(pb.FlightData(flight_descriptor=descriptor).SerializeToString())
             await call.done_writing()
             async for raw in call:
-                said = read(pb.PutResult, raw)
+                said = decode(pb.PutResult, raw)
                 if said.app_metadata:
-                    end.changed = read(sql.DoPutUpdateResult, said.app_metadata).record_count
+                    end.changed = decode(sql.DoPutUpdateResult, said.app_metadata).record_count
             self.figures(await call.trailing_metadata(), end)
             end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
@@ -286,15 +286,15 @@
     def figures(self, metadata, end: End) -> None:
         """Report, work and memory, where the call's trailer has them."""
         said = {key: value for key, value in metadata or () if isinstance(value, str)}
-        end.report = gauges(said.get("x-gauges", ""), self.fields) or end.report
-        end.true_work = (counted(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
-        end.true_memory = counted(said.get("high-water", "")) or end.true_memory
+        end.report = parse_load_report(said.get("x-gauges", ""), self.fields) or end.report
+        end.true_work = (parse_measure(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
+        end.true_memory = parse_measure(said.get("high-water", "")) or end.true_memory
 
     def note(self, metadata: bytes, batch: Batch, end: End) -> None:
         """A message of metadata alone is a note: `advance=0.4`. Of a result that has begun to go on none is
         told: it can't be called off for a better one any more."""
         name, _, word = metadata[:64].decode("latin-1").partition("=")
-        kind, value = PROGRESS_KINDS.get(name), counted(word)
+        kind, value = PROGRESS_KINDS.get(name), parse_measure(word)
         if kind and value is not None and not end.flow:
             value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
             self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
@@ -334,7 +334,7 @@
     async def cancel(self, entry: Entry, name: Name, order: bytes) -> StatusCode | None:
         """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
         None where it is out of reach."""
-        descriptor = read(pb.FlightDescriptor, order)
+        descriptor = decode(pb.FlightDescriptor, order)
         info = pb.FlightInfo(flight_descriptor=descriptor, app_metadata=name.txn.encode())
         try:
             body = pb.CancelFlightInfoRequest(info=info).SerializeToString()
@@ -366,7 +366,7 @@
         found = b""
         try:
             async for raw in call:
-                found = found or read(pb.Result, raw).body
+                found = found or decode(pb.Result, raw).body
         finally:
             call.cancel()
         return found
@@ -382,7 +382,7 @@
             if why.code() is StatusCode.DEADLINE_EXCEEDED:
                 return it.DispatchOutcome.TIMED_OUT, ()
             return it.DispatchOutcome.ASTRAY if why.code() in BROKEN else it.DispatchOutcome.ERRORED, ()
-        return it.DispatchOutcome.RETURNED, gauges(answer.decode("latin-1"), self.fields)
+        return it.DispatchOutcome.RETURNED, parse_load_report(answer.decode("latin-1"), self.fields)
 
     async def channel(self, entry: Entry) -> aio.Channel:
         """A channel that is up, or `Ended` as unreachable: nothing was sent then. What a kept channel says
@@ -436,5 +436,5 @@
 def command(batch: Batch) -> bytes:
     """The descriptor that asks for a batch."""
     kind = sql.CommandStatementUpdate if batch.update else sql.CommandStatementQuery
-    order = wrapped(kind(query=batch.asked.statement.decode()))
+    order = encode_any(kind(query=batch.asked.statement.decode()))
     return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=order).SerializeToString()
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -146,7 +146,7 @@
             fields["Pool-Mb"] = str(round(batch.grant))
         if batch.priority is not None:
             fields["Pool-Rank"] = str(batch.priority)
-        return http.call("POST", "/fetch", address, fields, asked.statement)
+        return http.encode_request("POST", "/fetch", address, fields, asked.statement)
 
     def outcome(self, reply: http.Reply, sent: Sending) -> it.DispatchOutcome:
         if reply.status == 200:
@@ -190,7 +190,7 @@
             try:
                 sent.asked = clock.now()
                 self.count_call("GET", entry)
-                request = http.call("GET", f"{path}{page}", entry.address, {})
+                request = http.encode_request("GET", f"{path}{page}", entry.address, {})
                 reply = await link.call(request, WORD_WITHIN if page else NEWS_WITHIN)
                 self.read(reply, page, link, end, sent, batch)
                 if reply.status in UNRUN and batch.lane in self.wary and link.calls > 1:
@@ -229,7 +229,7 @@
         except (Spoilt, http.Unreadable):
             link.stream.close()
             raise
-        end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
+        end.report = http.parse_load_report(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
             sent.heard = True
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
@@ -247,7 +247,7 @@
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
-        rows = http.page(reply.body)
+        rows = http.check_page(reply.body)
         if link.repeats(reply):
             raise Spoilt("the same answer twice on one connection")
         if link.surplus and sent.doubts < DOUBTED:
@@ -264,7 +264,7 @@
                 link = await self.links.take(entry, urgent=False)
                 try:
                     path, priority = way(batch, number)[:-1], b"%d" % batch.priority
-                    call = http.call("PUT", path, entry.address, {}, priority)
+                    call = http.encode_request("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
                     await link.call(call, WORD_WITHIN)
                 finally:
@@ -292,7 +292,7 @@
         try:
             link = await self.links.take(entry, urgent=False)
             try:
-                request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
+                request = http.encode_request("GET", f"/fetch/{name.txn}/0", entry.address, {})
                 reply = await link.call(request, NEWS_WITHIN)
             finally:
                 self.links.give_back(link)
@@ -308,7 +308,7 @@
                 link = await self.links.take(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await link.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
+                    await link.call(http.encode_request("DELETE", path, entry.address, {}), WORD_WITHIN)
                     return
                 finally:
                     self.links.give_back(link)
@@ -323,8 +323,10 @@
         try:
             link = await self.link(entry)
             try:
-                reply = await link.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
-                report = http.gauges(reply.text(b"x-gauges"), self.fields)
+                reply = await link.call(
+                    http.encode_request("GET", "/stats", entry.address, {}), self.probe_limit
+                )
+                report = http.parse_load_report(reply.text(b"x-gauges"), self.fields)
                 return (
                     it.DispatchOutcome.RETURNED if reply.status == 200 else it.DispatchOutcome.ERRORED,
                     report,
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/intake.py
@@ -41,7 +41,7 @@
             raise Unfit("tenant", "none of the settings'")
         if query_class.repeat is it.Idempotency.DEDUPLICATED and not asked.reference:
             raise Unfit("once", "missing, and wanted for this service group")
-        table = sql.table(asked.statement)
+        table = sql.find_table(asked.statement)
         if table is None:
             raise Unfit("bytes", "the statement names no table of a group")
         number, now = self.batches.number(), clock.now()
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -40,7 +40,14 @@
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import Unreadable, Unserved, command, parcel, read, wrapped
+from thistlelever.wire.flight.codec import (
+    Unreadable,
+    UnsupportedCommand,
+    decode,
+    decode_command,
+    decode_stream_message,
+    encode_any,
+)
 
 # Bytes and rows that the parameters of one stream may have.
 MOST_PARAMETERS, MOST_ROWS = 1 << 20, 10_000
@@ -147,7 +154,7 @@
                 return await serve(request, context)
             except Refusal as why:
                 refusal = why
-            except Unserved as why:
+            except UnsupportedCommand as why:
                 refusal = unserved(str(why))
             except (Unreadable, Unfit, Forged, binding.Unbindable) as why:
                 refusal = bad(f"ticket: {why}" if type(why) is Forged else str(why))
@@ -175,24 +182,24 @@
     # What is asked for: commands, tickets and fields.
 
     async def get_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
-        return self.info(read(pb.FlightDescriptor, request), context).SerializeToString()
+        return self.info(decode(pb.FlightDescriptor, request), context).SerializeToString()
 
     async def poll_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
         """A batch is taken when its ticket is redeemed, so that there is nothing to poll for: the first
         answer is the last, and says so by naming no descriptor."""
-        return pb.PollInfo(info=self.info(read(pb.FlightDescriptor, request), context)).SerializeToString()
+        return pb.PollInfo(info=self.info(decode(pb.FlightDescriptor, request), context)).SerializeToString()
 
     def info(self, descriptor: pb.FlightDescriptor, context: aio.ServicerContext) -> pb.FlightInfo:
         if descriptor.type != pb.FlightDescriptor.CMD:
             raise bad("descriptor: a command expected")
-        asked = command(descriptor.cmd)
+        asked = decode_command(descriptor.cmd)
         form, records, ticket = b"", -1, descriptor.cmd
         table = catalog.answer(asked, self.terms)
         if table is not None:
             form, records = bytes(table.schema.serialize()), table.num_rows
         else:
             handle, _ = self.ticket(self.statement(asked, query=True), context)
-            ticket = wrapped(sql.TicketStatementQuery(statement_handle=handle))
+            ticket = encode_any(sql.TicketStatementQuery(statement_handle=handle))
         return pb.FlightInfo(
             schema=form,
             flight_descriptor=descriptor,
@@ -218,7 +225,7 @@
                 return query_text(asked)
             case sql.CommandPreparedStatementQuery() if query:
                 found = self.prepared.find(asked.prepared_statement_handle)
-                return binding.bound(found.statement, found.rows)
+                return binding.bind(found.statement, found.rows)
         raise unserved(asked.DESCRIPTOR.name + (" as a query" if query else " as an update"))
 
     def fields(self, context: aio.ServicerContext) -> tuple[str, dict]:
@@ -272,10 +279,10 @@
     # Results.
 
     async def do_get(self, request: bytes, context: aio.ServicerContext) -> None:
-        asked = command(read(pb.Ticket, request).ticket)
+        asked = decode_command(decode(pb.Ticket, request).ticket)
         table = catalog.answer(asked, self.terms)
         if table is not None:
-            for raw in columns.of_table(table):
+            for raw in columns.encode_table(table):
                 await context.write(raw)
             return
         if type(asked) is not sql.TicketStatementQuery:
@@ -303,8 +310,12 @@
         async with Taking(self, batch) as told:
             match told:
                 case End():
-                    parcels = told.parcels if told.parcels is not None else columns.of_rows(told.pages)
-                    for raw in parcels:
+                    stream_messages = (
+                        told.stream_messages
+                        if told.stream_messages is not None
+                        else columns.encode_rows(told.pages)
+                    )
+                    for raw in stream_messages:
                         await context.write(raw)
                 case Begun():
                     while (raw := await told.flow.take()) is not None:
@@ -327,7 +338,7 @@
                 first = await anext(stream, None)
                 if first is None:
                     raise bad("a stream without a message")
-                asked = command(parcel(first).command)
+                asked = decode_command(decode_stream_message(first).command)
                 bound = type(asked) in (sql.CommandPreparedStatementQuery, sql.CommandPreparedStatementUpdate)
                 rows, size = await self.parameters(first, stream) if bound else ([], 0)
         except TimeoutError:
@@ -343,7 +354,7 @@
                 return
             case sql.CommandPreparedStatementUpdate():
                 found = self.prepared.find(asked.prepared_statement_handle)
-                statement = binding.bound(found.statement, rows or found.rows)
+                statement = binding.bind(found.statement, rows or found.rows)
             case _:
                 statement = self.statement(asked, query=False)
         changed = await self.update(statement, context)
@@ -360,20 +371,20 @@
 
     async def parameters(self, first: bytes, stream: AsyncIterator[bytes]) -> tuple[list[tuple], int]:
         """The rows of parameters that a client sends, and their bytes."""
-        messages = [first] if parcel(first).header else []
+        messages = [first] if decode_stream_message(first).header else []
         size = len(first)
         async for raw in stream:
             size += len(raw)
             if size > MOST_PARAMETERS:
                 raise bad(f"more than {MOST_PARAMETERS} bytes of parameters")
-            if parcel(raw).header:
+            if decode_stream_message(raw).header:
                 messages.append(raw)
         if not messages:
             return [], 0
-        return columns.parameters(messages, MOST_ROWS), size
+        return columns.decode_parameters(messages, MOST_ROWS), size
 
     async def get_schema(self, request: bytes, context: aio.ServicerContext) -> bytes:
-        asked = command(read(pb.FlightDescriptor, request).cmd)
+        asked = decode_command(decode(pb.FlightDescriptor, request).cmd)
         table = catalog.answer(asked, self.terms)
         if table is None:
             # Only an engine knows it, and only by running the statement.
@@ -383,7 +394,7 @@
     # Actions.
 
     async def do_action(self, request: bytes, context: aio.ServicerContext) -> None:
-        action = read(pb.Action, request)
+        action = decode(pb.Action, request)
         serve = self.actions.get(action.type)
         if serve is None:
             raise unserved(f"action {action.type[:60]!r}")
@@ -396,21 +407,21 @@
             await context.write(pb.ActionType(type=kind, description=what).SerializeToString())
 
     async def cancel_flight_info(self, body: bytes, context: aio.ServicerContext) -> bytes:
-        status = self.call_off(read(pb.CancelFlightInfoRequest, body).info)
+        status = self.call_off(decode(pb.CancelFlightInfoRequest, body).info)
         return pb.CancelFlightInfoResult(status=status).SerializeToString()
 
     async def cancel_query(self, body: bytes, context: aio.ServicerContext) -> bytes:
         asked = expected(body, sql.ActionCancelQueryRequest)
         # Both count from 1 in the same order: cancelled, cancelling, not to be cancelled.
-        status = self.call_off(read(pb.FlightInfo, asked.info))
-        return wrapped(sql.ActionCancelQueryResult(result=status))
+        status = self.call_off(decode(pb.FlightInfo, asked.info))
+        return encode_any(sql.ActionCancelQueryResult(result=status))
 
     def call_off(self, info: pb.FlightInfo) -> int:
         """Call off the batch of a FlightInfo, whether it is open or not yet taken: then its ticket is used
         up."""
         if len(info.endpoint) != 1:
             raise bad("info: the one endpoint that GetFlightInfo gave expected")
-        asked = command(info.endpoint[0].ticket.ticket)
+        asked = decode_command(info.endpoint[0].ticket.ticket)
         if type(asked) is not sql.TicketStatementQuery:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
         order = self.seal.open(asked.statement_handle)
--- a/thistlelever/flight/prepared_calls.py
+++ b/thistlelever/flight/prepared_calls.py
@@ -12,7 +12,7 @@
 from thistlelever.state.prepared import Prepared, Shelf
 from thistlelever.wire import binding
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import wrapped
+from thistlelever.wire.flight.codec import encode_any
 
 
 class PreparedCalls:
@@ -33,12 +33,12 @@
         """Set a statement down under a handle of its own; raises `Refusal` where there is no room."""
         asked = expected(body, sql.ActionCreatePreparedStatementRequest)
         statement = query_text(asked)
-        if len(statement) > binding.LONGEST:
-            raise bad(f"a statement of {len(statement)} bytes; {binding.LONGEST} at most")
+        if len(statement) > binding.MAX_STATEMENT_BYTES:
+            raise bad(f"a statement of {len(statement)} bytes; {binding.MAX_STATEMENT_BYTES} at most")
         handle = os.urandom(16).hex()
         if not self.shelf.add(handle, statement, clock.now()):
             raise Refusal(StatusCode.RESOURCE_EXHAUSTED, "no room for more prepared statements; close some")
-        return wrapped(sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle.encode()))
+        return encode_any(sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle.encode()))
 
     async def close(self, body: bytes, context: aio.ServicerContext) -> None:
         """Forget a statement; one that is not there is no fault."""
--- a/thistlelever/flight/requests.py
+++ b/thistlelever/flight/requests.py
@@ -7,7 +7,7 @@
 from grpc import aio
 
 from thistlelever.flight.answers import bad, unserved
-from thistlelever.wire.flight.parcels import command
+from thistlelever.wire.flight.codec import decode_command
 
 SESSION_COOKIE = "arrow_flight_session_id"
 # Bytes of a cookie header that are looked at.
@@ -30,7 +30,7 @@
 
 def expected(body: bytes, kind: type):
     """The command in a body, which must be of that kind; raises `Refusal`."""
-    asked = command(body)
+    asked = decode_command(body)
     if type(asked) is not kind:
         raise bad(f"{kind.DESCRIPTOR.name} expected, found {asked.DESCRIPTOR.name}")
     return asked
--- a/thistlelever/flight/session_calls.py
+++ b/thistlelever/flight/session_calls.py
@@ -11,7 +11,7 @@
 from thistlelever.ground import clock
 from thistlelever.state.sessions import Session, Sessions, fault, figure
 from thistlelever.wire.flight import flight_pb2 as pb
-from thistlelever.wire.flight.parcels import read
+from thistlelever.wire.flight.codec import decode
 
 
 class SessionCalls:
@@ -27,7 +27,7 @@
 
     async def set_options(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Set or unset options; opens a session for a call that names none."""
-        asked, result = read(pb.SetSessionOptionsRequest, body), pb.SetSessionOptionsResult()
+        asked, result = decode(pb.SetSessionOptionsRequest, body), pb.SetSessionOptionsResult()
         session = self.session(headers(context))
         if session is None:
             number = os.urandom(16).hex()
@@ -52,7 +52,7 @@
 
     async def get_options(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """What is set in the session that the call names."""
-        read(pb.GetSessionOptionsRequest, body)
+        decode(pb.GetSessionOptionsRequest, body)
         session, result = self.session(headers(context)), pb.GetSessionOptionsResult()
         for name, value in (session.options if session else {}).items():
             option = result.session_options[name]
@@ -66,7 +66,7 @@
 
     async def close_session(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Forget a session; raises `Refusal` where there is none."""
-        read(pb.CloseSessionRequest, body)
+        decode(pb.CloseSessionRequest, body)
         number = session_number(headers(context))
         if not number or not self.sessions.close(number):
             raise Refusal(StatusCode.NOT_FOUND, "no such session")
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -9,7 +9,7 @@
 from thistlelever.ground.operator import Flight, Operator, address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.parts import Parts
-from thistlelever.wire.inflow import Purse
+from thistlelever.wire.read_buffer import BufferQuota
 
 # The least that may lie between an engine and its client, so that a message of usual size passes whole.
 LEAST_BETWEEN = 65_536
@@ -28,7 +28,7 @@
             parts.metrics,
             terms.held_bytes,
             between,
-            Purse(terms.held_bytes_all),
+            BufferQuota(terms.held_bytes_all),
         )
         self.kinds = config.kinds
         self.door = Door(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -16,11 +16,11 @@
 from thistlelever.ground.config import Config, Entry
 from thistlelever.ledger import file, records
 from thistlelever.ledger.file import File
-from thistlelever.ledger.keeper import Keeper
+from thistlelever.ledger.writer import Keeper
 from thistlelever.ledger.records import Learnt, Listed, Mark, Moment, Rest, Window
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.recovery.ages import Age, Now, Terms, age
-from thistlelever.recovery.judge import Judge, Stage
+from thistlelever.recovery.restart import Judge, Stage
 from thistlelever.store.batches import Name
 
 # What is learnt and confirmed is written down this often, and a start that found nobody is tried again.
--- a/thistlelever/standins/flight_client.py
+++ b/thistlelever/standins/flight_client.py
@@ -11,7 +11,7 @@
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import SERVICE, parcel, read, wrapped
+from thistlelever.wire.flight.codec import SERVICE, decode, decode_stream_message, encode_any
 
 
 class Refused(Exception):
@@ -24,7 +24,7 @@
 
 
 def descriptor(message) -> pb.FlightDescriptor:
-    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=wrapped(message))
+    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=encode_any(message))
 
 
 async def unary(channel, method: str, request, metadata=(), timeout=None) -> bytes:
@@ -38,7 +38,7 @@
 
 async def info(channel, statement: str, metadata=(), timeout=None) -> pb.FlightInfo:
     asked = descriptor(sql.CommandStatementQuery(query=statement))
-    return read(pb.FlightInfo, await unary(channel, "GetFlightInfo", asked, metadata, timeout))
+    return decode(pb.FlightInfo, await unary(channel, "GetFlightInfo", asked, metadata, timeout))
 
 
 async def get(
@@ -63,7 +63,7 @@
         raise Refused(why) from None
     finally:
         call.cancel()
-    return columns.table_of(messages)
+    return columns.decode_table(messages)
 
 
 async def query(channel, statement: str, metadata=(), timeout=None) -> pa.Table:
@@ -76,8 +76,10 @@
     asked = pb.FlightData(flight_descriptor=descriptor(message)).SerializeToString()
     sent = [asked]
     if table is not None:
-        first, *rest = columns.of_table(table)
-        head = pb.FlightData(flight_descriptor=descriptor(message), data_header=parcel(first).header)
+        first, *rest = columns.encode_table(table)
+        head = pb.FlightData(
+            flight_descriptor=descriptor(message), data_header=decode_stream_message(first).header
+        )
         sent = [head.SerializeToString(), *rest]
     call = channel.stream_stream(SERVICE + "DoPut")(metadata=tuple(metadata), timeout=timeout)
     try:
@@ -86,7 +88,7 @@
         await call.done_writing()
         found = b""
         async for raw in call:
-            found = read(pb.PutResult, raw).app_metadata
+            found = decode(pb.PutResult, raw).app_metadata
         return found
     except aio.AioRpcError as why:
         raise Refused(why) from None
@@ -101,7 +103,7 @@
 
 async def update(channel, statement: str, metadata=(), timeout=None) -> int:
     said = await put(channel, sql.CommandStatementUpdate(query=statement), None, metadata, timeout)
-    return read(sql.DoPutUpdateResult, said).record_count
+    return decode(sql.DoPutUpdateResult, said).record_count
 
 
 async def action(channel, kind: str, body: bytes, metadata=(), timeout=None) -> tuple[bytes, dict]:
@@ -112,7 +114,7 @@
     found = b""
     try:
         async for raw in call:
-            found = found or read(pb.Result, raw).body
+            found = found or decode(pb.Result, raw).body
         return found, dict(await call.initial_metadata())
     except aio.AioRpcError as why:
         raise Refused(why) from None
--- a/thistlelever/standins/flight_engine.py
+++ b/thistlelever/standins/flight_engine.py
@@ -9,7 +9,7 @@
 
 from thistlelever.standins.book import Book
 from thistlelever.standins.http_engine import rows
-from thistlelever.wire.flight import columns, parcels
+from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 
@@ -41,7 +41,7 @@
         self.text = rows("rows")
         # How long a batch runs, in seconds, by its id.
         self.lasts = lambda txn: 0.0
-        self.result = lambda statement: columns.of_rows([self.text.encode()])
+        self.result = lambda statement: columns.encode_rows([self.text.encode()])
         self.changed = lambda statement: 1
         self.fault = lambda call, txn: None
         self.trailers, self.cancels = (), True
@@ -121,7 +121,7 @@
     async def get_flight_info(self, request, context):
         descriptor = pb.FlightDescriptor.FromString(request)
         resumed = ("x-resume", "1") in context.invocation_metadata()
-        statement = b"" if resumed else parcels.command(descriptor.cmd).query.encode()
+        statement = b"" if resumed else codec.decode_command(descriptor.cmd).query.encode()
         batch, which = self.arrived("GetFlightInfo", context, statement)
         self.asked[which] = asyncio.get_running_loop().time()
         if resumed and which not in self.runs:
@@ -170,7 +170,7 @@
         what, *words = step or ["as usual"]
         if what == "notes":
             for word in words:
-                await context.write(parcels.packed(b"", metadata=word.encode()))
+                await context.write(codec.encode_stream_message(b"", metadata=word.encode()))
         if what in ("empty", "raw"):
             self.kept.pop(which, None)
             self.book.ends(*batch, "answered")
@@ -194,8 +194,8 @@
             self.book.ends(*batch, "answered")
 
     async def do_put(self, requests, context):
-        first = parcels.parcel(await anext(requests))
-        statement = parcels.command(first.command).query.encode()
+        first = codec.decode_stream_message(await anext(requests))
+        statement = codec.decode_command(first.command).query.encode()
         batch, which = self.arrived("DoPut", context, statement)
         await self.begin(batch, which, context)
         await self.act("DoPut", batch, context)
--- a/thistlelever/store/links.py
+++ b/thistlelever/store/links.py
@@ -18,7 +18,7 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.stream import Stream
 from thistlelever.wire import http
-from thistlelever.wire.inflow import Inflow, TooLong
+from thistlelever.wire.read_buffer import ReadBuffer, TooLong
 
 # A page with its head fits into 16 KiB; a reply of more is none that the protocol knows.
 BUFFER, LONGEST = 8_192, 16_384
@@ -61,7 +61,7 @@
 
     def __init__(self, stream: Stream, engine: EngineId) -> None:
         self.stream, self.engine, self.idle_since, self.calls = stream, engine, 0.0, 0
-        self.inflow = Inflow(BUFFER, LONGEST)
+        self.buffer = ReadBuffer(BUFFER, LONGEST)
         self.calling, self.whole, self.surplus = False, False, False
         # A digest of the last good reply. Risk: a copy that comes late, while the next call is under way, is
         # taken for the answer to that call.
@@ -79,17 +79,17 @@
                 self.whole = True
                 reply = None
                 while reply is None:
-                    reading = self.reading or self.stream.read_into(self.inflow.room(), partial=True)
+                    reading = self.reading or self.stream.read_into(self.buffer.writable(), partial=True)
                     self.reading = None
-                    self.inflow.filled(await reading)
+                    self.buffer.advance(await reading)
                     limit.reschedule(min(limit.when(), loop.time() + STOPPED_SHORT))
-                    reply = http.reply(self.inflow)
+                    reply = http.read_reply(self.buffer)
         except TimeoutError:
             raise Silent from None
         except (StreamClosedError, TooLong, http.Unreadable) as why:
             raise Broken(f"{type(why).__name__}: {why}") from None
         self.calling = False
-        self.surplus = self.inflow.start != self.inflow.end
+        self.surplus = self.buffer.start != self.buffer.end
         if not reply.keeps or self.surplus:
             # What comes unasked could be taken for the answer to the next call.
             self.stream.close()
@@ -108,7 +108,7 @@
         """Void what the last reply lay in, and listen for what may still come."""
         self.idle_since = monotonic()
         with suppress(StreamClosedError):
-            self.reading = self.reading or self.stream.read_into(self.inflow.room(), partial=True)
+            self.reading = self.reading or self.stream.read_into(self.buffer.writable(), partial=True)
 
     def fresh(self) -> bool:
         """Whether nothing has come since the last reply, its end included. Risk: what the stream has read
--- a/thistlelever/wire/binding.py
+++ b/thistlelever/wire/binding.py
@@ -13,27 +13,28 @@
 from math import isfinite
 
 TOKEN = re.compile(
-    rb"--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|(?P<place>\?)", re.DOTALL
+    rb"--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|(?P<placeholder>\?)",
+    re.DOTALL,
 )
 # The values of an insert, whose places may be filled once for each row of parameters.
 VALUES = re.compile(rb"\bvalues\s*(\([^()]*\))\s*;?\s*\Z", re.IGNORECASE)
 # A bound statement may be as long as one that a client sends whole.
-LONGEST = 190_000
+MAX_STATEMENT_BYTES = 190_000
 
 
 class Unbindable(Exception):
     """The parameters do not fit the statement."""
 
 
-def places(statement: bytes) -> int:
+def count_placeholders(statement: bytes) -> int:
     """How many parameters a statement has."""
-    return sum(match["place"] is not None for match in TOKEN.finditer(statement))
+    return sum(match["placeholder"] is not None for match in TOKEN.finditer(statement))
 
 
-def bound(statement: bytes, rows: Sequence[Sequence]) -> bytes:
+def bind(statement: bytes, rows: Sequence[Sequence]) -> bytes:
     """The statement with the parameters in place. More than one row fits only an insert of values, which then
     inserts them all: one batch, one effect."""
-    wanted = places(statement)
+    wanted = count_placeholders(statement)
     if not wanted and not rows:
         return statement
     if not rows:
@@ -42,28 +43,28 @@
         if len(row) != wanted:
             raise Unbindable(f"{wanted} parameters wanted, {len(row)} bound")
     if len(rows) == 1:
-        return limited(filled(statement, rows[0]))
+        return check_length(substitute(statement, rows[0]))
     values = VALUES.search(statement)
-    if not values or places(values[1]) != wanted:
+    if not values or count_placeholders(values[1]) != wanted:
         raise Unbindable(f"{len(rows)} rows of parameters, and no insert whose values hold all places")
     # Risk: thousands of rows are joined to megabytes before the length is looked at.
-    if len(rows) * len(values[1]) > LONGEST:
-        raise Unbindable(f"{len(rows)} rows make a statement of more than {LONGEST} bytes")
-    tuples = b", ".join(filled(values[1], row) for row in rows)
-    return limited(statement[: values.start(1)] + tuples)
+    if len(rows) * len(values[1]) > MAX_STATEMENT_BYTES:
+        raise Unbindable(f"{len(rows)} rows make a statement of more than {MAX_STATEMENT_BYTES} bytes")
+    tuples = b", ".join(substitute(values[1], row) for row in rows)
+    return check_length(statement[: values.start(1)] + tuples)
 
 
-def limited(statement: bytes) -> bytes:
-    if len(statement) > LONGEST:
-        raise Unbindable(f"a bound statement of {len(statement)} bytes; {LONGEST} at most")
+def check_length(statement: bytes) -> bytes:
+    if len(statement) > MAX_STATEMENT_BYTES:
+        raise Unbindable(f"a bound statement of {len(statement)} bytes; {MAX_STATEMENT_BYTES} at most")
     return statement
 
 
-def filled(statement: bytes, row: Sequence) -> bytes:
+def substitute(statement: bytes, row: Sequence) -> bytes:
     values = iter(row)
 
     def fill(match: re.Match) -> bytes:
-        return literal(next(values)) if match["place"] else match[0]
+        return literal(next(values)) if match["placeholder"] else match[0]
 
     return TOKEN.sub(fill, statement)
 
--- a/thistlelever/wire/flight/columns.py
+++ b/thistlelever/wire/flight/columns.py
@@ -12,15 +12,15 @@
 import pyarrow as pa
 from pyarrow import compute, csv, ipc
 
-from thistlelever.wire.flight.parcels import Unreadable, packed, parcel
+from thistlelever.wire.flight.codec import Unreadable, decode_stream_message, encode_stream_message
 
 # What an engine's rows are named where they become columns; its answers hold no names.
 NAMES = ("c1", "c2", "c3")
 SCHEMA = pa.schema([pa.field(name, pa.string(), nullable=False) for name in NAMES])
-CONTINUES = b"\xff\xff\xff\xff"
+CONTINUATION = b"\xff\xff\xff\xff"
 # A whole result of text holds 48,000 bytes on the platform's own door.
-LONGEST_TEXT = 48_000
-FROM_TEXT = {
+MAX_TEXT_BYTES = 48_000
+CSV_OPTIONS = {
     "read_options": csv.ReadOptions(use_threads=False, column_names=list(NAMES)),
     "parse_options": csv.ParseOptions(
         delimiter="\t",
@@ -39,49 +39,52 @@
 }
 
 
-def joined(raw: bytes) -> bytes:
+def encapsulated(raw: bytes) -> bytes:
     """A message of a stream as an encapsulated IPC message, the head padded to eight bytes."""
-    said = parcel(raw)
-    head = said.header + b"\0" * (-len(said.header) % 8)
-    return CONTINUES + struct.pack("<i", len(head)) + head + said.body
+    message = decode_stream_message(raw)
+    head = message.header + b"\0" * (-len(message.header) % 8)
+    return CONTINUATION + struct.pack("<i", len(head)) + head + message.body
 
 
-def schema_of(raw: bytes) -> pa.Schema:
+def decode_schema(raw: bytes) -> pa.Schema:
     """The schema that a stream's first message holds."""
     try:
-        return ipc.read_schema(pa.py_buffer(joined(raw)))
+        return ipc.read_schema(pa.py_buffer(encapsulated(raw)))
     except (pa.ArrowException, OSError, ValueError) as why:
         raise Unreadable(f"no schema: {why}") from None
 
 
-def of_table(table: pa.Table) -> list[bytes]:
+def encode_table(table: pa.Table) -> list[bytes]:
     """A table as the messages of a stream, dictionaries included."""
     sink = pa.BufferOutputStream()
     with ipc.new_stream(sink, table.schema) as writer:
         writer.write_table(table)
     messages = ipc.MessageReader.open_stream(sink.getvalue())
-    return [packed(said.metadata.to_pybytes(), said.body.to_pybytes()) for said in messages]
+    return [
+        encode_stream_message(message.metadata.to_pybytes(), message.body.to_pybytes())
+        for message in messages
+    ]
 
 
-def of_rows(pages: Iterable[bytes]) -> list[bytes]:
+def encode_rows(pages: Iterable[bytes]) -> list[bytes]:
     """Pages of rows, a tab between columns and a line feed after each row, as the messages of a stream."""
     text = b"".join(pages)
     if not text:
-        return of_table(SCHEMA.empty_table())
+        return encode_table(SCHEMA.empty_table())
     try:
-        table = csv.read_csv(io.BytesIO(text), **FROM_TEXT)
+        table = csv.read_csv(io.BytesIO(text), **CSV_OPTIONS)
     except (pa.ArrowException, UnicodeDecodeError) as why:
         raise Unreadable(f"rows that are no UTF-8 text of three columns: {why}") from None
-    return of_table(table.cast(SCHEMA))
+    return encode_table(table.cast(SCHEMA))
 
 
-def table_of(parcels: Iterable[bytes]) -> pa.Table:
+def decode_table(stream: Iterable[bytes]) -> pa.Table:
     """The table that the messages of a stream hold, dictionaries included; notes are passed over."""
-    messages = [joined(raw) for raw in parcels if parcel(raw).header]
+    messages = [encapsulated(raw) for raw in stream if decode_stream_message(raw).header]
     if not messages:
         raise Unreadable("a stream without a schema")
     try:
-        with ipc.open_stream(pa.py_buffer(b"".join(messages) + CONTINUES + b"\0\0\0\0")) as reader:
+        with ipc.open_stream(pa.py_buffer(b"".join(messages) + CONTINUATION + b"\0\0\0\0")) as reader:
             table = reader.read_all()
             table.validate(full=True)
             return table
@@ -89,35 +92,35 @@
         raise Unreadable(f"messages that make no table: {why}") from None
 
 
-def to_rows(parcels: Iterable[bytes]) -> bytes:
+def decode_rows(stream: Iterable[bytes]) -> bytes:
     """The messages of a stream as rows of text for the platform's own door: three columns, 48,000 bytes at
     most, no tab or line feed in a value. `Unreadable` where the result does not fit there."""
-    table = table_of(parcels)
+    table = decode_table(stream)
     if table.num_columns != len(NAMES):
         raise Unreadable(f"{table.num_columns} columns; rows of text have three")
     try:
-        columns = [as_text(column.combine_chunks()) for column in table.columns]
+        columns = [as_strings(column.combine_chunks()) for column in table.columns]
         if any(compute.any(compute.match_substring_regex(column, "[\t\n]")).as_py() for column in columns):
             raise Unreadable("a tab or a line feed in a value")
         lines = compute.binary_join_element_wise(*columns, "\t").to_pylist()
     except (pa.ArrowException, TypeError) as why:
         raise Unreadable(f"values that are no text: {why}") from None
     text = "".join(line + "\n" for line in lines).encode()
-    if len(text) > LONGEST_TEXT:
-        raise Unreadable(f"{len(text)} bytes of rows; {LONGEST_TEXT} at most")
+    if len(text) > MAX_TEXT_BYTES:
+        raise Unreadable(f"{len(text)} bytes of rows; {MAX_TEXT_BYTES} at most")
     return text
 
 
-def as_text(values: pa.Array) -> pa.Array:
+def as_strings(values: pa.Array) -> pa.Array:
     if pa.types.is_dictionary(values.type):
         values = values.dictionary_decode()
     return values.cast(pa.string()).fill_null("")
 
 
-def parameters(parcels: Iterable[bytes], most_rows: int) -> list[tuple]:
+def decode_parameters(stream: Iterable[bytes], max_rows: int) -> list[tuple]:
     """The rows of parameters that a client binds, as Python values."""
-    table = table_of(parcels)
-    if table.num_rows > most_rows:
-        raise Unreadable(f"{table.num_rows} rows of parameters; {most_rows} at most")
+    table = decode_table(stream)
+    if table.num_rows > max_rows:
+        raise Unreadable(f"{table.num_rows} rows of parameters; {max_rows} at most")
     columns = [column.to_pylist() for column in table.columns]
     return list(zip(*columns, strict=True)) if columns else [()] * table.num_rows
--- a/thistlelever/wire/http.py
+++ b/thistlelever/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a front speaks it to engines: calls written, replies read out of an `Inflow`."""
+"""HTTP/1.1 as a front speaks it to engines: calls written, replies read out of a `ReadBuffer`."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from math import isfinite
 from typing import NamedTuple
 
-from thistlelever.wire.inflow import Inflow
+from thistlelever.wire.read_buffer import ReadBuffer
 
-LONGEST_HEAD = 8_192
-MOST_INTERIM = 100
+MAX_HEAD_BYTES = 8_192
+MAX_INTERIM_REPLIES = 100
 NO_BODY = (204, 304)
 # Three columns with a tab between, a line feed after each row.
 ROWS = re.compile(rb"(?:[^\t\n]*+\t[^\t\n]*+\t[^\t\n]*+\n)*+")
-LONGEST_PAGE = 6_000
+MAX_PAGE_BYTES = 6_000
 
 
 class Unreadable(Exception):
@@ -33,68 +33,70 @@
 
     def number(self, name: bytes) -> float | None:
         """A figure, or None where the field is absent or none that counts something."""
-        return counted(self.text(name))
+        return parse_measure(self.text(name))
 
 
-def call(verb: str, path: str, address: tuple[str, int], fields: dict[str, str], body: bytes = b"") -> bytes:
+def encode_request(
+    method: str, path: str, address: tuple[str, int], fields: dict[str, str], body: bytes = b""
+) -> bytes:
     """The bytes of one call."""
-    head = [f"{verb} {path} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n"]
+    head = [f"{method} {path} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n"]
     head += [f"{name}: {value}\r\n" for name, value in fields.items()]
-    if body or verb in ("POST", "PUT"):
+    if body or method in ("POST", "PUT"):
         head.append(f"Content-Length: {len(body)}\r\n")
     head.append("\r\n")
     return "".join(head).encode("latin-1") + body
 
 
-def reply(inflow: Inflow) -> Reply | None:
+def read_reply(buffer: ReadBuffer) -> Reply | None:
     """The reply that the buffer holds, taken off it; None while it is not all there."""
     while True:
-        data, start, end = inflow.data, inflow.start, inflow.end
-        stop = data.find(b"\r\n\r\n", start, end)
-        if stop < 0:
-            if end - start > LONGEST_HEAD:
-                raise Unreadable(f"a head of more than {LONGEST_HEAD} bytes")
+        data, start, end = buffer.data, buffer.start, buffer.end
+        head_end = data.find(b"\r\n\r\n", start, end)
+        if head_end < 0:
+            if end - start > MAX_HEAD_BYTES:
+                raise Unreadable(f"a head of more than {MAX_HEAD_BYTES} bytes")
             return None
         view = memoryview(data)
-        status, fields, keeps = head(data, view, start, stop)
-        body_at = stop + 4
+        status, fields, keeps = parse_head(data, view, start, head_end)
+        body_start = head_end + 4
         if not 100 <= status < 200:
             break
         # An interim reply says nothing here; the one that counts comes after it. Risk: thousands of them,
         # each in a call of its own, end in a full stack, and without end they are no reply.
-        inflow.start = body_at
-        inflow.interim += 1
-        if inflow.interim > MOST_INTERIM:
-            raise Unreadable(f"more than {MOST_INTERIM} interim replies")
-    inflow.interim = 0
+        buffer.start = body_start
+        buffer.interim_replies += 1
+        if buffer.interim_replies > MAX_INTERIM_REPLIES:
+            raise Unreadable(f"more than {MAX_INTERIM_REPLIES} interim replies")
+    buffer.interim_replies = 0
     if status in NO_BODY:
-        inflow.start = body_at
-        return Reply(status, fields, view[body_at:body_at], keeps)
+        buffer.start = body_start
+        return Reply(status, fields, view[body_start:body_start], keeps)
     if b"transfer-encoding" in fields:
-        return chunked(inflow, status, fields, body_at, keeps)
+        return read_chunked(buffer, status, fields, body_start, keeps)
     if b"content-length" not in fields:
         raise Unreadable("no Content-Length")
-    length = figure(fields[b"content-length"], 10)
-    if length > inflow.longest:
+    length = parse_integer(fields[b"content-length"], 10)
+    if length > buffer.max_message:
         raise Unreadable(f"a body of {length} bytes")
-    if end - body_at < length:
+    if end - body_start < length:
         return None
-    inflow.start = body_at + length
-    return Reply(status, fields, view[body_at : body_at + length], keeps)
+    buffer.start = body_start + length
+    return Reply(status, fields, view[body_start : body_start + length], keeps)
 
 
-def head(data: bytearray, view: memoryview, start: int, stop: int) -> tuple[int, dict, bool]:
+def parse_head(data: bytearray, view: memoryview, start: int, head_end: int) -> tuple[int, dict, bool]:
     """Status, fields by lower-case name, and whether the connection stays open."""
-    line_end = data.find(b"\r\n", start, stop)
-    line_end = stop if line_end < 0 else line_end
+    line_end = data.find(b"\r\n", start, head_end)
+    line_end = head_end if line_end < 0 else line_end
     if bytes(view[start : start + 7]) != b"HTTP/1." or bytes(view[start + 8 : start + 9]) != b" ":
         raise Unreadable("no HTTP/1.1 status line")
-    status = figure(view[start + 9 : start + 12], 10)
+    status = parse_integer(view[start + 9 : start + 12], 10)
     fields: dict[bytes, memoryview] = {}
     at = line_end + 2
-    while at < stop:
-        line_end = data.find(b"\r\n", at, stop)
-        line_end = stop if line_end < 0 else line_end
+    while at < head_end:
+        line_end = data.find(b"\r\n", at, head_end)
+        line_end = head_end if line_end < 0 else line_end
         colon = data.find(b":", at, line_end)
         if colon <= at:
             raise Unreadable("a field without a name")
@@ -112,22 +114,22 @@
     return status, fields, keeps
 
 
-def chunked(inflow: Inflow, status: int, fields: dict, at: int, keeps: bool) -> Reply | None:
+def read_chunked(buffer: ReadBuffer, status: int, fields: dict, at: int, keeps: bool) -> Reply | None:
     """A body in chunks. Its parts are put together in a copy, as they do not lie side by side."""
     if bytes(fields[b"transfer-encoding"]).lower() != b"chunked" or b"content-length" in fields:
         raise Unreadable("a transfer encoding other than chunked, or a length beside it")
-    data, view, parts = inflow.data, memoryview(inflow.data), []
+    data, view, parts = buffer.data, memoryview(buffer.data), []
     while True:
-        line_end = data.find(b"\r\n", at, inflow.end)
+        line_end = data.find(b"\r\n", at, buffer.end)
         if line_end < 0:
             return None
-        size = figure(bytes(view[at:line_end]).split(b";")[0].strip(), 16)
+        size = parse_integer(bytes(view[at:line_end]).split(b";")[0].strip(), 16)
         at = line_end + 2
-        if size > inflow.longest:
+        if size > buffer.max_message:
             raise Unreadable(f"a chunk of {size} bytes")
         if size == 0:
             break
-        if inflow.end < at + size + 2:
+        if buffer.end < at + size + 2:
             return None
         if bytes(view[at + size : at + size + 2]) != b"\r\n":
             raise Unreadable("a chunk that does not end where it says")
@@ -135,16 +137,16 @@
         at += size + 2
     # Trailers are passed over up to the empty line that ends them.
     while True:
-        line_end = data.find(b"\r\n", at, inflow.end)
+        line_end = data.find(b"\r\n", at, buffer.end)
         if line_end < 0:
             return None
         empty, at = line_end == at, line_end + 2
         if empty:
-            inflow.start = at
+            buffer.start = at
             return Reply(status, fields, memoryview(b"".join(parts)), keeps)
 
 
-def figure(word: memoryview | bytes, base: int) -> int:
+def parse_integer(word: memoryview | bytes, base: int) -> int:
     text = bytes(word)
     if not text.isalnum():
         raise Unreadable(f"no figure: {text[:20]!r}")
@@ -154,7 +156,7 @@
         raise Unreadable(f"no figure: {text[:20]!r}") from None
 
 
-def counted(word: str) -> float | None:
+def parse_measure(word: str) -> float | None:
     """A figure from 0 up. Risk: one `nan` in an average stays there for good."""
     try:
         value = float(word)
@@ -163,19 +165,19 @@
     return value if isfinite(value) and value >= 0 else None
 
 
-def page(body: memoryview) -> bytes:
+def check_page(body: memoryview) -> bytes:
     """The rows of a page, copied, as they outlive the buffer. Risk: noise or a cut page goes on as rows."""
-    if len(body) > LONGEST_PAGE or not ROWS.fullmatch(body):
+    if len(body) > MAX_PAGE_BYTES or not ROWS.fullmatch(body):
         raise Unreadable(f"{len(body)} bytes that are no page of whole rows")
     return bytes(body)
 
 
-def gauges(word: str, names: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(word: str, names: tuple[str, ...]) -> tuple[float, ...]:
     """A load report, `name:value` with `;` between, as figures in the order of `names`."""
-    said = {}
+    measures = {}
     for pair in word.split(";"):
         name, _, value = pair.partition(":")
-        said[name.strip()] = counted(value)
+        measures[name.strip()] = parse_measure(value)
     # Half a report would be taken for an idle engine.
-    report = tuple(said.get(name) for name in names)
+    report = tuple(measures.get(name) for name in names)
     return () if None in report else report
--- a/thistlelever/wire/statement.py
+++ b/thistlelever/wire/statement.py
@@ -16,9 +16,9 @@
 BEFORE_TABLE = frozenset((b"from", b"join", b"into", b"update", b"table", b"using", b"only"))
 
 
-def table(statement: bytes) -> tuple[int, bytes] | None:
+def find_table(statement: bytes) -> tuple[int, bytes] | None:
     """The number of the table group and the table's whole name; None where there is none."""
-    spare, before = None, b""
+    fallback, before = None, b""
     for match in TOKEN.finditer(statement):
         name = match["name"]
         if name is None:
@@ -29,6 +29,6 @@
             found = int(grouped[1]), b".".join(parts[-2:])
             if before in BEFORE_TABLE:
                 return found
-            spare = spare or found
+            fallback = fallback or found
         before = name.lower()
-    return spare
+    return fallback
