--- a/rigs/restart.py
+++ b/rigs/restart.py
@@ -21,8 +21,8 @@
 
 from rigs.verdict import Chance, close
 from thistlelever.ledger import records
-from thistlelever.ledger.file import File
-from thistlelever.ledger.records import Listed, Moment
+from thistlelever.ledger.file import LedgerFile
+from thistlelever.ledger.records import ListedEngine, Timestamp
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import GROUP, SETTINGS, configuration
@@ -130,14 +130,14 @@
         sections = {}
         if self.kept:
             path = str(folder / "state.db")
-            file = File(path)
+            file = LedgerFile(path)
             file.write(
                 [
                     (
                         "listed",
                         name.encode(),
                         records.pack(
-                            Listed(
+                            ListedEngine(
                                 name.encode(),
                                 "127.0.0.1",
                                 at,
@@ -148,7 +148,7 @@
                                 0.0,
                                 4.0,
                                 900,
-                                Moment(then, 0.0, ""),
+                                Timestamp(then, 0.0, ""),
                             )
                         ),
                     )
--- a/tests/test_failed_sync.py
+++ b/tests/test_failed_sync.py
@@ -18,12 +18,12 @@
 
 from thistlelever.ledger import file as files
 from thistlelever.ledger import folder, records
-from thistlelever.ledger.file import File
-from thistlelever.ledger.writer import Keeper
-from thistlelever.ledger.records import Mark, Moment
-from thistlelever.ledger.replacement import replaced
+from thistlelever.ledger.file import LedgerFile
+from thistlelever.ledger.records import IdempotencyRecord, Timestamp
+from thistlelever.ledger.replacement import replace_file
+from thistlelever.ledger.writer import LedgerWriter
 
-AT = Moment(1e9, 50.0, "boot")
+AT = Timestamp(1e9, 50.0, "boot")
 TURNS, MARKS_A_TURN = 6, 120
 # How often the power goes before each sync.
 CUTS = 3
@@ -89,28 +89,28 @@
         self.vfs.sync(self.inode)
 
 
-def mark(number):
-    return Mark(b"%016d" % number, b"e-1", f"{number:016x}", 0, 5.0, AT)
+def idempotency_record(number):
+    return IdempotencyRecord(b"%016d" % number, b"e-1", f"{number:016x}", 0, 5.0, AT)
 
 
 def play(path, name):
-    """A keeper's life, its thread's turns played here; it is closed as at a front's end."""
-    keeper = Keeper(lambda: File(str(path), vfs=name))
-    keeper.open()
+    """A writer's life, its thread's turns played here; it is closed as at a front's end."""
+    writer = LedgerWriter(lambda: LedgerFile(str(path), vfs=name))
+    writer.open()
     for turn in range(TURNS):
         for number in range(MARKS_A_TURN):
             # Over the whole table, so that each turn changes pages of the one before.
             key = number * TURNS + turn
-            keeper.put("mark", b"%016d" % key, mark(key))
-        keeper.write()
-    keeper.write()
-    keeper.close(1.0)
-    return keeper
+            writer.put("mark", b"%016d" % key, idempotency_record(key))
+        writer.write()
+    writer.write()
+    writer.close(1.0)
+    return writer
 
 
 def turns_of(folder):
     """How many turns' marks a store has, which must be whole and in order."""
-    file, damaged = File(str(folder / "state.db")), []
+    file, damaged = LedgerFile(str(folder / "state.db")), []
     found = {int(key) for kind, key, _ in file.read(damaged) if kind == "mark"}
     wrong = file.verify()
     file.close()
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("fails_at", range(31))
 def test_a_power_cut_after_a_failed_sync_finds_a_store_that_was_true_once(tmp_path, monkeypatch, fails_at):
-    monkeypatch.setattr(files, "LOG_PAGES", 4)
+    monkeypatch.setattr(files, "CHECKPOINT_LOG_PAGES", 4)
     chance, cuts, least = Random(fails_at), count(), [0]
     place = tmp_path / "place"
     place.mkdir()
@@ -151,8 +151,8 @@
 
     name = f"disk-{fails_at}"
     disk = Disk(name, fails_at, cut)
-    keeper = play(place / "state.db", name)
-    assert not keeper.failing
+    writer = play(place / "state.db", name)
+    assert not writer.failing
     assert turns_of(place) == TURNS
     assert disk.syncs
 
@@ -164,8 +164,8 @@
 @pytest.mark.parametrize("step", range(7))
 def test_a_kill_within_the_replacement_is_finished_or_undone_by_the_next_start(tmp_path, monkeypatch, step):
     path = tmp_path / "state.db"
-    failed = File(str(path))
-    failed.write([("mark", b"old", records.pack(mark(1)))])
+    failed = LedgerFile(str(path))
+    failed.write([("mark", b"old", records.pack(idempotency_record(1)))])
     steps = count()
 
     def dies(call):
@@ -180,11 +180,14 @@
         patch.setattr(folder.os, "replace", dies(os.replace))
         patch.setattr(folder, "sync_folder", dies(folder.sync_folder))
         try:
-            rows = [("mark", b"old", records.pack(mark(1))), ("mark", b"new", records.pack(mark(2)))]
-            replaced(failed, rows).close()
+            rows = [
+                ("mark", b"old", records.pack(idempotency_record(1))),
+                ("mark", b"new", records.pack(idempotency_record(2))),
+            ]
+            replace_file(failed, rows).close()
         except Killed:
-            failed.abandon()
-    survivor = File(str(path))
+            failed.close_unchecked()
+    survivor = LedgerFile(str(path))
     found = {key for _, key, _ in survivor.read()}
     assert found in ({b"old"}, {b"old", b"new"}) and not survivor.verify()
     survivor.close()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -22,19 +22,26 @@
 from thistlelever.carrier.recollection import Recollection
 from thistlelever.ground import interface as it
 from thistlelever.ledger import records
-from thistlelever.ledger.file import Failing, File, size
-from thistlelever.ledger.writer import Keeper
-from thistlelever.ledger.records import Damaged, Mark, Moment, Newer, Rest, Window
-from thistlelever.recovery.ages import Age, Grade, Now, Terms, age, grade, trust
-from thistlelever.recovery.restart import Judge, Stage
+from thistlelever.ledger.file import LedgerError, LedgerFile, size_on_disk
+from thistlelever.ledger.records import (
+    BudgetWindow,
+    CoolDown,
+    DamagedRecordError,
+    IdempotencyRecord,
+    NewerSchemaError,
+    Timestamp,
+)
+from thistlelever.ledger.writer import LedgerWriter
+from thistlelever.recovery.ages import Age, AgeLimits, ClockReading, Grade, age, grade, trust
+from thistlelever.recovery.restart import RestartRecovery, Stage
 from thistlelever.store.batches import Batch, Name
 
-AT = Moment(1e9, 50.0, "boot")
+AT = Timestamp(1e9, 50.0, "boot")
 ROOT = Path(__file__).parents[1]
 
 
-def mark(n):
-    return Mark(b"%016d" % n, b"e-1", f"{n:016x}", 0, 5.0, AT)
+def idempotency_record(n):
+    return IdempotencyRecord(b"%016d" % n, b"e-1", f"{n:016x}", 0, 5.0, AT)
 
 
 class Faults(apsw.VFS):
@@ -79,7 +86,7 @@
 
 
 def kept(path):
-    file, damaged = File(str(path)), []
+    file, damaged = LedgerFile(str(path)), []
     found = {(kind, key): record for kind, key, record in file.read(damaged)}
     wrong = file.verify()
     file.close()
@@ -87,14 +94,14 @@
 
 
 def test_a_record_comes_back_as_it_went_and_says_what_is_wrong_with_it():
-    data = records.pack(mark(1))
-    assert records.unpack("mark", data) == mark(1)
+    data = records.pack(idempotency_record(1))
+    assert records.unpack("mark", data) == idempotency_record(1)
     for spoilt in (data[:-1], data[:4], data[:-1] + bytes((data[-1] ^ 1,)), b""):
-        with pytest.raises(Damaged):
+        with pytest.raises(DamagedRecordError):
             records.unpack("mark", spoilt)
-    _, check = records.HEAD.unpack_from(data)
-    later = records.HEAD.pack(records.SCHEMA + 1, check) + data[records.HEAD.size :]
-    with pytest.raises(Newer):
+    _, check = records.HEADER.unpack_from(data)
+    later = records.HEADER.pack(records.SCHEMA + 1, check) + data[records.HEADER.size :]
+    with pytest.raises(NewerSchemaError):
         records.unpack("mark", later)
 
 
@@ -104,8 +111,8 @@
     import msgspec
 
     body = msgspec.msgpack.encode([[0.5], [], 1e9])
-    data = records.HEAD.pack(1, zlib.crc32(body)) + body
-    assert records.unpack("window", data) == Window((0.5,), (), Moment(1e9, 0.0, ""))
+    data = records.HEADER.pack(1, zlib.crc32(body)) + body
+    assert records.unpack("window", data) == BudgetWindow((0.5,), (), Timestamp(1e9, 0.0, ""))
 
 
 @pytest.mark.parametrize("error", [apsw.FullError, apsw.IOError])
@@ -118,19 +125,21 @@
         """Three transactions; the states that were committed, in order."""
         states, state = [{}], {}
         try:
-            file = File(str(path), vfs=name)
-        except Failing:
+            file = LedgerFile(str(path), vfs=name)
+        except LedgerError:
             return states
         for turn in range(3):
-            changes = [("mark", b"%016d" % n, records.pack(mark(n))) for n in range(turn, turn + 12)]
+            changes = [
+                ("mark", b"%016d" % n, records.pack(idempotency_record(n))) for n in range(turn, turn + 12)
+            ]
             changes.append(("mark", b"%016d" % turn, None))
             after = state | {("mark", key): n for n, (_, key, _) in enumerate(changes[:-1], turn)}
             after.pop(("mark", b"%016d" % turn))
             try:
                 file.write(changes)
                 file.compact(always=turn == 1)
-            except Failing as why:
-                assert why.word in ("full", "io")
+            except LedgerError as why:
+                assert why.reason in ("full", "io")
                 states.append(after)
                 break
             state = after
@@ -153,13 +162,14 @@
 def test_a_kill_loses_no_more_than_the_write_that_was_under_way(tmp_path):
     code = (
         "import sys\n"
-        "from thistlelever.ledger.file import File\n"
+        "from thistlelever.ledger.file import LedgerFile\n"
         "from thistlelever.ledger import records\n"
-        "from test_ledger import mark\n"
-        "file = File(sys.argv[1])\n"
+        "from test_ledger import idempotency_record\n"
+        "file = LedgerFile(sys.argv[1])\n"
         "n = 0\n"
         "while True:\n"
-        "    file.write([('mark', b'%016d' % k, records.pack(mark(k))) for k in range(n, n + 5)])\n"
+        "    numbers = range(n, n + 5)\n"
+        "    file.write([('mark', b'%016d' % k, records.pack(idempotency_record(k))) for k in numbers])\n"
         "    n += 5\n"
         "    print(n, flush=True)\n"
         "    file.compact(always=n % 50 == 0)\n"
@@ -197,8 +207,8 @@
     path = tmp_path / "a.db"
     what(path)
     before = path.read_bytes() if path.is_file() and not path.is_symlink() else b""
-    with pytest.raises(Failing, match=word):
-        File(str(path))
+    with pytest.raises(LedgerError, match=word):
+        LedgerFile(str(path))
     assert not before or path.read_bytes() == before
 
 
@@ -209,7 +219,7 @@
 
 
 def newer(path):
-    File(str(path)).close()
+    LedgerFile(str(path)).close()
     base = apsw.Connection(str(path))
     base.pragma("user_version", 99)
     base.close()
@@ -217,8 +227,8 @@
 
 def test_a_damaged_record_costs_itself_alone_and_a_damaged_file_is_said_to_be(tmp_path):
     path = tmp_path / "a.db"
-    file = File(str(path))
-    file.write([("mark", b"%016d" % n, records.pack(mark(n))) for n in range(400)])
+    file = LedgerFile(str(path))
+    file.write([("mark", b"%016d" % n, records.pack(idempotency_record(n))) for n in range(400)])
     file.write([("mark", b"%016d" % 7, b"spoilt")])
     file.close()
     found, wrong = kept(path)
@@ -226,68 +236,68 @@
     data = bytearray(path.read_bytes())
     data[4096 * 2 : 4096 * 4] = os.urandom(8192)
     path.write_bytes(data)
-    keeper = Keeper(lambda: File(str(path)))
-    keeper.open()
-    assert keeper.failing or keeper.damaged
-    keeper.close(1)
+    writer = LedgerWriter(lambda: LedgerFile(str(path)))
+    writer.open()
+    assert writer.failing or writer.damaged
+    writer.close(1)
 
 
 def test_one_owner_at_a_time_and_a_dead_one_leaves_it_free(tmp_path):
     path = str(tmp_path / "a.db")
     code = (
-        "import sys, time\nfrom thistlelever.ledger.file import File\nf = File(sys.argv[1])\n"
+        "import sys, time\nfrom thistlelever.ledger.file import LedgerFile\nf = LedgerFile(sys.argv[1])\n"
         "print('open', flush=True)\ntime.sleep(60)\n"
     )
     process = subprocess.Popen([sys.executable, "-c", code, path], stdout=subprocess.PIPE, cwd=ROOT)
     assert process.stdout.readline() == b"open\n"
-    with pytest.raises(Failing, match="held"):
-        File(path)
+    with pytest.raises(LedgerError, match="held"):
+        LedgerFile(path)
     process.kill()
     process.wait()
     process.stdout.close()
-    File(path).close()
+    LedgerFile(path).close()
 
 
 def test_nobody_waits_for_a_write_that_takes_long_and_what_failed_is_written_later(tmp_path):
     vfs, told = Faults("slow"), []
-    keeper = Keeper(lambda: File(str(tmp_path / "a.db"), vfs="slow"), 0.01, told.append)
-    assert not keeper.open()
+    writer = LedgerWriter(lambda: LedgerFile(str(tmp_path / "a.db"), vfs="slow"), 0.01, told.append)
+    assert not writer.open()
     vfs.at, vfs.waits, vfs.writes = 1, threading.Event(), 0
-    keeper.start()
+    writer.start()
     for n in range(100):
-        keeper.put("mark", b"%016d" % n, mark(n))
+        writer.put("mark", b"%016d" % n, idempotency_record(n))
     while not vfs.writes:
         threading.Event().wait(0.005)
     # The write hangs; all that is put is there at once.
-    assert len(keeper.records["mark"]) == 100 and keeper.writes == 0
+    assert len(writer.records["mark"]) == 100 and writer.writes == 0
     vfs.waits.set()
-    while not keeper.writes:
+    while not writer.writes:
         threading.Event().wait(0.005)
     vfs.at, vfs.waits, vfs.stays, vfs.writes = 1, None, True, 0
-    keeper.put("mark", b"%016d" % 7, mark(8))
+    writer.put("mark", b"%016d" % 7, idempotency_record(8))
     while not told:
         threading.Event().wait(0.005)
-    assert told[0].startswith("full") and not keeper.keeps()
+    assert told[0].startswith("full") and not writer.is_durable()
     vfs.at = None
     # Space given back is used again without a restart.
     while len(told) < 2:
         threading.Event().wait(0.005)
-    assert told[1] == "" and keeper.keeps()
-    keeper.close(5)
+    assert told[1] == "" and writer.is_durable()
+    writer.close(5)
     found, wrong = kept(tmp_path / "a.db")
-    assert not wrong and len(found) == 100 and found["mark", b"%016d" % 7] == mark(8)
+    assert not wrong and len(found) == 100 and found["mark", b"%016d" % 7] == idempotency_record(8)
 
 
 def test_without_a_file_the_front_has_all_of_it_in_memory(tmp_path):
-    keeper = Keeper(lambda: File(str(tmp_path / "none" / "a.db")), 0.01)
-    assert keeper.open().startswith("gone")
-    keeper.start()
-    keeper.put("rest", b"1", Rest("1", 2.0, AT))
-    assert keeper.records["rest"] and not keeper.keeps()
+    writer = LedgerWriter(lambda: LedgerFile(str(tmp_path / "none" / "a.db")), 0.01)
+    assert writer.open().startswith("gone")
+    writer.start()
+    writer.put("rest", b"1", CoolDown("1", 2.0, AT))
+    assert writer.records["rest"] and not writer.is_durable()
     (tmp_path / "none").mkdir()
-    while keeper.failing:
+    while writer.failing:
         threading.Event().wait(0.005)
-    keeper.close(5)
+    writer.close(5)
     assert len(kept(tmp_path / "none" / "a.db")[0]) == 1
 
 
@@ -295,28 +305,28 @@
 @given(st.lists(st.tuples(st.integers(0, 9), st.booleans(), st.booleans()), max_size=40))
 def test_the_store_is_a_dictionary_that_outlives_its_process(tmp_path_factory, steps):
     path = str(tmp_path_factory.mktemp("d") / "a.db")
-    model, keeper = {}, Keeper(lambda: File(path))
-    keeper.open()
+    model, writer = {}, LedgerWriter(lambda: LedgerFile(path))
+    writer.open()
     for n, puts, restarts in steps:
         key = b"%016d" % n
         if puts:
-            model[key] = mark(n)
-            keeper.put("mark", key, mark(n))
+            model[key] = idempotency_record(n)
+            writer.put("mark", key, idempotency_record(n))
         else:
             model.pop(key, None)
-            keeper.drop("mark", key)
+            writer.drop("mark", key)
         if restarts:
-            keeper.write()
-            keeper.close(1)
-            keeper = Keeper(lambda: File(path))
-            assert not keeper.open()
-        assert keeper.records["mark"] == model
-    keeper.close(1)
+            writer.write()
+            writer.close(1)
+            writer = LedgerWriter(lambda: LedgerFile(path))
+            assert not writer.open()
+        assert writer.records["mark"] == model
+    writer.close(1)
 
 
 # Trust.
 
-HERE = Now(2e9, 1_000.0, "this")
+HERE = ClockReading(2e9, 1_000.0, "this")
 
 
 @pytest.mark.parametrize(
@@ -337,12 +347,12 @@
 def test_an_age_is_a_range_and_the_future_is_not_fresh(then, found):
     assert age(*then, HERE) == found
     if found.most == float("inf"):
-        assert grade(found, Terms()) is Grade.LAST
+        assert grade(found, AgeLimits()) is Grade.LAST
 
 
 @given(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(1, 1e6), st.floats(1, 1e6))
 def test_older_is_never_trusted_more(one, other, fresh, old):
-    terms = Terms(min(fresh, old), max(fresh, old))
+    terms = AgeLimits(min(fresh, old), max(fresh, old))
     young, aged = sorted((one, other))
     assert grade(Age(young, young), terms) <= grade(Age(aged, aged), terms)
     assert trust(Age(young, young), terms) >= trust(Age(aged, aged), terms)
@@ -354,44 +364,44 @@
 
 
 def test_a_start_uses_fresh_ones_asks_older_ones_and_the_oldest_last():
-    judge = Judge(Terms(), ages(a=1, b=100, c=90_000))
-    assert (judge.use, judge.ask, judge.stage) == ({b"a"}, {b"b"}, Stage.ASKING)
-    judge.heard(b"b", True)
-    assert (judge.use, judge.stage) == ({b"a", b"b"}, Stage.REMEMBERED)
-    judge = Judge(Terms(), ages(b=100, c=90_000))
-    judge.waited()
-    assert (judge.ask, judge.stage) == ({b"b", b"c"}, Stage.ASKING_LAST)
-    judge.heard(b"c", True)
-    assert (judge.use, judge.stage) == ({b"c"}, Stage.REMEMBERED)
+    recovery = RestartRecovery(AgeLimits(), ages(a=1, b=100, c=90_000))
+    assert (recovery.usable, recovery.to_probe, recovery.stage) == ({b"a"}, {b"b"}, Stage.PROBING)
+    recovery.record_probe(b"b", True)
+    assert (recovery.usable, recovery.stage) == ({b"a", b"b"}, Stage.REMEMBERED)
+    recovery = RestartRecovery(AgeLimits(), ages(b=100, c=90_000))
+    recovery.probes_timed_out()
+    assert (recovery.to_probe, recovery.stage) == ({b"b", b"c"}, Stage.PROBING_OLDEST)
+    recovery.record_probe(b"c", True)
+    assert (recovery.usable, recovery.stage) == ({b"c"}, Stage.REMEMBERED)
 
 
 def test_where_nobody_answers_all_are_asked_again_until_discovery_is_back():
-    judge = Judge(Terms(), ages(b=100, c=90_000))
-    judge.waited()
-    judge.waited()
-    assert judge.stage is Stage.NOBODY and not judge.use
-    assert judge.again() == {b"b", b"c"} and judge.stage is Stage.ASKING_LAST
-    judge.heard(b"b", True)
-    judge.waited()
-    assert judge.use == {b"b"} and not judge.again()
-    judge.listed()
-    judge.heard(b"c", True)
-    assert judge.stage is Stage.LISTED and judge.use == {b"b"}
+    recovery = RestartRecovery(AgeLimits(), ages(b=100, c=90_000))
+    recovery.probes_timed_out()
+    recovery.probes_timed_out()
+    assert recovery.stage is Stage.NO_ANSWER and not recovery.usable
+    assert recovery.retry() == {b"b", b"c"} and recovery.stage is Stage.PROBING_OLDEST
+    recovery.record_probe(b"b", True)
+    recovery.probes_timed_out()
+    assert recovery.usable == {b"b"} and not recovery.retry()
+    recovery.discovery_returned()
+    recovery.record_probe(b"c", True)
+    assert recovery.stage is Stage.LISTED and recovery.usable == {b"b"}
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.sampled_from(["yes", "no", "wait", "again"])), max_size=30))
 def test_what_is_in_use_was_fresh_or_has_answered(steps):
     names = [b"%d" % n for n in range(6)]
     given = dict(zip(names, (Age(s, s) for s in (1, 10, 100, 1_000, 10_000, 1e6)), strict=True))
-    judge, said = Judge(Terms(), given), set()
+    recovery, said = RestartRecovery(AgeLimits(), given), set()
     for n, what in steps:
-        before = set(judge.use)
+        before = set(recovery.usable)
         if what in ("yes", "no"):
-            judge.heard(names[n], what == "yes")
+            recovery.record_probe(names[n], what == "yes")
             said |= {names[n]} if what == "yes" else set()
         else:
-            {"wait": judge.waited, "again": judge.again}[what]()
-        assert before <= judge.use <= {b"0", b"1"} | said
+            {"wait": recovery.probes_timed_out, "again": recovery.retry}[what]()
+        assert before <= recovery.usable <= {b"0", b"1"} | said
 
 
 # Marks.
@@ -450,8 +460,8 @@
 
 def test_the_commands_on_a_dead_a_damaged_and_a_held_store(tmp_path):
     path = str(tmp_path / "a.db")
-    file = File(path)
-    file.write([("mark", b"%016d" % n, records.pack(mark(n))) for n in range(30)])
+    file = LedgerFile(path)
+    file.write([("mark", b"%016d" % n, records.pack(idempotency_record(n))) for n in range(30)])
     run = CliRunner().invoke
 
     def state(*words, **more):
@@ -472,12 +482,12 @@
     assert state("compact", other).exit_code == 0
     (tmp_path / "c.db").write_bytes(b"nothing of the kind" * 500)
     assert state("verify", str(tmp_path / "c.db")).exit_code == 2
-    file = File(path)
+    file = LedgerFile(path)
     file.write([("mark", b"%016d" % 3, b"spoilt")])
     file.close()
     wrong = state("verify", path)
     assert wrong.exit_code == 1 and "checksum" in wrong.output
-    assert state("show").exit_code == 2 and size(path) > 4096
+    assert state("show").exit_code == 2 and size_on_disk(path) > 4096
 
 
 def test_a_mark_outlives_its_front_and_its_repeat_goes_where_it_is_dropped(tmp_path):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,7 +11,7 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
-from thistlelever.ledger.records import Learnt
+from thistlelever.ledger.records import LearnedEngine
 from thistlelever.lifecycle import state
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
@@ -97,10 +97,10 @@
     real = clock.wall
     monkeypatch.setattr(clock, "wall", lambda: real() - by)
     at = state.moment()
-    kept = Learnt(b"a", 1.0, 1.0, at.wall - 3.0, at)
+    kept = LearnedEngine(b"a", 1.0, 1.0, at.wall - 3.0, at)
     monkeypatch.setattr(clock, "wall", real)
     assert state.start_since(kept) == pytest.approx(clock.now() - 3.0, abs=0.1)
-    assert not state.start_since(Learnt(b"a", 1.0, 1.0, 0.0, at))
+    assert not state.start_since(LearnedEngine(b"a", 1.0, 1.0, 0.0, at))
 
 
 class Client:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -20,7 +20,7 @@
 
 def test_events_read_as_written():
     returned = "78 0300 c4913a5d374f0400 00 0a124a07431f 01 44480000 01 60100100 03 0000e04052b81e3f0000a03f"
-    events = codec.Reader().frame(2, bytes.fromhex(SUBMIT + returned))
+    events = codec.FrameReader().read_frame(2, bytes.fromhex(SUBMIT + returned))
     taken, ended = (event for _, event in events)
     assert (taken.time_limit, taken.work, taken.memory, taken.tables) == (0.24, 0.012, 384.0, 11.0)
     assert (ended.outcome, ended.complete, ended.true_memory) == (it.DispatchOutcome.RETURNED, True, 384.0)
@@ -29,9 +29,9 @@
 
 def test_actions_written_as_the_page_shows():
     engine = bytes.fromhex("0a124a07431f")
-    sent = codec.write(3, it.Dispatch(0x44F375D3A91C4, engine, 0.08))
+    sent = codec.encode_action(3, it.Dispatch(0x44F375D3A91C4, engine, 0.08))
     assert sent == bytes.fromhex("46 0300 c4913a5d374f0400 0a124a07431f 80380100")
-    assert codec.write(3, it.Terms(0x44F375D3A91C4, 640.0, 2)) == bytes.fromhex(
+    assert codec.encode_action(3, it.Terms(0x44F375D3A91C4, 640.0, 2)) == bytes.fromhex(
         "82 0300 c4913a5d374f0400 00002044 02"
     )
 
@@ -39,7 +39,7 @@
 def test_a_list_slot_used_twice_in_a_frame_is_looked_up_in_order():
     roster = "46 0300 2900000000000000 0000 03"
     other = DIRECTORY.replace("431f", "4320")
-    events = codec.Reader().frame(4, bytes.fromhex(DIRECTORY + roster + other + roster))
+    events = codec.FrameReader().read_frame(4, bytes.fromhex(DIRECTORY + roster + other + roster))
     assert [event.engines[0].id[-1] for _, event in events] == [0x1F, 0x20]
 
 
--- a/thistlelever/cli/state.py
+++ b/thistlelever/cli/state.py
@@ -21,7 +21,7 @@
 )
 
 if TYPE_CHECKING:
-    from thistlelever.ledger.file import File
+    from thistlelever.ledger.file import LedgerFile
 
 path_argument = click.argument("path", type=click.Path(dir_okay=False), required=False)
 
@@ -88,13 +88,13 @@
 @click.option("--from", "source", type=click.File("rb"), default="-", help="What `export` printed.")
 def import_records(operator: str | None, path: str | None, source: BinaryIO) -> None:
     """Take records that `export` printed into a store that no front holds."""
-    from thistlelever.ledger.file import Failing
+    from thistlelever.ledger.file import LedgerError
 
     changes = read_export(source)
     file = open_store(operator, path, read_only=False)
     try:
         file.write(changes)
-    except Failing as error:
+    except LedgerError as error:
         exit_with_error(f"{file.path}: {error}", EXIT_FAILURE)
     file.close()
     click.echo(f"{len(changes)} records")
@@ -105,33 +105,33 @@
 @path_argument
 def compact(operator: str | None, path: str | None) -> None:
     """Give back what lies free in a store that no front holds."""
-    from thistlelever.ledger.file import Failing, size
+    from thistlelever.ledger.file import LedgerError, size_on_disk
 
     file = open_store(operator, path, read_only=False)
-    before = size(file.path)
+    before = size_on_disk(file.path)
     try:
         file.compact(always=True)
-    except Failing as error:
+    except LedgerError as error:
         exit_with_error(f"{file.path}: {error}", EXIT_FAILURE)
     file.close()
-    click.echo(f"{before} -> {size(file.path)} bytes")
+    click.echo(f"{before} -> {size_on_disk(file.path)} bytes")
 
 
-def open_store(operator_path: str | None, path: str | None, read_only: bool) -> File:
+def open_store(operator_path: str | None, path: str | None, read_only: bool) -> LedgerFile:
     """The store that is named, or the operator file's; exit 2 where it can't be opened."""
-    from thistlelever.ledger.file import Failing, File
+    from thistlelever.ledger.file import LedgerError, LedgerFile
 
     operator = load_operator_file(operator_path)
     path = path or (operator.state.path if operator and operator.state else None)
     if not path:
         exit_with_error("a path, or state.path in the operator file, is wanted")
     try:
-        return File(path, read_only=read_only)
-    except Failing as error:
+        return LedgerFile(path, read_only=read_only)
+    except LedgerError as error:
         exit_with_error(f"{path}: {error}")
 
 
-def report_of_file(file: File) -> dict:
+def report_of_file(file: LedgerFile) -> dict:
     """What `state show` says of a store that no running front answers for."""
     damaged: list = []
     counts = Counter(kind for kind, _, _ in file.read(damaged))
--- a/thistlelever/ledger/folder.py
+++ b/thistlelever/ledger/folder.py
@@ -12,22 +12,22 @@
 # What is appended to the store's path for a file that is to take its place, and for one that was set aside.
 NEW, FAILED = ".new", ".failed"
 # The file of a path, and SQLite's log beside it.
-PARTS = ("", "-wal")
+SUFFIXES = ("", "-wal")
 
 
 def discard(path: str) -> None:
     """Remove a file and its log, where they are there."""
-    for part in PARTS:
+    for suffix in SUFFIXES:
         with suppress(FileNotFoundError):
-            os.remove(path + part)
+            os.remove(path + suffix)
 
 
 def put_in_place(path: str) -> None:
     """Set the file of a path aside, and give its name to the new one; `OSError` where a step fails."""
     sync_folder(path)
-    for part in PARTS:
+    for suffix in SUFFIXES:
         with suppress(FileNotFoundError):
-            os.replace(path + part, path + FAILED + part)
+            os.replace(path + suffix, path + FAILED + suffix)
     # Risk: a log that outlives its file would be read into the new one.
     sync_folder(path)
     os.replace(path + NEW, path)
--- a/thistlelever/ledger/records.py
+++ b/thistlelever/ledger/records.py
@@ -10,20 +10,20 @@
 import msgspec
 from msgspec import Struct
 
-# The number of the forms below. An older record is taken through `STEPS`; a newer one is not touched.
+# The number of the forms below. An older record is taken through `MIGRATIONS`; a newer one is not touched.
 SCHEMA = 2
-HEAD = struct.Struct(">HI")
+HEADER = struct.Struct(">HI")
 
 
-class Damaged(Exception):
+class DamagedRecordError(Exception):
     """The bytes are no record, or not as they were written."""
 
 
-class Newer(Exception):
+class NewerSchemaError(Exception):
     """A record of a later version than this program's."""
 
 
-class Listed(Struct, array_like=True, frozen=True):
+class ListedEngine(Struct, array_like=True, frozen=True):
     """An engine as the list last had it; `confirmed` is the moment at which a list last said so."""
 
     id: bytes
@@ -36,10 +36,10 @@
     started: float
     size: float
     serial: int
-    confirmed: Moment
+    confirmed: Timestamp
 
 
-class Learnt(Struct, array_like=True, frozen=True):
+class LearnedEngine(Struct, array_like=True, frozen=True):
     """What the decisions had learnt of an engine: its bound and its pace, and since when it counts as
     cold."""
 
@@ -47,10 +47,10 @@
     bound: float
     pace: float
     started: float
-    at: Moment
+    at: Timestamp
 
 
-class Mark(Struct, array_like=True, frozen=True):
+class IdempotencyRecord(Struct, array_like=True, frozen=True):
     """A referenced batch that may have run: at which engine first, under which id and number there, when,
     and for how long its repeats are dropped."""
 
@@ -59,26 +59,26 @@
     txn: str
     number: int
     window: float
-    ran: Moment
+    ran: Timestamp
 
 
-class Rest(Struct, array_like=True, frozen=True):
+class CoolDown(Struct, array_like=True, frozen=True):
     """A key (in hex) that rests after a batch that may run on: for so long from `at`."""
 
     key: str
     left: float
-    at: Moment
+    at: Timestamp
 
 
-class Window(Struct, array_like=True, frozen=True):
+class BudgetWindow(Struct, array_like=True, frozen=True):
     """Rule 7's window: batches taken and further dispatches, by how long before `at`."""
 
     took: tuple[float, ...]
     extra: tuple[float, ...]
-    at: Moment
+    at: Timestamp
 
 
-class Moment(Struct, array_like=True, frozen=True):
+class Timestamp(Struct, array_like=True, frozen=True):
     """A moment by two clocks: the wall's, which jumps, and the machine's since its boot, which dies with
     it."""
 
@@ -88,44 +88,44 @@
 
 
 KINDS: dict[str, type[Struct]] = {
-    "listed": Listed,
-    "learnt": Learnt,
-    "mark": Mark,
-    "rest": Rest,
-    "window": Window,
+    "listed": ListedEngine,
+    "learnt": LearnedEngine,
+    "mark": IdempotencyRecord,
+    "rest": CoolDown,
+    "window": BudgetWindow,
 }
 
 
-def from_one(kind: str, fields: list) -> list:
+def migrate_from_1(kind: str, fields: list) -> list:
     """Schema 1 had one clock, the wall's: of a moment read from it the other is not known."""
     return [*fields[:-1], [fields[-1], 0.0, ""]]
 
 
-STEPS = {1: from_one}
+MIGRATIONS = {1: migrate_from_1}
 
 
 def pack(record: Struct) -> bytes:
     """A record as it lies on disk."""
     body = msgspec.msgpack.encode(record)
-    return HEAD.pack(SCHEMA, crc32(body)) + body
+    return HEADER.pack(SCHEMA, crc32(body)) + body
 
 
 def unpack(kind: str, data: bytes) -> Struct:
-    """The record; `Damaged` or `Newer` where it can't be read."""
-    if len(data) < HEAD.size:
-        raise Damaged("shorter than a record's head")
-    schema, check = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    """The record; `DamagedRecordError` or `NewerSchemaError` where it can't be read."""
+    if len(data) < HEADER.size:
+        raise DamagedRecordError("shorter than a record's head")
+    schema, check = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if check != crc32(body):
-        raise Damaged("its checksum is another")
+        raise DamagedRecordError("its checksum is another")
     if schema > SCHEMA:
-        raise Newer(f"of schema {schema}; this program knows {SCHEMA}")
+        raise NewerSchemaError(f"of schema {schema}; this program knows {SCHEMA}")
     try:
         if schema < SCHEMA:
             fields = msgspec.msgpack.decode(body)
             for step in range(schema, SCHEMA):
-                fields = STEPS[step](kind, fields)
+                fields = MIGRATIONS[step](kind, fields)
             return msgspec.convert(fields, KINDS[kind], strict=False)
         return msgspec.msgpack.decode(body, type=KINDS[kind])
     except (msgspec.MsgspecError, KeyError, IndexError) as why:
-        raise Damaged(f"not of a record's form: {why}") from None
+        raise DamagedRecordError(f"not of a record's form: {why}") from None
--- a/thistlelever/ledger/writer.py
+++ b/thistlelever/ledger/writer.py
@@ -12,44 +12,44 @@
 from msgspec import Struct
 
 from thistlelever.ledger import records
-from thistlelever.ledger.file import MOST, Failing, File
-from thistlelever.ledger.replacement import replaced
+from thistlelever.ledger.file import MAX_RECORDS, LedgerError, LedgerFile
+from thistlelever.ledger.replacement import replace_file
 
 # Between two writes, and the longest pause after one that failed. What a kill loses is what came since the
-# last write began: `EVERY` and the write itself.
-EVERY, LONGEST_PAUSE = 0.2, 2.0
+# last write began: `WRITE_INTERVAL` and the write itself.
+WRITE_INTERVAL, MAX_RETRY_PAUSE = 0.2, 2.0
 # A write that is under way for so long is said to be stuck.
-STUCK = 1.0
+STUCK_AFTER = 1.0
 
-Change = tuple[str, bytes]
+RecordKey = tuple[str, bytes]
 
 
-def packed(changes: dict[Change, Struct | None]) -> Iterator[tuple[str, bytes, bytes | None]]:
+def encode_changes(changes: dict[RecordKey, Struct | None]) -> Iterator[tuple[str, bytes, bytes | None]]:
     """Changes as the file takes them."""
     for (kind, key), record in changes.items():
         yield kind, key, record and records.pack(record)
 
 
-class Keeper:
+class LedgerWriter:
     """`put` and `drop` from the loop's thread alone; the other thread takes what has changed, whole."""
 
     def __init__(
         self,
-        open_file: Callable[[], File],
-        every: float = EVERY,
-        on_change: Callable[[str], None] = lambda failing: None,
+        open_file: Callable[[], LedgerFile],
+        interval: float = WRITE_INTERVAL,
+        on_status_change: Callable[[str], None] = lambda failing: None,
     ) -> None:
-        self.open_file, self.every, self.on_change = open_file, every, on_change
+        self.open_file, self.interval, self.on_status_change = open_file, interval, on_status_change
         # What the file has, or will have: by kind the records by key; and what of it is not written yet.
         self.records: dict[str, dict[bytes, Struct]] = {kind: {} for kind in records.KINDS}
-        self.dirty: dict[Change, Struct | None] = {}
-        self.lock, self.wake, self.ended = threading.Lock(), threading.Event(), False
-        self.file: File | None = None
+        self.dirty: dict[RecordKey, Struct | None] = {}
+        self.lock, self.wake, self.closing = threading.Lock(), threading.Event(), False
+        self.file: LedgerFile | None = None
         # Whether a write or a sync of the file failed: what it seems to hold may not be on the disk.
-        self.doubted = False
+        self.unsynced = False
         self.thread: threading.Thread | None = None
         self.failing, self.damaged = "not open yet", []
-        self.writes, self.written, self.longest, self.full = 0, 0, 0.0, 0
+        self.writes, self.records_written, self.longest_write, self.evicted = 0, 0, 0.0, 0
         self.writing_since = 0.0
 
     # On the loop's thread.
@@ -62,7 +62,7 @@
                 if kind in self.records:
                     self.records[kind][key] = record
             self.failing = ""
-        except Failing as why:
+        except LedgerError as why:
             self.failing = str(why)
         return self.failing
 
@@ -71,13 +71,13 @@
         self.thread.start()
 
     def put(self, kind: str, key: bytes, record: Struct) -> None:
-        kept = self.records[kind]
-        if key not in kept and len(kept) >= MOST[kind]:
+        records_of_kind = self.records[kind]
+        if key not in records_of_kind and len(records_of_kind) >= MAX_RECORDS[kind]:
             # The oldest goes: of marks and rests those that matter least by now.
-            self.full += 1
-            self.drop(kind, next(iter(kept)))
-        kept.pop(key, None)
-        kept[key] = record
+            self.evicted += 1
+            self.drop(kind, next(iter(records_of_kind)))
+        records_of_kind.pop(key, None)
+        records_of_kind[key] = record
         with self.lock:
             self.dirty[kind, key] = record
 
@@ -86,34 +86,34 @@
             with self.lock:
                 self.dirty[kind, key] = None
 
-    def keeps(self) -> bool:
+    def is_durable(self) -> bool:
         """Whether what is put here is on disk a moment later."""
-        return not self.failing and not self.stuck()
+        return not self.failing and not self.stuck_seconds()
 
-    def stuck(self) -> float:
+    def stuck_seconds(self) -> float:
         """For how long the write that is under way has been, where that is long."""
         since = self.writing_since
         late = monotonic() - since if since else 0.0
-        return late if late > STUCK else 0.0
+        return late if late > STUCK_AFTER else 0.0
 
     def close(self, grace: float) -> None:
         """Write what is left, within the grace."""
-        self.ended = True
+        self.closing = True
         self.wake.set()
         if self.thread:
             self.thread.join(grace)
         if self.file and not (self.thread and self.thread.is_alive()):
-            self.finish()
+            self.close_file()
 
     # On its own thread.
 
     def run(self) -> None:
-        pause = self.every
+        pause = self.interval
         while True:
             self.wake.wait(pause)
             self.wake.clear()
-            last = self.ended
-            pause = self.every if self.write() else min(pause * 2, LONGEST_PAUSE)
+            last = self.closing
+            pause = self.interval if self.write() else min(pause * 2, MAX_RETRY_PAUSE)
             if last:
                 return
 
@@ -128,59 +128,61 @@
             reopened = self.file is None
             if reopened:
                 self.file = self.open_file()
-            if reopened or self.doubted:
+            if reopened or self.unsynced:
                 # Whatever is there now, memory is what holds.
-                changes = self.whole() | changes
-            if self.doubted:
-                self.file = replaced(self.file, packed(changes))
-                self.doubted = False
+                changes = self.snapshot() | changes
+            if self.unsynced:
+                self.file = replace_file(self.file, encode_changes(changes))
+                self.unsynced = False
             elif changes:
-                self.file.write(packed(changes))
+                self.file.write(encode_changes(changes))
                 self.file.compact()
-        except Failing as why:
-            self.give_back(changes, str(why))
+        except LedgerError as why:
+            self.requeue(changes, str(why))
             return False
         finally:
             self.writing_since = 0.0
-        self.writes, self.written = self.writes + 1, self.written + len(changes)
-        self.longest = max(self.longest, monotonic() - begun)
-        self.tell("")
+        self.writes, self.records_written = self.writes + 1, self.records_written + len(changes)
+        self.longest_write = max(self.longest_write, monotonic() - begun)
+        self.report("")
         return True
 
-    def whole(self) -> dict[Change, Struct | None]:
+    def snapshot(self) -> dict[RecordKey, Struct | None]:
         """All that memory holds, as changes. Taken by the other thread while the loop goes on: a dictionary
         that changes under it is taken again."""
         while True:
             try:
                 return {
-                    (kind, key): record for kind, kept in self.records.items() for key, record in kept.items()
+                    (kind, key): record
+                    for kind, records_of_kind in self.records.items()
+                    for key, record in records_of_kind.items()
                 }
             except RuntimeError:
                 continue
 
-    def give_back(self, changes: dict[Change, Struct | None], why: str) -> None:
+    def requeue(self, changes: dict[RecordKey, Struct | None], why: str) -> None:
         """Not written: it waits for the next time, but for what has changed since."""
         with self.lock:
             self.dirty = changes | self.dirty
         if self.file and why.startswith("io"):
-            self.doubted = True
+            self.unsynced = True
         elif self.file and not why.startswith(("full", "held")):
             # A file that is gone, read-only or spoilt is opened anew.
-            self.file.abandon()
+            self.file.close_unchecked()
             self.file = None
-        self.tell(why)
+        self.report(why)
 
-    def finish(self) -> None:
+    def close_file(self) -> None:
         """Close the file; where that fails, once more by a new one."""
         try:
-            self.file.finish()
-        except Failing as why:
-            self.give_back({}, str(why))
+            self.file.checkpoint_and_close()
+        except LedgerError as why:
+            self.requeue({}, str(why))
             self.write()
             if self.file:
                 self.file.close()
 
-    def tell(self, failing: str) -> None:
+    def report(self, failing: str) -> None:
         if failing.partition(":")[0] != self.failing.partition(":")[0]:
             self.failing = failing
-            self.on_change(failing)
+            self.on_status_change(failing)
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -15,12 +15,19 @@
 from thistlelever.ground.operator import Operator, State
 from thistlelever.ground.config import Config, Entry
 from thistlelever.ledger import file, records
-from thistlelever.ledger.file import File
-from thistlelever.ledger.writer import Keeper
-from thistlelever.ledger.records import Learnt, Listed, Mark, Moment, Rest, Window
+from thistlelever.ledger.file import LedgerFile
+from thistlelever.ledger.records import (
+    BudgetWindow,
+    CoolDown,
+    IdempotencyRecord,
+    LearnedEngine,
+    ListedEngine,
+    Timestamp,
+)
+from thistlelever.ledger.writer import LedgerWriter
 from thistlelever.lifecycle.parts import Parts
-from thistlelever.recovery.ages import Age, Now, Terms, age
-from thistlelever.recovery.restart import Judge, Stage
+from thistlelever.recovery.ages import Age, AgeLimits, ClockReading, age
+from thistlelever.recovery.restart import RestartRecovery, Stage
 from thistlelever.store.batches import Name
 
 # What is learnt and confirmed is written down this often, and a start that found nobody is tried again.
@@ -38,21 +45,21 @@
 BOOT = boot()
 
 
-def now() -> Now:
+def now() -> ClockReading:
     """By both clocks."""
-    return Now(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT)
+    return ClockReading(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT)
 
 
-def moment(ago: float = 0.0) -> Moment:
+def moment(ago: float = 0.0) -> Timestamp:
     at = now()
-    return Moment(at.wall - ago, at.since_boot - ago, at.boot)
+    return Timestamp(at.wall - ago, at.since_boot - ago, at.boot)
 
 
-def since(then: Moment) -> Age:
+def since(then: Timestamp) -> Age:
     return age(then.wall, then.since_boot, then.boot, now())
 
 
-def start_since(learnt: Learnt) -> float:
+def start_since(learnt: LearnedEngine) -> float:
     """When an engine of a former life started, on this front's clock; 0.0 for none. Risk: the wall clock was
     stepped between the lives, and a start that seems to lie ahead is cold until then."""
     if not learnt.started:
@@ -78,13 +85,13 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         # Who is told when the store begins to fail, and when it does no more.
         self.on_failing: list[Callable[[str], None]] = []
-        self.keeper = Keeper(lambda: File(section.path), section.every_s, self.changed)
-        self.keeper.open()
+        self.writer = LedgerWriter(lambda: LedgerFile(section.path), section.every_s, self.changed)
+        self.writer.open()
         config_path = config_path or os.environ.get("BALANCER_CONFIG")
         entries, ages = self.remembered(parts.config, written(config_path))
-        self.judge = Judge(Terms(section.fresh_s, section.old_s), ages)
+        self.recovery = RestartRecovery(AgeLimits(section.fresh_s, section.old_s), ages)
         self.entries = entries
-        self.fresh_start = len(self.judge.use) == len(entries)
+        self.fresh_start = len(self.recovery.usable) == len(entries)
         if not self.fresh_start:
             self.use()
         self.serial, self.written_at = parts.roll.serial, 0.0
@@ -98,7 +105,7 @@
     def remembered(self, config: Config, config_age: Age) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
         """Each engine that either list names, with the age of the younger word of it. What the younger of
         the two lists does not name any more is gone."""
-        stored = {record.id: record for record in self.keeper.records["listed"].values()}
+        stored = {record.id: record for record in self.writer.records["listed"].values()}
         ages = {engine: since(record.confirmed) for engine, record in stored.items()}
         newest = min((found.most for found in ages.values()), default=float("inf"))
         entries: dict[bytes, Entry] = {}
@@ -122,16 +129,16 @@
     def use(self) -> None:
         """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
         serial."""
-        entries = [self.entries[engine] for engine in sorted(self.judge.use)]
+        entries = [self.entries[engine] for engine in sorted(self.recovery.usable)]
         self.parts.roll.remember(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The serial of the newest list that is kept; 0 where none is."""
-        return max((record.serial for record in self.keeper.records["listed"].values()), default=0)
+        return max((record.serial for record in self.writer.records["listed"].values()), default=0)
 
     def recall(self) -> None:
         """What the decisions had learnt, told to them again."""
-        kept = self.keeper.records
+        kept = self.writer.records
         rests = [(int(rest.key, 16), rest.left - since(rest.at).least) for rest in kept["rest"].values()]
         took: tuple[float, ...] = ()
         extra: tuple[float, ...] = ()
@@ -149,63 +156,68 @@
 
     def remember(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
         if what is None:
-            self.keeper.drop("mark", mark)
+            self.writer.drop("mark", mark)
             return
         engine, name, window = what
-        self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment()))
+        self.writer.put(
+            "mark", mark, IdempotencyRecord(mark, engine, name.txn, name.number, window, moment())
+        )
 
     def find(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
-        found = self.keeper.records["mark"].get(mark)
+        found = self.writer.records["mark"].get(mark)
         # By the least that it may be its repeats would still be dropped; by the most they are not.
         return found and (found.engine, Name(found.txn, found.number), since(found.ran).most)
 
     # Its life.
 
     async def open(self) -> dict:
-        """Ask whom the judge wants asked, and start with who answers."""
+        """Probe the engines that the recovery has to probe, and start with who answers."""
         self.loop = asyncio.get_running_loop()
-        self.keeper.start()
-        if self.keeper.failing:
-            self.changed_here(self.keeper.failing)
+        self.writer.start()
+        if self.writer.failing:
+            self.changed_here(self.writer.failing)
         if not self.fresh_start:
-            while self.judge.stage in (Stage.ASKING, Stage.ASKING_LAST):
+            while self.recovery.stage in (Stage.PROBING, Stage.PROBING_OLDEST):
                 await self.asking()
             self.tell_list()
         self.recall()
         self.tasks = [self.loop.create_task(self.noting()), self.loop.create_task(self.finding())]
-        return {"state": self.judge.stage.value, "engines_remembered": len(self.entries)}
+        return {"state": self.recovery.stage.value, "engines_remembered": len(self.entries)}
 
     async def asking(self) -> None:
         """One round: all that are to be asked, side by side."""
 
         async def one(engine: bytes) -> None:
             outcome, _ = await self.parts.dispatcher.speech(self.entries[engine]).probe(self.entries[engine])
-            self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
+            self.recovery.record_probe(engine, outcome is it.DispatchOutcome.RETURNED)
 
-        asked = [asyncio.ensure_future(one(e)) for e in sorted(self.judge.ask - self.judge.answered.keys())]
+        asked = [
+            asyncio.ensure_future(one(e))
+            for e in sorted(self.recovery.to_probe - self.recovery.answered.keys())
+        ]
         if asked:
             _, late = await asyncio.wait(asked, timeout=self.section.within_s + 0.05)
             for task in late:
                 task.cancel()
-        self.judge.waited()
+        self.recovery.probes_timed_out()
 
     def tell_list(self) -> None:
-        if self.judge.stage is not Stage.LISTED and not self.parts.roll.serial:
+        if self.recovery.stage is not Stage.LISTED and not self.parts.roll.serial:
             self.use()
             roll = self.parts.roll
             self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
-            self.parts.log("started by what was remembered", **self.judge.show())
+            self.parts.log("started by what was remembered", **self.recovery.show())
 
     async def finding(self) -> None:
         """Where nobody answered: again and again, until somebody does or discovery is back."""
         while not self.fresh_start:
             await asyncio.sleep(AGAIN)
             if self.parts.roll.serial:
-                self.judge.listed()
+                self.recovery.discovery_returned()
                 return
-            if self.judge.again():
+            if self.recovery.retry():
                 await self.asking()
-                if self.judge.use:
+                if self.recovery.usable:
                     self.tell_list()
 
     async def noting(self) -> None:
@@ -215,28 +227,28 @@
             self.note()
 
     def note(self) -> None:
-        roll, keeper, heard = self.parts.roll, self.keeper, self.parts.inquiry.heard_at
+        roll, writer, heard = self.parts.roll, self.writer, self.parts.inquiry.heard_at
         if heard > self.written_at:
             self.written_at, at = heard, moment(clock.now() - heard)
-            if self.judge.stage is not Stage.LISTED:
-                self.judge.listed()
-            for engine in [e for e in keeper.records["listed"] if e not in roll.entries]:
-                keeper.drop("listed", engine)
-                keeper.drop("learnt", engine)
+            if self.recovery.stage is not Stage.LISTED:
+                self.recovery.discovery_returned()
+            for engine in [e for e in writer.records["listed"] if e not in roll.entries]:
+                writer.drop("listed", engine)
+                writer.drop("learnt", engine)
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
-                    keeper.put("listed", engine, record(entry, roll.serial, at))
+                    writer.put("listed", engine, record(entry, roll.serial, at))
         learnt, at = self.parts.desk.front.recall(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
-            if engine in keeper.records["listed"]:
+            if engine in writer.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
                 kept_start = started and at.wall - (clock.now() - started)
-                keeper.put("learnt", engine, Learnt(engine, bound, pace, kept_start, at))
+                writer.put("learnt", engine, LearnedEngine(engine, bound, pace, kept_start, at))
         for key, left in learnt.keys:
             # A table's name as a number: longer than any field of numbers.
-            keeper.put("rest", b"%x" % key, Rest(f"{key:x}", left, at))
+            writer.put("rest", b"%x" % key, CoolDown(f"{key:x}", left, at))
         if learnt.took or learnt.extra:
-            keeper.put("window", b"window", Window(learnt.took, learnt.extra, at))
+            writer.put("window", b"window", BudgetWindow(learnt.took, learnt.extra, at))
         self.forget()
 
     def forget(self) -> None:
@@ -245,11 +257,11 @@
             ("mark", lambda m: since(m.ran).least > 2 * m.window),
             ("rest", lambda r: since(r.at).least > r.left),
         ):
-            kept = self.keeper.records[kind]
+            kept = self.writer.records[kind]
             for key in list(kept)[:1_000]:
                 if not over(kept[key]):
                     break
-                self.keeper.drop(kind, key)
+                self.writer.drop(kind, key)
 
     # Failing.
 
@@ -272,21 +284,21 @@
         return {"state.show": self.show}
 
     def show(self) -> dict:
-        keeper = self.keeper
+        writer = self.writer
         return {
             "path": self.section.path,
-            "failing": keeper.failing,
-            "stuck_s": round(keeper.stuck(), 3),
-            "keeps": keeper.keeps(),
-            "start": self.judge.show(),
-            "writes": keeper.writes,
-            "written": keeper.written,
-            "longest_write_s": round(keeper.longest, 4),
-            "waiting": len(keeper.dirty),
-            "past_bounds": keeper.full,
-            "damaged": len(keeper.damaged),
-            "bytes": file.size(self.section.path),
-            "records": {kind: len(kept) for kind, kept in keeper.records.items()},
+            "failing": writer.failing,
+            "stuck_s": round(writer.stuck_seconds(), 3),
+            "keeps": writer.is_durable(),
+            "start": self.recovery.show(),
+            "writes": writer.writes,
+            "written": writer.records_written,
+            "longest_write_s": round(writer.longest_write, 4),
+            "waiting": len(writer.dirty),
+            "past_bounds": writer.evicted,
+            "damaged": len(writer.damaged),
+            "bytes": file.size_on_disk(self.section.path),
+            "records": {kind: len(kept) for kind, kept in writer.records.items()},
         }
 
     def stopping(self) -> None:
@@ -296,15 +308,17 @@
         for task in self.tasks:
             task.cancel()
         self.note()
-        await asyncio.get_running_loop().run_in_executor(None, self.keeper.close, grace)
+        await asyncio.get_running_loop().run_in_executor(None, self.writer.close, grace)
 
 
-def record(entry: Entry, serial: int, at: Moment) -> Listed:
+def record(entry: Entry, serial: int, at: Timestamp) -> ListedEngine:
     e = entry.engine
-    return Listed(e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at)
+    return ListedEngine(
+        e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at
+    )
 
 
-def listed(kept: records.Listed) -> Entry:
+def listed(kept: records.ListedEngine) -> Entry:
     engine = it.Engine(
         kept.id, kept.zone, kept.cell, kept.kind, it.EngineState(kept.standing), kept.started, kept.size
     )
--- a/thistlelever/recovery/ages.py
+++ b/thistlelever/recovery/ages.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Now(NamedTuple):
+class ClockReading(NamedTuple):
     """The wall's clock, the machine's since its boot, and which boot that was."""
 
     wall: float
@@ -30,7 +30,7 @@
     LAST = 2
 
 
-class Terms(NamedTuple):
+class AgeLimits(NamedTuple):
     """Up to which age an entry is used at once, and from which on only where nothing better is left;
     seconds."""
 
@@ -38,7 +38,7 @@
     old: float = 3_600.0
 
 
-def age(then_wall: float, then_since_boot: float, then_boot: str, now: Now) -> Age:
+def age(then_wall: float, then_since_boot: float, then_boot: str, now: ClockReading) -> Age:
     """Of something that was so at that moment. In one boot the machine's clock tells it exactly. Across
     boots the wall's clock may have been set in between: an age under the time since this boot is none, and a
     moment in the future says nothing but that."""
@@ -51,13 +51,13 @@
     return Age(passed, passed)
 
 
-def grade(of: Age, terms: Terms) -> Grade:
+def grade(entry_age: Age, limits: AgeLimits) -> Grade:
     """By the most that it may be: older is never trusted more."""
-    if of.most <= terms.fresh:
+    if entry_age.most <= limits.fresh:
         return Grade.FRESH
-    return Grade.ASKED if of.most <= terms.old else Grade.LAST
+    return Grade.ASKED if entry_age.most <= limits.old else Grade.LAST
 
 
-def trust(of: Age, terms: Terms) -> float:
+def trust(entry_age: Age, limits: AgeLimits) -> float:
     """From 1 down to 0, never rising with age: half is lost by the time that it is old."""
-    return 1.0 if of.most <= terms.fresh else terms.old / (terms.old + of.most)
+    return 1.0 if entry_age.most <= limits.fresh else limits.old / (limits.old + entry_age.most)
