--- a/thistlelever/ledger/__init__.py
+++ b/thistlelever/ledger/__init__.py
@@ -1,5 +1,5 @@
-"""What a front keeps on disk, so that its next life knows it: an embedded store and what is written to it.
+"""State that a front keeps on disk across restarts, in an embedded SQLite database.
 
-For: records that survive a crash, written behind the loop's back and never waited for. Uses: SQLite (apsw),
-MessagePack (msgspec). Never: a decision; a write on a batch's path; a promise that it can't keep.
+Records survive a crash. They are written asynchronously by a thread of their own, and no batch waits for a
+write. Uses SQLite (apsw) and MessagePack (msgspec). The package makes no decisions.
 """
--- a/thistlelever/ledger/file.py
+++ b/thistlelever/ledger/file.py
@@ -1,5 +1,6 @@
-"""The file: one SQLite database in write-ahead mode with one owner at a time. Everything that SQLite or the
-machine says no to comes out as `LedgerError`, with a reason for what it is.
+"""The ledger file: an SQLite database in write-ahead mode with a single owner at a time.
+
+Every error of SQLite or of the operating system is raised as `LedgerError` with a short reason.
 """
 
 from __future__ import annotations
@@ -15,12 +16,14 @@
 from thistlelever.ledger.folder import finish_replacement
 from thistlelever.ledger.records import DamagedRecordError, NewerSchemaError
 
-# The file's mark (PRAGMA application_id), so that a foreign database is not written to; and its own layout.
+# PRAGMA application_id, by which the database of another program is recognized and not written to, and
+# PRAGMA user_version, the version of the table layout.
 APPLICATION_ID, LAYOUT_VERSION = 0x74686C76, 1
-# Past so many pages of the log the file takes them over; so many may lie free before it is packed.
+# Pages of the write-ahead log that trigger a checkpoint, and free pages that trigger a vacuum.
 CHECKPOINT_LOG_PAGES, VACUUM_FREE_PAGES = 256, 1_024
-# So many records of each kind are kept, some 150 bytes each.
+# Records kept of each kind, at about 150 bytes each.
 MAX_RECORDS = {"listed": 10_000, "learnt": 10_000, "mark": 200_000, "rest": 100_000, "window": 1}
+# The reason that is reported for each class of SQLite errors.
 REASONS = {
     apsw.FullError: "full",
     apsw.IOError: "io",
@@ -35,15 +38,16 @@
 
 
 class LedgerError(Exception):
-    """The store can't be used; `reason` says what it is, for people and counters."""
+    """The ledger file can't be used; `reason` is the short text that goes into messages and counters."""
 
     def __init__(self, reason: str, why: str = "") -> None:
+        """Take the reason, and the detail that follows it in the message."""
         super().__init__(f"{reason}: {why}" if why else reason)
         self.reason = reason
 
 
 def ledger_error(why: Exception) -> LedgerError:
-    """An error of SQLite's or the machine's as `LedgerError`."""
+    """Convert an error of SQLite or of the operating system to `LedgerError`."""
     reason = next((reason for kind, reason in REASONS.items() if isinstance(why, kind)), "")
     if not reason and isinstance(why, OSError):
         reason = "gone" if isinstance(why, FileNotFoundError | NotADirectoryError) else "io"
@@ -51,14 +55,21 @@
 
 
 class LedgerFile:
-    """Open for one owner until it is closed or its process dies. Not for several threads at once."""
+    """An open ledger file, locked by this process until it is closed or the process dies.
+
+    Not safe for concurrent use by several threads.
+    """
 
     def __init__(self, path: str, vfs: str | None = None, read_only: bool = False) -> None:
+        """Open the file, create it where it is missing, and take its lock; raises `LedgerError`.
+
+        A replacement that a crash interrupted is completed or undone first, unless `read_only` is set.
+        """
         flags = (
             apsw.SQLITE_OPEN_READONLY if read_only else (apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE)
         )
         self.path, self.vfs, self.read_only = path, vfs, read_only
-        # Pages in the log since it was last taken over.
+        # Pages in the write-ahead log since the last checkpoint.
         self.log_pages = 0
         try:
             if not read_only:
@@ -76,10 +87,11 @@
             raise ledger_error(why) from None
 
     def prepare(self) -> None:
+        """Check owner and layout of the database, configure SQLite, create the table and take the lock."""
         connection = self.connection
         connection.set_busy_timeout(0)
-        # One owner: the lock is the machine's own on the file, and is gone with its process. Without a
-        # second one there is no shared memory either.
+        # The lock is an operating system lock on the file and ends with the process. As no second process
+        # can open the file, SQLite needs no shared memory for the log's index either.
         if not self.read_only:
             connection.pragma("locking_mode", "exclusive")
         application_id, layout = connection.pragma("application_id"), connection.pragma("user_version")
@@ -92,7 +104,8 @@
             return
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "normal")
-        # Risk: SQLite drops the errors of checkpoints that it makes by itself, and of the one at its close.
+        # SQLite drops the errors of automatic checkpoints and of the one at close, so both are switched off
+        # and checkpoints are made explicitly.
         connection.wal_autocheckpoint(0)
         connection.set_wal_hook(self.count_log_pages)
         connection.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
@@ -104,7 +117,7 @@
                     "create table if not exists records (kind text, key blob, data blob, "
                     "primary key (kind, key)) without rowid"
                 )
-        # The lock is taken by the first write, and kept.
+        # In exclusive mode the first write takes the lock, which is then held until close.
         with connection:
             connection.execute("delete from records where kind = ''")
 
@@ -112,7 +125,10 @@
         self,
         damaged: list[tuple[str, bytes, str]] | None = None,
     ) -> Iterator[tuple[str, bytes, Struct]]:
-        """All records that can be read; the others into `damaged`, with why."""
+        """Yield the kind, key and value of each readable record; raises `LedgerError`.
+
+        Records that can't be read are appended to `damaged` with the error.
+        """
         try:
             for kind, key, data in self.connection.execute("select kind, key, data from records"):
                 try:
@@ -124,7 +140,11 @@
             raise ledger_error(why) from None
 
     def write(self, changes: Iterable[tuple[str, bytes, bytes | None]]) -> None:
-        """All of it or nothing: each kind and key with its data, or None to drop it."""
+        """Write all changes in one transaction; raises `LedgerError`.
+
+        A change is a kind, a key and the encoded record, or None to delete it. Makes a checkpoint when the
+        log has grown to `CHECKPOINT_LOG_PAGES`.
+        """
         try:
             with self.connection:
                 for kind, key, data in changes:
@@ -139,17 +159,17 @@
             raise ledger_error(why) from None
 
     def count_log_pages(self, connection: apsw.Connection, name: str, pages: int) -> int:
-        """SQLite tells how long the log is after each commit."""
+        """Record the length of the log in pages; SQLite calls this after each commit."""
         self.log_pages = pages
         return apsw.SQLITE_OK
 
     def checkpoint(self) -> None:
-        """Take the log over into the file and sync both; `apsw.Error` where the disk refuses."""
+        """Copy the log into the database and sync both; raises `apsw.Error` on a disk error."""
         self.connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_TRUNCATE)
         self.log_pages = 0
 
     def verify(self) -> list[str]:
-        """What is wrong with the file and its records; nothing where all is well."""
+        """Return the faults found in the file and in its records; an empty list when there are none."""
         try:
             found = [
                 row[0] for row in self.connection.execute("pragma integrity_check(20)") if row[0] != "ok"
@@ -164,7 +184,10 @@
             return [str(why)]
 
     def compact(self, always: bool = False) -> bool:
-        """Give back what lies free, once that is much; whether it did."""
+        """Release free pages to the file system and return whether it was done; raises `LedgerError`.
+
+        Does nothing below `VACUUM_FREE_PAGES` unless `always` is set.
+        """
         try:
             if not always and self.connection.pragma("freelist_count") < VACUUM_FREE_PAGES:
                 return False
@@ -175,7 +198,7 @@
             raise ledger_error(why) from None
 
     def checkpoint_and_close(self) -> None:
-        """Take the log over and close; `LedgerError` where the disk refuses, and the file stays open then."""
+        """Make a checkpoint and close; on an error raise `LedgerError` and leave the file open."""
         try:
             if not self.read_only:
                 self.checkpoint()
@@ -185,12 +208,12 @@
         self.close_unchecked()
 
     def close_unchecked(self) -> None:
-        """Close without another reason to the disk."""
+        """Close without a checkpoint and ignore errors."""
         with suppress(apsw.Error):
             self.connection.close(True)
 
     def close(self) -> None:
-        """Close for good; what can't be taken over stays in the log."""
+        """Close; when the checkpoint fails, the changes stay in the log."""
         try:
             self.checkpoint_and_close()
         except LedgerError:
@@ -198,7 +221,7 @@
 
 
 def size_on_disk(path: str) -> int:
-    """Bytes on disk, the log included."""
+    """Return the size of the file and of its log in bytes."""
     found = 0
     for name in (path, path + "-wal"):
         with suppress(OSError):
--- a/thistlelever/ledger/folder.py
+++ b/thistlelever/ledger/folder.py
@@ -1,7 +1,8 @@
-"""The names under which a store lies in its folder, and how a new file takes the place of a failed one.
+"""File names of the ledger, and the replacement of a failed ledger file by a new one.
 
-The new file is whole and synced before any name changes. Then the old file goes aside, its log with it, and
-the new one takes its name. A kill in between is finished, or undone, by the next start.
+The new file is complete and synced before anything is renamed. The failed file and its log are then renamed
+to a backup name, and the new file takes the original name. The next start completes or undoes a replacement
+that a crash interrupted.
 """
 
 from __future__ import annotations
@@ -9,33 +10,34 @@
 import os
 from contextlib import suppress
 
-# What is appended to the store's path for a file that is to take its place, and for one that was set aside.
+# Suffixes of the path for the new file, and for the failed file that is kept as a backup.
 NEW, FAILED = ".new", ".failed"
-# The file of a path, and SQLite's log beside it.
+# The database file and SQLite's write-ahead log beside it.
 SUFFIXES = ("", "-wal")
 
 
 def discard(path: str) -> None:
-    """Remove a file and its log, where they are there."""
+    """Remove a database file and its log where they exist."""
     for suffix in SUFFIXES:
         with suppress(FileNotFoundError):
             os.remove(path + suffix)
 
 
 def put_in_place(path: str) -> None:
-    """Set the file of a path aside, and give its name to the new one; `OSError` where a step fails."""
+    """Rename the failed file and its log to the backup name, and the new file to `path`; raises `OSError`."""
     sync_folder(path)
     for suffix in SUFFIXES:
         with suppress(FileNotFoundError):
             os.replace(path + suffix, path + FAILED + suffix)
-    # Risk: a log that outlives its file would be read into the new one.
+    # The old log's rename must be on disk first: a log left under the original name would be replayed into
+    # the new file.
     sync_folder(path)
     os.replace(path + NEW, path)
     sync_folder(path)
 
 
 def finish_replacement(path: str) -> None:
-    """What a kill left of a replacement: finished where the old file had gone aside, else undone."""
+    """Complete an interrupted replacement if the failed file was already renamed, else undo it."""
     if not os.path.exists(path + NEW):
         return
     if os.path.exists(path):
@@ -45,7 +47,7 @@
 
 
 def sync_folder(path: str) -> None:
-    """Names that were changed in the path's folder are on the disk."""
+    """Sync the directory of `path`, so that renames in it survive a power failure."""
     folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(folder)
--- a/thistlelever/ledger/records.py
+++ b/thistlelever/ledger/records.py
@@ -1,5 +1,6 @@
-"""The forms of records on disk: each versioned and under a checksum, older versions brought up to date as
-they are read. Pure functions.
+"""Encoding of records on disk, with a schema version and a checksum.
+
+Records of older schemas are migrated as they are read. The module consists of pure functions.
 """
 
 from __future__ import annotations
@@ -10,21 +11,22 @@
 import msgspec
 from msgspec import Struct
 
-# The number of the forms below. An older record is taken through `MIGRATIONS`; a newer one is not touched.
+# Schema version of the records below. Older records are migrated; newer ones are refused and left unchanged.
 SCHEMA = 2
+# Schema version and CRC-32 of the encoded record that follows.
 HEADER = struct.Struct(">HI")
 
 
 class DamagedRecordError(Exception):
-    """The bytes are no record, or not as they were written."""
+    """The bytes are not a record, or differ from what was written."""
 
 
 class NewerSchemaError(Exception):
-    """A record of a later version than this program's."""
+    """The record has a newer schema than this program supports."""
 
 
 class ListedEngine(Struct, array_like=True, frozen=True):
-    """An engine as the list last had it; `confirmed` is the moment at which a list last said so."""
+    """An engine of the last list from discovery; `confirmed` is when a list last contained it."""
 
     id: bytes
     address: str
@@ -40,8 +42,11 @@
 
 
 class LearnedEngine(Struct, array_like=True, frozen=True):
-    """What the decisions had learnt of an engine: its bound and its pace, and since when it counts as
-    cold."""
+    """What the decisions learned about an engine.
+
+    `bound` is its limit of concurrent work, `pace` its run times relative to the expected ones, `started` the
+    wall-clock time of its start, from which it counts as cold, or 0.0.
+    """
 
     id: bytes
     bound: float
@@ -51,8 +56,11 @@
 
 
 class IdempotencyRecord(Struct, array_like=True, frozen=True):
-    """A referenced batch that may have run: at which engine first, under which id and number there, when,
-    and for how long its repeats are dropped."""
+    """A batch with an idempotency key (`reference`) that may have run.
+
+    `engine` is where it was first sent, `txn` and `number` identify it there, `ran` is when, and its repeats
+    are dropped for `window` seconds.
+    """
 
     reference: bytes
     engine: bytes
@@ -63,7 +71,7 @@
 
 
 class CoolDown(Struct, array_like=True, frozen=True):
-    """A key (in hex) that rests after a batch that may run on: for so long from `at`."""
+    """Cool-down of a key (in hex) after a batch that may still be running: `left` seconds from `at`."""
 
     key: str
     left: float
@@ -71,7 +79,10 @@
 
 
 class BudgetWindow(Struct, array_like=True, frozen=True):
-    """Rule 7's window: batches taken and further dispatches, by how long before `at`."""
+    """Sliding window of the retry budget (rule 7).
+
+    Times of accepted batches (`took`) and of additional dispatches (`extra`), in seconds before `at`.
+    """
 
     took: tuple[float, ...]
     extra: tuple[float, ...]
@@ -79,14 +90,18 @@
 
 
 class Timestamp(Struct, array_like=True, frozen=True):
-    """A moment by two clocks: the wall's, which jumps, and the machine's since its boot, which dies with
-    it."""
+    """A point in time by two clocks, in seconds.
+
+    `wall` is the wall clock, which may be stepped. `since_boot` is the boot-time clock, which is valid only
+    within the boot that `boot` identifies.
+    """
 
     wall: float
     since_boot: float
     boot: str
 
 
+# The class of each kind of record; kinds are stored as text.
 KINDS: dict[str, type[Struct]] = {
     "listed": ListedEngine,
     "learnt": LearnedEngine,
@@ -97,21 +112,22 @@
 
 
 def migrate_from_1(kind: str, fields: list) -> list:
-    """Schema 1 had one clock, the wall's: of a moment read from it the other is not known."""
+    """Migrate from schema 1, whose timestamps hold the wall clock only; the boot clock is left unknown."""
     return [*fields[:-1], [fields[-1], 0.0, ""]]
 
 
+# The function that migrates a record's fields from each schema to the next one.
 MIGRATIONS = {1: migrate_from_1}
 
 
 def pack(record: Struct) -> bytes:
-    """A record as it lies on disk."""
+    """Encode a record with its header."""
     body = msgspec.msgpack.encode(record)
     return HEADER.pack(SCHEMA, crc32(body)) + body
 
 
 def unpack(kind: str, data: bytes) -> Struct:
-    """The record; `DamagedRecordError` or `NewerSchemaError` where it can't be read."""
+    """Decode a record; raises `DamagedRecordError` or `NewerSchemaError`."""
     if len(data) < HEADER.size:
         raise DamagedRecordError("shorter than a record's head")
     schema, check = HEADER.unpack_from(data)
--- a/thistlelever/ledger/replacement.py
+++ b/thistlelever/ledger/replacement.py
@@ -1,4 +1,4 @@
-"""A new file in the place of one whose writes or syncs failed."""
+"""Replacement of a ledger file whose writes or syncs failed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def replace_file(failed: LedgerFile, rows: Iterable[Row]) -> LedgerFile:
-    """Write the rows to a new file, which takes the failed one's name; it is open for the same owner.
+    """Write the rows to a new file, rename it to the failed file's path and return it, open and locked.
 
-    After a failed sync a file is not believed again: pages that were to be written count as written, and the
-    next sync succeeds without them. `LedgerError` where the new file can't be written either; the failed one
-    stays open and locked, and where it is.
+    After a failed sync a file can't be trusted: the kernel marks the unwritten pages as clean, so the next
+    sync succeeds without writing them. Raises `LedgerError` when the new file can't be written either; the
+    failed file then stays open, locked and under its name.
     """
     path = failed.path + folder.NEW
     try:
--- a/thistlelever/recovery/__init__.py
+++ b/thistlelever/recovery/__init__.py
@@ -1,5 +1,6 @@
-"""How far what a former life knew is to be trusted, and in which order a start goes by it.
+"""Use of stored engine records after a restart, while discovery is unavailable.
 
-For: ages as ranges of two clocks, grades of trust, which engines are used at once, asked first or left for
-the last. Uses: facts handed in. Never: I/O, a clock, a decision on a batch.
+Computes the ages of records as ranges from two clocks, grades records by age, and decides which engines are
+used at once, probed first or probed last. Works on its arguments only: no I/O, no clock, and no decisions on
+batches.
 """
--- a/thistlelever/recovery/ages.py
+++ b/thistlelever/recovery/ages.py
@@ -1,4 +1,4 @@
-"""How old is old: by two clocks, neither of which is believed alone."""
+"""Ages of stored records, computed from two clocks, neither of which is sufficient alone."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ClockReading(NamedTuple):
-    """The wall's clock, the machine's since its boot, and which boot that was."""
+    """The wall clock and the boot-time clock in seconds, and the identifier of the boot."""
 
     wall: float
     since_boot: float
@@ -15,33 +15,40 @@
 
 
 class Age(NamedTuple):
-    """At least and at most, in seconds."""
+    """Lower and upper bound of an age in seconds."""
 
     least: float
     most: float
 
 
 class Grade(IntEnum):
-    """What an entry may be used for, best first."""
+    """How an engine record may be used, best first.
+
+    FRESH: without a probe. ASKED: after the engine answered a probe. LAST: like ASKED, but the engine is
+    probed only when no better one is left.
+    """
 
-    # At once; once it was asked and has answered; where nothing better is left.
     FRESH = 0
     ASKED = 1
     LAST = 2
 
 
 class AgeLimits(NamedTuple):
-    """Up to which age an entry is used at once, and from which on only where nothing better is left;
-    seconds."""
+    """Limits of the grades in seconds.
+
+    Records up to `fresh` are used without a probe; records older than `old` only when no better one is left.
+    """
 
     fresh: float = 30.0
     old: float = 3_600.0
 
 
 def age(then_wall: float, then_since_boot: float, then_boot: str, now: ClockReading) -> Age:
-    """Of something that was so at that moment. In one boot the machine's clock tells it exactly. Across
-    boots the wall's clock may have been set in between: an age under the time since this boot is none, and a
-    moment in the future says nothing but that."""
+    """Return the age of a record that was written at the given time.
+
+    Within one boot the boot-time clock gives it exactly. Across boots the wall clock may have been set in the
+    meantime: a record that appears younger than the current boot, or lies in the future, has no upper bound.
+    """
     if then_boot and then_boot == now.boot and now.since_boot >= then_since_boot:
         exact = now.since_boot - then_since_boot
         return Age(exact, exact)
@@ -52,12 +59,12 @@
 
 
 def grade(entry_age: Age, limits: AgeLimits) -> Grade:
-    """By the most that it may be: older is never trusted more."""
+    """Grade an age by its upper bound, so that an older record never gets a better grade."""
     if entry_age.most <= limits.fresh:
         return Grade.FRESH
     return Grade.ASKED if entry_age.most <= limits.old else Grade.LAST
 
 
 def trust(entry_age: Age, limits: AgeLimits) -> float:
-    """From 1 down to 0, never rising with age: half is lost by the time that it is old."""
+    """Return a trust value from 1 (fresh) towards 0 that never rises with age; 0.5 at `limits.old`."""
     return 1.0 if entry_age.most <= limits.fresh else limits.old / (limits.old + entry_age.most)
--- a/thistlelever/recovery/restart.py
+++ b/thistlelever/recovery/restart.py
@@ -1,11 +1,11 @@
-"""A start by a remembered list, step by step.
+"""Start of a front from a stored engine list while discovery is unavailable.
 
-    recovery = RestartRecovery(limits, entries, now)      # ages by engine
-    recovery.usable, recovery.to_probe                    # at once; to be asked
+    recovery = RestartRecovery(limits, ages)      # ages by engine
+    recovery.usable, recovery.to_probe            # usable without a probe; to be probed
     recovery.record_probe(engine, answered); recovery.probes_timed_out()
-    recovery.stage, recovery.usable                  # what it has come to
+    recovery.stage, recovery.usable               # the result
 
-The engines to use only grow while the list is out of reach; once it is back all of this is over.
+The set of usable engines only grows until discovery returns, which ends the recovery.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Stage(Enum):
-    """Where a start stands."""
+    """Progress of the start; the values appear in logs and views."""
 
     PROBING = "asking"
     PROBING_OLDEST = "asking the oldest too"
@@ -26,9 +26,10 @@
 
 
 class RestartRecovery:
-    """Which of the remembered engines may be told to the decisions, and when."""
+    """Decides which of the stored engines may be passed to the decisions, and when."""
 
     def __init__(self, limits: AgeLimits, ages: dict[bytes, Age]) -> None:
+        """Grade the engines by the ages of their records."""
         self.limits, self.ages = limits, ages
         self.grades = {engine: grade(age, limits) for engine, age in ages.items()}
         self.answered: dict[bytes, bool] = {}
@@ -38,7 +39,7 @@
         self.update_stage()
 
     def update_stage(self) -> None:
-        """What follows from what has been heard."""
+        """Derive the stage from the probe results so far, and probe the oldest engines when none is left."""
         if self.stage is Stage.LISTED:
             return
         unanswered = self.to_probe - self.answered.keys()
@@ -47,20 +48,25 @@
         elif self.usable:
             self.stage = Stage.REMEMBERED
         elif not self.oldest_probed() and (last := self.graded(Grade.LAST)):
-            # Nothing better is left.
+            # No better engine is left.
             self.to_probe |= last
             self.stage = Stage.PROBING_OLDEST
         else:
             self.stage = Stage.NO_ANSWER
 
     def graded(self, wanted: Grade) -> set[bytes]:
+        """Return the engines of a grade."""
         return {engine for engine, found in self.grades.items() if found is wanted}
 
     def oldest_probed(self) -> bool:
+        """Return whether the engines of grade LAST are among those to probe."""
         return bool(self.to_probe & self.graded(Grade.LAST))
 
     def record_probe(self, engine: bytes, answered: bool) -> None:
-        """Word of one that was asked; or of one in use that does not answer any more."""
+        """Record whether an engine answered its probe, or that a usable one stopped answering.
+
+        Unknown engines are ignored.
+        """
         if engine not in self.grades or self.stage is Stage.LISTED:
             return
         self.answered[engine] = answered
@@ -69,14 +75,16 @@
         self.update_stage()
 
     def probes_timed_out(self) -> None:
-        """The time to answer is over: who has not is not there."""
+        """Record all engines that have not answered their probe as not answering."""
         for engine in self.to_probe - self.answered.keys():
             self.answered[engine] = False
         self.update_stage()
 
     def retry(self) -> set[bytes]:
-        """Nobody answered: all are asked once more after a while, as a list that is out of reach may come
-        back later than an engine."""
+        """Return the engines to probe again when none answered, else an empty set.
+
+        Discovery may come back later than an engine, so all engines are probed again.
+        """
         if self.stage is not Stage.NO_ANSWER:
             return set()
         self.answered = {engine: answered for engine, answered in self.answered.items() if answered}
@@ -85,11 +93,11 @@
         return self.to_probe
 
     def discovery_returned(self) -> None:
-        """Discovery is back: it alone holds from now on."""
+        """End the recovery: from now on only the list from discovery is used."""
         self.stage = Stage.LISTED
 
     def show(self) -> dict:
-        """Which source, how old, how sure."""
+        """Return the stage, the counts and ages of engines, and the trust value for views and logs."""
         return {
             "stage": self.stage.value,
             "used": len(self.usable),
--- a/thistlelever/wire/__init__.py
+++ b/thistlelever/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: bytes to values and back. No clock, no socket, no decision."""
+"""Codecs of the protocols of a front: bytes to values and back, without clocks, sockets or decisions."""
--- a/thistlelever/wire/binding.py
+++ b/thistlelever/wire/binding.py
@@ -1,7 +1,7 @@
-"""Parameters of a prepared statement, written into it as SQL literals.
+"""Binds parameters of prepared statements by writing them into the text as SQL literals.
 
-Engines of the platform take a statement as text and know no parameters, so a value is bound here. A `?`
-counts as a place where it stands in no string, comment or quoted name.
+Engines accept statements as text only and do not support parameters. A `?` is a placeholder unless it
+stands in a string, a comment or a quoted name.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
     rb"--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|(?P<placeholder>\?)",
     re.DOTALL,
 )
-# The values of an insert, whose places may be filled once for each row of parameters.
+# The value list of an insert, which is repeated for each row of parameters.
 VALUES = re.compile(rb"\bvalues\s*(\([^()]*\))\s*;?\s*\Z", re.IGNORECASE)
-# A bound statement may be as long as one that a client sends whole.
+# The limit that also holds for statements without parameters.
 MAX_STATEMENT_BYTES = 190_000
 
 
@@ -27,13 +27,16 @@
 
 
 def count_placeholders(statement: bytes) -> int:
-    """How many parameters a statement has."""
+    """Return the number of placeholders in a statement."""
     return sum(match["placeholder"] is not None for match in TOKEN.finditer(statement))
 
 
 def bind(statement: bytes, rows: Sequence[Sequence]) -> bytes:
-    """The statement with the parameters in place. More than one row fits only an insert of values, which then
-    inserts them all: one batch, one effect."""
+    """Return the statement with its parameters bound; raises `Unbindable`.
+
+    Several rows of parameters are accepted only for an insert of values. They become one statement that
+    inserts all of them, so that the batch has one effect.
+    """
     wanted = count_placeholders(statement)
     if not wanted and not rows:
         return statement
@@ -47,7 +50,7 @@
     values = VALUES.search(statement)
     if not values or count_placeholders(values[1]) != wanted:
         raise Unbindable(f"{len(rows)} rows of parameters, and no insert whose values hold all places")
-    # Risk: thousands of rows are joined to megabytes before the length is looked at.
+    # Checked before the rows are joined, as thousands of them would build a text of megabytes first.
     if len(rows) * len(values[1]) > MAX_STATEMENT_BYTES:
         raise Unbindable(f"{len(rows)} rows make a statement of more than {MAX_STATEMENT_BYTES} bytes")
     tuples = b", ".join(substitute(values[1], row) for row in rows)
@@ -55,12 +58,14 @@
 
 
 def check_length(statement: bytes) -> bytes:
+    """Return the statement; raises `Unbindable` if it is too long."""
     if len(statement) > MAX_STATEMENT_BYTES:
         raise Unbindable(f"a bound statement of {len(statement)} bytes; {MAX_STATEMENT_BYTES} at most")
     return statement
 
 
 def substitute(statement: bytes, row: Sequence) -> bytes:
+    """Replace the placeholders by the literals of a row of values."""
     values = iter(row)
 
     def fill(match: re.Match) -> bytes:
@@ -70,7 +75,10 @@
 
 
 def literal(value) -> bytes:
-    """A value as SQL text. Risk: a quote in a string that ends the literal runs the rest as a statement."""
+    """Return a value as an SQL literal; raises `Unbindable`.
+
+    Quotes in strings are doubled: one that ended the literal would run the rest of the string as SQL.
+    """
     if value is None:
         return b"null"
     if value is True or value is False:
--- a/thistlelever/wire/dns.py
+++ b/thistlelever/wire/dns.py
@@ -1,4 +1,4 @@
-"""DNS (RFC 1035, SRV by RFC 2782): the query for the list of engines, and its answer."""
+"""DNS (RFC 1035, SRV records by RFC 2782): the query for the engine list, and its answer."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Unreadable(Exception):
-    """The message is no answer to the query, or not a whole one."""
+    """The message is not an answer to the query, or is truncated or malformed."""
 
 
 class EngineRecord(NamedTuple):
-    """One engine of the list, in the wire's words."""
+    """An engine as the answer describes it; `facts` holds the `name=value` pairs of its TXT record."""
 
     id: str
     zone: str
@@ -28,30 +28,33 @@
 
 
 class EngineList(NamedTuple):
+    """The engines of an answer, and the serial number of its SOA record."""
+
     serial: int
     engines: list[EngineRecord]
 
 
 def encode_query(number: int, name: str) -> bytes:
-    """The query for the SRV records of a name."""
+    """Encode the query for the SRV records of a name."""
     labels = b"".join(bytes((len(label),)) + label.encode("ascii") for label in name.split("."))
     return HEADER.pack(number, RECURSION_DESIRED, 1, 0, 0, 0) + labels + b"\0" + QUESTION.pack(SRV, IN)
 
 
 def decode_list(message: bytes, number: int, name: str) -> EngineList:
-    """The list that an answer to `encode_query(number, name)` holds."""
+    """Decode the answer to `encode_query(number, name)`; raises `Unreadable`."""
     try:
         return decode(message, number, name.lower())
     except (error, IndexError, UnicodeDecodeError, ValueError) as why:
-        raise Unreadable(f"cut short or out of form: {why}") from None
+        raise Unreadable(f"truncated or malformed: {why}") from None
 
 
 def decode(message: bytes, number: int, name: str) -> EngineList:
+    """Decode an answer; a truncated one may raise any of the errors that `decode_list` converts."""
     given, flags, questions, *counts = HEADER.unpack_from(message)
     if given != number or not flags & RESPONSE:
-        raise Unreadable("no answer to this query")
+        raise Unreadable("not an answer to this query")
     if flags & TRUNCATED or flags & RCODE_MASK:
-        raise Unreadable(f"cut by its sender, or refused with code {flags & RCODE_MASK}")
+        raise Unreadable(f"truncated by the server, or refused with code {flags & RCODE_MASK}")
     at = HEADER.size
     for _ in range(questions):
         _, at = read_name(message, at)
@@ -64,13 +67,13 @@
         at += RECORD.size
         end = at + size
         if end > len(message):
-            raise Unreadable("a record past the end")
+            raise Unreadable("record beyond the end of the message")
         if kind == SRV and owner == name:
             priority, weight, port = SRV_DATA.unpack_from(message, at)
             services.append((read_name(message, at + SRV_DATA.size)[0], priority, weight, port))
         elif kind == A:
             if size != 4:
-                raise Unreadable("an address that has not four bytes")
+                raise Unreadable("address that is not four bytes long")
             addresses[owner] = ".".join(map(str, message[at:end]))
         elif kind == TXT:
             texts[owner] = texts.get(owner, []) + read_strings(message, at, end)
@@ -79,22 +82,26 @@
             serial = SOA_DATA.unpack_from(message, after)[0]
         at = end
     if serial is None:
-        raise Unreadable("no SOA record")
+        raise Unreadable("missing SOA record")
     return EngineList(serial, [engine_record(service, addresses, texts) for service in services])
 
 
 def engine_record(service: tuple[str, int, int, int], addresses: dict, texts: dict) -> EngineRecord:
+    """Combine an SRV record with the address and the texts of its target; raises `Unreadable`."""
     target, priority, weight, port = service
     key = target.lower()
     labels = target.split(".")
     if key not in addresses or key not in texts or len(labels) < 2:
-        raise Unreadable(f"{target}: no address, no text or no zone")
+        raise Unreadable(f"{target}: missing address, TXT record or zone")
     facts = dict(text.split("=", 1) for text in texts[key] if "=" in text)
     return EngineRecord(labels[0], labels[1], (addresses[key], port), priority > 0, weight / 10, facts)
 
 
 def read_name(message: bytes, at: int) -> tuple[str, int]:
-    """The name at a place, and the place after it. Each jump must go back, so none can go round."""
+    """Return the name at an offset and the offset after it; raises `Unreadable`.
+
+    Each compression pointer must point further back than the last one, which rules out loops.
+    """
     labels, after, lowest, length = [], None, at, 0
     while True:
         size = message[at]
@@ -102,27 +109,28 @@
             target = (size & 0x3F) << 8 | message[at + 1]
             after = at + 2 if after is None else after
             if target >= lowest:
-                raise Unreadable("a pointer that does not go back")
+                raise Unreadable("compression pointer that does not point back")
             at = lowest = target
         elif size >= 0x40:
-            raise Unreadable("a label of unknown form")
+            raise Unreadable("label of unknown type")
         elif size == 0:
             return ".".join(labels), at + 1 if after is None else after
         else:
             label = message[at + 1 : at + 1 + size]
             length += size + 1
             if len(label) < size or length > MAX_NAME_BYTES:
-                raise Unreadable("a name cut short or too long")
+                raise Unreadable("name that is truncated or too long")
             labels.append(label.decode("ascii"))
             at += 1 + size
 
 
 def read_strings(message: bytes, at: int, end: int) -> list[str]:
+    """Return the character strings of a TXT record; raises `Unreadable`."""
     found = []
     while at < end:
         size = message[at]
         if at + 1 + size > end:
-            raise Unreadable("a text past its record")
+            raise Unreadable("text beyond the end of its record")
         found.append(message[at + 1 : at + 1 + size].decode("utf-8"))
         at += 1 + size
     return found
--- a/thistlelever/wire/flight/__init__.py
+++ b/thistlelever/wire/flight/__init__.py
@@ -1,5 +1,5 @@
-"""Arrow Flight and Flight SQL as bytes and values: generated messages, parcels, columns, parameters.
+"""Codecs of Arrow Flight and Flight SQL: generated messages, stream messages, columns and parameters.
 
-`*_pb2.py` is generated from the two `.proto` files beside it by `make proto`. Only what speaks Flight SQL
-imports this package, as its libraries take memory.
+`make proto` generates `*_pb2.py` from the two `.proto` files in this folder. Only code that uses Flight SQL
+imports this package, as its libraries need much memory.
 """
--- a/thistlelever/wire/flight/codec.py
+++ b/thistlelever/wire/flight/codec.py
@@ -1,4 +1,4 @@
-"""Flight's messages as they lie on the wire: parcels of a stream, commands inside `Any`, names of calls."""
+"""Codec of Flight messages: messages of a stream, commands inside `Any`, and the name of the service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SERVICE = "/arrow.flight.protocol.FlightService/"
 TYPE_URL_PREFIX = "type.googleapis.com/"
 SQL_PACKAGE = "arrow.flight.protocol.sql."
-# A command holds a statement of 190 KB at most, as on the other door, and some words beside it.
+# A command holds a statement of up to 190 KB, the limit that also holds for JSON-RPC, and a few other fields.
 MAX_COMMAND_BYTES = 262_144
 
 
@@ -21,11 +21,11 @@
 
 
 class Unreadable(Exception):
-    """The bytes are no message of the kind that is expected here."""
+    """The bytes are not a message of the expected type, or its content is malformed."""
 
 
 class StreamMessage(NamedTuple):
-    """One message of a stream: the IPC message's head and body, and what the sender adds."""
+    """A message of a stream: header and body of the IPC message, and the sender's metadata and command."""
 
     header: bytes
     body: bytes
@@ -34,17 +34,18 @@
 
 
 def decode_stream_message(raw: bytes) -> StreamMessage:
-    """What a message of a stream holds."""
+    """Decode a message of a stream; raises `Unreadable`."""
     data = decode(pb.FlightData, raw)
     return StreamMessage(data.data_header, data.data_body, data.app_metadata, data.flight_descriptor.cmd)
 
 
 def encode_stream_message(header: bytes, body: bytes = b"", metadata: bytes = b"") -> bytes:
-    """One message of a stream as it goes out."""
+    """Encode a message of a stream."""
     return pb.FlightData(data_header=header, data_body=body, app_metadata=metadata).SerializeToString()
 
 
 def decode(kind: type[M], raw: bytes) -> M:
+    """Decode a Protocol Buffers message of a type; raises `Unreadable`."""
     try:
         return kind.FromString(raw)
     except DecodeError as why:
@@ -52,7 +53,10 @@
 
 
 def decode_command(raw: bytes) -> Message:
-    """The Flight SQL message inside an `Any`, by its type URL."""
+    """Decode the Flight SQL message inside an `Any` by its type URL.
+
+    Raises `Unreadable`, or `UnsupportedCommand` with the name of the message.
+    """
     if len(raw) > MAX_COMMAND_BYTES:
         raise Unreadable(f"a command of {len(raw)} bytes")
     envelope = decode(Any, raw)
@@ -66,10 +70,10 @@
 
 
 class UnsupportedCommand(Exception):
-    """A command or action of Flight SQL that is not served here; its name."""
+    """A Flight SQL command or action that this program does not support; the argument is its name."""
 
 
 def encode_any(message: Message) -> bytes:
-    """A Flight SQL message as `Any`, as commands and the bodies of actions are sent."""
+    """Encode a Flight SQL message as `Any`, the form of commands and of the bodies of actions."""
     envelope = Any(type_url=TYPE_URL_PREFIX + message.DESCRIPTOR.full_name, value=message.SerializeToString())
     return envelope.SerializeToString()
--- a/thistlelever/wire/flight/columns.py
+++ b/thistlelever/wire/flight/columns.py
@@ -1,6 +1,6 @@
-"""Rows of text to columns and back: where an engine of one kind answers a client of the other door.
+"""Conversion between rows of text and Arrow columns, for engines and clients of different protocols.
 
-Columns that go from a Flight SQL engine to a Flight SQL client never come here: they pass as they are.
+Results that go from a Flight SQL engine to a Flight SQL client are passed through without conversion.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 
 from thistlelever.wire.flight.codec import Unreadable, decode_stream_message, encode_stream_message
 
-# What an engine's rows are named where they become columns; its answers hold no names.
+# Column names for rows of text, which carry no names.
 NAMES = ("c1", "c2", "c3")
 SCHEMA = pa.schema([pa.field(name, pa.string(), nullable=False) for name in NAMES])
+# Marker in front of each encapsulated IPC message.
 CONTINUATION = b"\xff\xff\xff\xff"
-# A whole result of text holds 48,000 bytes on the platform's own door.
+# Limit of a complete result of text in the JSON-RPC interface.
 MAX_TEXT_BYTES = 48_000
 CSV_OPTIONS = {
     "read_options": csv.ReadOptions(use_threads=False, column_names=list(NAMES)),
@@ -40,14 +41,14 @@
 
 
 def encapsulated(raw: bytes) -> bytes:
-    """A message of a stream as an encapsulated IPC message, the head padded to eight bytes."""
+    """Convert a message of a stream to an encapsulated IPC message, its header padded to eight bytes."""
     message = decode_stream_message(raw)
     head = message.header + b"\0" * (-len(message.header) % 8)
     return CONTINUATION + struct.pack("<i", len(head)) + head + message.body
 
 
 def decode_schema(raw: bytes) -> pa.Schema:
-    """The schema that a stream's first message holds."""
+    """Decode the schema in the first message of a stream; raises `Unreadable`."""
     try:
         return ipc.read_schema(pa.py_buffer(encapsulated(raw)))
     except (pa.ArrowException, OSError, ValueError) as why:
@@ -55,7 +56,7 @@
 
 
 def encode_table(table: pa.Table) -> list[bytes]:
-    """A table as the messages of a stream, dictionaries included."""
+    """Encode a table as the messages of a stream, dictionaries included."""
     sink = pa.BufferOutputStream()
     with ipc.new_stream(sink, table.schema) as writer:
         writer.write_table(table)
@@ -67,7 +68,10 @@
 
 
 def encode_rows(pages: Iterable[bytes]) -> list[bytes]:
-    """Pages of rows, a tab between columns and a line feed after each row, as the messages of a stream."""
+    """Encode pages of rows as the messages of a stream; raises `Unreadable`.
+
+    Columns are separated by tabs, and a line feed ends each row.
+    """
     text = b"".join(pages)
     if not text:
         return encode_table(SCHEMA.empty_table())
@@ -79,7 +83,10 @@
 
 
 def decode_table(stream: Iterable[bytes]) -> pa.Table:
-    """The table that the messages of a stream hold, dictionaries included; notes are passed over."""
+    """Decode the messages of a stream to a table; raises `Unreadable`.
+
+    Dictionaries are resolved, and messages that hold metadata only are skipped.
+    """
     messages = [encapsulated(raw) for raw in stream if decode_stream_message(raw).header]
     if not messages:
         raise Unreadable("a stream without a schema")
@@ -93,8 +100,11 @@
 
 
 def decode_rows(stream: Iterable[bytes]) -> bytes:
-    """The messages of a stream as rows of text for the platform's own door: three columns, 48,000 bytes at
-    most, no tab or line feed in a value. `Unreadable` where the result does not fit there."""
+    """Convert the messages of a stream to rows of text for clients of JSON-RPC.
+
+    Raises `Unreadable` unless the result has three columns, at most `MAX_TEXT_BYTES` bytes of text, and no
+    tab or line feed in a value.
+    """
     table = decode_table(stream)
     if table.num_columns != len(NAMES):
         raise Unreadable(f"{table.num_columns} columns; rows of text have three")
@@ -112,13 +122,14 @@
 
 
 def as_strings(values: pa.Array) -> pa.Array:
+    """Cast an array to strings, with nulls as empty strings."""
     if pa.types.is_dictionary(values.type):
         values = values.dictionary_decode()
     return values.cast(pa.string()).fill_null("")
 
 
 def decode_parameters(stream: Iterable[bytes], max_rows: int) -> list[tuple]:
-    """The rows of parameters that a client binds, as Python values."""
+    """Decode the rows of parameters that a client binds to Python values; raises `Unreadable`."""
     table = decode_table(stream)
     if table.num_rows > max_rows:
         raise Unreadable(f"{table.num_rows} rows of parameters; {max_rows} at most")
--- a/thistlelever/wire/http.py
+++ b/thistlelever/wire/http.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 as a front speaks it to engines: calls written, replies read out of a `ReadBuffer`."""
+"""HTTP/1.1 client codec for engines: requests to bytes, and replies from a `ReadBuffer`.
+
+Replies are parsed in place. A truncated reply is not an error: parsing starts again once more bytes are read.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,22 @@
 
 MAX_HEAD_BYTES = 8_192
 MAX_INTERIM_REPLIES = 100
+# Status codes of replies without a body.
 NO_BODY = (204, 304)
-# Three columns with a tab between, a line feed after each row.
+# Rows of three columns, separated by tabs, each ended by a line feed.
 ROWS = re.compile(rb"(?:[^\t\n]*+\t[^\t\n]*+\t[^\t\n]*+\n)*+")
 MAX_PAGE_BYTES = 6_000
 
 
 class Unreadable(Exception):
-    """The reply is not HTTP/1.1, or not whole where it says it is."""
+    """The reply is not valid HTTP/1.1, exceeds a limit, or its content is malformed."""
 
 
 class Reply(NamedTuple):
-    """One reply; its body and fields are slices that are void once more is read."""
+    """A reply; its body and fields are slices of the buffer and are valid until more is read.
+
+    `fields` holds the header fields by lower-case name; `keeps` is whether the connection stays open.
+    """
 
     status: int
     fields: dict[bytes, memoryview]
@@ -29,17 +36,18 @@
     keeps: bool
 
     def text(self, name: bytes) -> str:
+        """Return a header field, or "" when it is absent."""
         return str(self.fields[name], "latin-1") if name in self.fields else ""
 
     def number(self, name: bytes) -> float | None:
-        """A figure, or None where the field is absent or none that counts something."""
+        """Return a header field as a number, or None unless it is a finite number from 0 up."""
         return parse_measure(self.text(name))
 
 
 def encode_request(
     method: str, path: str, address: tuple[str, int], fields: dict[str, str], body: bytes = b""
 ) -> bytes:
-    """The bytes of one call."""
+    """Encode a request."""
     head = [f"{method} {path} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n"]
     head += [f"{name}: {value}\r\n" for name, value in fields.items()]
     if body or method in ("POST", "PUT"):
@@ -49,21 +57,21 @@
 
 
 def read_reply(buffer: ReadBuffer) -> Reply | None:
-    """The reply that the buffer holds, taken off it; None while it is not all there."""
+    """Take the next reply from the buffer, or return None while it is incomplete; raises `Unreadable`."""
     while True:
         data, start, end = buffer.data, buffer.start, buffer.end
         head_end = data.find(b"\r\n\r\n", start, end)
         if head_end < 0:
             if end - start > MAX_HEAD_BYTES:
-                raise Unreadable(f"a head of more than {MAX_HEAD_BYTES} bytes")
+                raise Unreadable(f"header of more than {MAX_HEAD_BYTES} bytes")
             return None
         view = memoryview(data)
         status, fields, keeps = parse_head(data, view, start, head_end)
         body_start = head_end + 4
         if not 100 <= status < 200:
             break
-        # An interim reply says nothing here; the one that counts comes after it. Risk: thousands of them,
-        # each in a call of its own, end in a full stack, and without end they are no reply.
+        # Interim replies are skipped in a loop, as recursion would exhaust the stack on thousands of them.
+        # Their number is limited, as an engine that sends nothing else never replies.
         buffer.start = body_start
         buffer.interim_replies += 1
         if buffer.interim_replies > MAX_INTERIM_REPLIES:
@@ -75,7 +83,7 @@
     if b"transfer-encoding" in fields:
         return read_chunked(buffer, status, fields, body_start, keeps)
     if b"content-length" not in fields:
-        raise Unreadable("no Content-Length")
+        raise Unreadable("missing Content-Length")
     length = parse_integer(fields[b"content-length"], 10)
     if length > buffer.max_message:
         raise Unreadable(f"a body of {length} bytes")
@@ -86,11 +94,11 @@
 
 
 def parse_head(data: bytearray, view: memoryview, start: int, head_end: int) -> tuple[int, dict, bool]:
-    """Status, fields by lower-case name, and whether the connection stays open."""
+    """Parse the status, the fields by lower-case name, and whether the connection stays open."""
     line_end = data.find(b"\r\n", start, head_end)
     line_end = head_end if line_end < 0 else line_end
     if bytes(view[start : start + 7]) != b"HTTP/1." or bytes(view[start + 8 : start + 9]) != b" ":
-        raise Unreadable("no HTTP/1.1 status line")
+        raise Unreadable("invalid HTTP/1.1 status line")
     status = parse_integer(view[start + 9 : start + 12], 10)
     fields: dict[bytes, memoryview] = {}
     at = line_end + 2
@@ -99,10 +107,10 @@
         line_end = head_end if line_end < 0 else line_end
         colon = data.find(b":", at, line_end)
         if colon <= at:
-            raise Unreadable("a field without a name")
+            raise Unreadable("header field without a name")
         name = bytes(view[at:colon]).lower()
         if name in fields:
-            raise Unreadable(f"{name.decode('latin-1')} comes twice")
+            raise Unreadable(f"duplicate header field {name.decode('latin-1')}")
         first, last = colon + 1, line_end
         while first < last and data[first] in b" \t":
             first += 1
@@ -115,9 +123,9 @@
 
 
 def read_chunked(buffer: ReadBuffer, status: int, fields: dict, at: int, keeps: bool) -> Reply | None:
-    """A body in chunks. Its parts are put together in a copy, as they do not lie side by side."""
+    """Read a chunked body, which is copied, as its chunks are not contiguous in the buffer."""
     if bytes(fields[b"transfer-encoding"]).lower() != b"chunked" or b"content-length" in fields:
-        raise Unreadable("a transfer encoding other than chunked, or a length beside it")
+        raise Unreadable("unsupported transfer encoding, or a Content-Length beside it")
     data, view, parts = buffer.data, memoryview(buffer.data), []
     while True:
         line_end = data.find(b"\r\n", at, buffer.end)
@@ -132,10 +140,10 @@
         if buffer.end < at + size + 2:
             return None
         if bytes(view[at + size : at + size + 2]) != b"\r\n":
-            raise Unreadable("a chunk that does not end where it says")
+            raise Unreadable("chunk without a line end at its stated size")
         parts.append(view[at : at + size])
         at += size + 2
-    # Trailers are passed over up to the empty line that ends them.
+    # Trailers are skipped, up to the empty line that ends them.
     while True:
         line_end = data.find(b"\r\n", at, buffer.end)
         if line_end < 0:
@@ -147,17 +155,18 @@
 
 
 def parse_integer(word: memoryview | bytes, base: int) -> int:
+    """Parse an unsigned integer without signs, blanks or underscores; raises `Unreadable`."""
     text = bytes(word)
     if not text.isalnum():
-        raise Unreadable(f"no figure: {text[:20]!r}")
+        raise Unreadable(f"not a number: {text[:20]!r}")
     try:
         return int(text, base)
     except ValueError:
-        raise Unreadable(f"no figure: {text[:20]!r}") from None
+        raise Unreadable(f"not a number: {text[:20]!r}") from None
 
 
 def parse_measure(word: str) -> float | None:
-    """A figure from 0 up. Risk: one `nan` in an average stays there for good."""
+    """Parse a finite number from 0 up, else return None: a single `nan` would stay in an average for good."""
     try:
         value = float(word)
     except ValueError:
@@ -166,18 +175,24 @@
 
 
 def check_page(body: memoryview) -> bytes:
-    """The rows of a page, copied, as they outlive the buffer. Risk: noise or a cut page goes on as rows."""
+    """Copy the rows of a page, as they outlive the buffer; raises `Unreadable`.
+
+    Without the check a truncated or corrupt page would be returned to the client as rows.
+    """
     if len(body) > MAX_PAGE_BYTES or not ROWS.fullmatch(body):
-        raise Unreadable(f"{len(body)} bytes that are no page of whole rows")
+        raise Unreadable(f"{len(body)} bytes that are not a page of complete rows")
     return bytes(body)
 
 
 def parse_load_report(word: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """A load report, `name:value` with `;` between, as figures in the order of `names`."""
+    """Parse a load report, `name:value` pairs separated by `;`, to numbers in the order of `names`.
+
+    Returns an empty tuple unless all of them are present and valid.
+    """
     measures = {}
     for pair in word.split(";"):
         name, _, value = pair.partition(":")
         measures[name.strip()] = parse_measure(value)
-    # Half a report would be taken for an idle engine.
+    # The gaps of an incomplete report would make the engine look idle.
     report = tuple(measures.get(name) for name in names)
     return () if None in report else report
--- a/thistlelever/wire/jsonrpc.py
+++ b/thistlelever/wire/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 as clients speak it: one message a line, framing and checks here, JSON by orjson."""
+"""JSON-RPC 2.0 of clients, one message per line: framing and validation, with orjson for the JSON."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 
 from thistlelever.ground.submission import Unfit
 
+# Error codes: of the JSON-RPC specification, and of this program.
 NOT_JSON, NO_REQUEST, NO_METHOD, BAD_FIELD = -32700, -32600, -32601, -32602
 ERRORED, PUSHED_BACK = -32000, -32001
 
 
 class InvalidCall(Exception):
-    """A line that gets an error: its code, what is wrong, and the id to answer to."""
+    """A line that is answered with an error: its code, the text, and the id of the call if known."""
 
     def __init__(self, code: int, why: str, number: int | None = None) -> None:
+        """Take the error code, the text for the client and the id to reply to."""
         super().__init__(why)
         self.code, self.why, self.number = code, why, number
 
 
 class Call(NamedTuple):
-    """One message: `number` is None for a notification, which gets no answer."""
+    """A call; `number` is its id, or None for a notification, which gets no reply."""
 
     number: int | None
     method: str
@@ -31,7 +33,7 @@
 
 
 def parse_call(line: memoryview) -> Call:
-    """The call on one line."""
+    """Decode the call on a line; raises `InvalidCall`."""
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as why:
@@ -52,7 +54,7 @@
 
 
 def submitted_statement(call: Call) -> bytes:
-    """The statement that a call submits."""
+    """Return the statement in the parameters of a call; raises `Unfit`."""
     body = call.params.get("bytes")
     if type(body) is not str:
         raise Unfit("bytes", "a string expected")
@@ -63,18 +65,18 @@
 
 
 def encode_result(number: int, pages: list[bytes]) -> bytes:
-    """The answer with the rows of all pages, unchanged."""
+    """Encode the reply to a batch, with the rows of all pages unchanged."""
     rows = b2a_base64(b"".join(pages), newline=False)
     return b'{"jsonrpc":"2.0","id":%d,"result":{"bytes":"%b"}}\n' % (number, rows)
 
 
 def encode_value(number: int, message: dict) -> bytes:
-    """An answer to anything but a batch."""
+    """Encode the reply to any other call."""
     return b'{"jsonrpc":"2.0","id":%d,"result":%b}\n' % (number, orjson.dumps(message))
 
 
 def encode_error(number: int | None, code: int, why: str, after: float = 0.0) -> bytes:
-    """An error; `after` is the time in seconds that the client is asked to stay away."""
+    """Encode an error reply; `after` is the time in seconds that the client is asked to wait."""
     message: dict = {"code": code, "message": why}
     if after > 0:
         message["data"] = {"after": round(after * 1e3)}
--- a/thistlelever/wire/read_buffer.py
+++ b/thistlelever/wire/read_buffer.py
@@ -1,44 +1,50 @@
-"""The buffer that a stream is read into. Messages are slices of it until it is next filled."""
+"""Buffer that a stream is read into; messages are slices of it, valid until the next read."""
 
 from __future__ import annotations
 
 
 class TooLong(Exception):
-    """A message passes the longest that is taken in."""
+    """A message, or all unfinished messages together, exceed the allowed size."""
 
 
 class BufferQuota:
-    """What all buffers that share it may have grown by, in bytes."""
+    """Limit in bytes on the growth of all buffers that share it."""
 
     def __init__(self, limit: int) -> None:
+        """Take the limit in bytes."""
         self.limit, self.reserved = limit, 0
 
     def reserve(self, count: int) -> None:
+        """Reserve `count` bytes, or release them if negative; raises `TooLong` beyond the limit."""
         if count > 0 and self.reserved + count > self.limit:
             raise TooLong(f"more than {self.limit} bytes in the unfinished messages of all")
         self.reserved += count
 
 
 class ReadBuffer:
-    """Bytes read and not yet used lie between `start` and `end` of one buffer."""
+    """A growing buffer whose unread bytes lie between `start` and `end`."""
 
     def __init__(self, size: int, max_message: int, quota: BufferQuota | None = None) -> None:
+        """Take the initial size, the longest message that is accepted, both in bytes, and a shared quota."""
         self.size, self.max_message, self.quota = size, max_message, quota or BufferQuota(max_message)
         self.data, self.start, self.end, self.interim_replies = bytearray(size), 0, 0, 0
 
     def writable(self) -> memoryview:
-        """Where the next read goes. Slices given out before are void after this call."""
+        """Return the free part of the buffer, growing it when full; raises `TooLong`.
+
+        Invalidates all slices that were returned before.
+        """
         if self.start == self.end:
             self.start = self.end = 0
             if len(self.data) > self.size:
-                # One long message must not keep its memory for as long as the connection lasts.
+                # The memory of one long message must not be held for as long as the connection lasts.
                 self.release()
                 self.data = bytearray(self.size)
         elif self.end == len(self.data):
             kept = self.end - self.start
             if kept >= self.max_message:
                 raise TooLong(f"more than {self.max_message} bytes in one message")
-            # A fresh buffer, as one that slices still point into can't be resized.
+            # A bytearray with exported slices can't be resized, so the bytes are copied to a new one.
             size = len(self.data) if self.start else min(2 * len(self.data), self.max_message)
             self.quota.reserve(size - len(self.data))
             data = bytearray(size)
@@ -47,28 +53,29 @@
         return memoryview(self.data)[self.end :]
 
     def release(self) -> None:
-        """The buffer goes, and what it had grown by is for others."""
+        """Free the buffer and return its growth to the quota."""
         self.quota.reserve(self.size - max(len(self.data), self.size))
         self.data, self.start, self.end = bytearray(), 0, 0
 
     def can_grow(self) -> bool:
-        """Whether a buffer that is full may get larger, for what else is to be read ahead."""
+        """Return whether a full buffer may grow to read further ahead."""
         size = len(self.data)
         return size < self.max_message and self.quota.reserved + size <= self.quota.limit
 
     def has_line(self) -> bool:
-        """Whether a whole line waits to be taken."""
+        """Return whether a complete line is buffered."""
         return self.data.find(b"\n", self.start, self.end) >= 0
 
     def discard(self) -> None:
-        """Nothing of what has come is wanted."""
+        """Discard all unread bytes."""
         self.start = self.end
 
     def advance(self, count: int) -> None:
+        """Add `count` bytes that were read into `writable()`."""
         self.end += count
 
     def next_line(self) -> memoryview | None:
-        """The next line without its line feed, if it is all there."""
+        """Take the next line without its line feed, or return None while it is incomplete."""
         at = self.data.find(b"\n", self.start, self.end)
         if at < 0:
             return None
--- a/thistlelever/wirehost/__init__.py
+++ b/thistlelever/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts fronts on the bench's wire: codec, settings reading and the host loop. It decides nothing."""
+"""Runs fronts behind the benchmark's binary protocol: codec, settings and host loop, but no decisions."""
--- a/thistlelever/wirehost/__main__.py
+++ b/thistlelever/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thistlelever.wirehost`: the fronts on standard input and output."""
+"""`python -m thistlelever.wirehost`: runs fronts on standard input and output."""
 
 import sys
 
--- a/thistlelever/wirehost/codec.py
+++ b/thistlelever/wirehost/codec.py
@@ -1,4 +1,7 @@
-"""Frames and records of the wire, to and from the interface's events and actions."""
+"""Codec of the benchmark's binary protocol: frames of records to events, and actions to records.
+
+All integers are little-endian. Times on the wire are in microseconds, times of events and actions in seconds.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,18 @@
 
 from thistlelever.ground import interface as it
 
+# Header of a frame: bytes that follow the length field, number of records, time in microseconds.
 FRAME = Struct("<IIQ")
+# Header of a reply: number of records, bytes of the body.
 REPLY = Struct("<II")
 MICROSECOND = 1e-6
 MAX_U32 = 2**32 - 1
+# The cost of a returned batch is one integer: milliseconds of work times `COST_UNIT`, plus its memory in
+# units of `MEMORY_UNIT_MB`.
 MEMORY_UNIT_MB = 4
 COST_UNIT = 4096
+
+# Records from the benchmark, without the byte of their code.
 ENTRY = Struct("<HB6sBQHf")
 FRONT = Struct("<H")
 NEW = Struct("<HQI")
@@ -28,6 +37,7 @@
 DIRECTORY = Struct("<HI")
 GAUGES = tuple(Struct(f"<{n}f") for n in range(256))
 
+# Records to the benchmark: the byte of the code and the number of the front come first.
 REMARK = Struct("<BHH")
 FOLLOW = Struct("<BHB")
 ALARM = Struct("<BHII")
@@ -41,31 +51,35 @@
 
 
 class MalformedInputError(Exception):
-    """The input is not what the wire's page describes."""
+    """The input violates the protocol."""
 
 
 class Started(NamedTuple):
+    """A new front, with the seed of its random numbers and the text of its settings."""
+
     seed: int
     conf: str
 
 
 class Stopped(NamedTuple):
-    pass
+    """The end of a front."""
 
 
+# The number of a front and what happened at it.
 Record = tuple[int, it.Event | Started | Stopped]
 
 
 class FrameReader:
-    """Turns frames into records; keeps the numbered lists, which belong to the whole process."""
+    """Decodes frames into records and keeps the numbered engine lists, which all fronts share."""
 
     def __init__(self) -> None:
+        """Start without engine lists."""
         self.lists: dict[int, tuple[it.Engine, ...]] = {}
         self.data = b""
         self.offset = 0
 
     def read_frame(self, count: int, data: bytes) -> list[Record]:
-        """The records of one frame's body, in order."""
+        """Decode the `count` records of a frame's body, in order; raises `MalformedInputError`."""
         self.data, self.offset = data, 0
         records: list[Record] = []
         for number in range(count):
@@ -87,6 +101,7 @@
         return records
 
     def unpack(self, layout: Struct) -> tuple:
+        """Unpack the next fields of the frame."""
         end = self.offset + layout.size
         if end > len(self.data):
             raise MalformedInputError(
@@ -97,6 +112,7 @@
         return values
 
     def take_bytes(self, size: int) -> bytes:
+        """Return the next `size` bytes of the frame."""
         end = self.offset + size
         if end > len(self.data):
             raise MalformedInputError(
@@ -107,13 +123,16 @@
         return piece
 
     def new(self) -> Record:
+        """Decode the start of a front."""
         front, seed, size = self.unpack(NEW)
         return front, Started(seed, self.take_bytes(size).decode("utf-8"))
 
     def stop(self) -> Record:
+        """Decode the end of a front."""
         return self.unpack(FRONT)[0], Stopped()
 
     def directory(self) -> None:
+        """Store a numbered engine list; it yields no record."""
         slot, count = self.unpack(DIRECTORY)
         body = self.take_bytes(count * ENTRY.size)
         self.lists[slot] = tuple(
@@ -122,6 +141,7 @@
         )
 
     def roster(self) -> Record:
+        """Decode the result of an engine list request, which refers to a stored list."""
         front, version, slot, how = self.unpack(ROSTER)
         kind = it.ListKind(how)
         if kind is it.ListKind.FAILED:
@@ -131,6 +151,7 @@
         return front, it.EngineListReceived(kind, version, self.lists[slot])
 
     def submit(self) -> Record:
+        """Decode a new batch; bit 0 says whether the work is known, bit 1 whether it is a repeat."""
         front, batch, query_class, owner, key, left, hint, memory, tables, bits = self.unpack(SUBMIT)
         work = hint * MICROSECOND if bits & 1 else None
         return front, it.BatchReceived(
@@ -138,14 +159,17 @@
         )
 
     def accepted(self) -> Record:
+        """Decode the start of an engine's response."""
         front, batch, number, engine, _ = self.unpack(ACCEPTED)
         return front, it.ResponseStarted(batch, number, engine)
 
     def interim(self) -> Record:
+        """Decode a progress note of a dispatch."""
         front, batch, number, value, engine, kind = self.unpack(INTERIM)
         return front, it.ProgressNote(batch, number, engine, it.ProgressKind(kind), value)
 
     def returned(self) -> Record:
+        """Decode the end of a dispatch with its load report."""
         front, batch, number, engine, outcome, took, complete, stats, n = self.unpack(RETURNED)
         return front, it.DispatchEnded(
             batch,
@@ -160,20 +184,24 @@
         )
 
     def gone(self) -> Record:
+        """Decode the departure of a client."""
         front, batch = self.unpack(GONE)
         return front, it.ClientLeft(batch)
 
     def due(self) -> Record:
+        """Decode an expired timer."""
         front, token = self.unpack(DUE)
         return front, it.TimerDue(token)
 
     def pinged(self) -> Record:
+        """Decode the result of a probe with its load report."""
         front, took, engine, outcome, n = self.unpack(PINGED)
         return front, it.ProbeEnded(
             engine, it.DispatchOutcome(outcome), took * MICROSECOND, self.unpack(GAUGES[n])
         )
 
     def note_from(self) -> Record:
+        """Decode a note of another front."""
         front, peer, size = self.unpack(NOTE_FROM)
         return front, it.PeerNote(peer, self.take_bytes(size))
 
@@ -195,11 +223,12 @@
 
 
 def to_microseconds(seconds: float) -> int:
-    """Seconds as the wire's u32; what is too long for it is as long as it goes."""
+    """Convert seconds to whole microseconds, clamped to the range of an unsigned 32-bit integer."""
     return min(max(round(seconds / MICROSECOND), 0), MAX_U32)
 
 
 def encode_text(code: int, front: int, line: str) -> bytes:
+    """Encode a record of text, truncated to the 65,535 bytes that its length field can hold."""
     body = line.encode("utf-8")[:65535]
     return REMARK.pack(code, front, len(body)) + body
 
@@ -219,10 +248,10 @@
 
 
 def encode_action(front: int, action: it.Action) -> bytes:
-    """The record of one action."""
+    """Encode the record of an action."""
     return WRITERS[type(action)](front, action)
 
 
 def encode_fault(front: int, line: str) -> bytes:
-    """The record that ends the day: the decisions failed."""
+    """Encode the record that reports a failure of the decisions and ends the benchmark's run."""
     return encode_text(40, front, line)
--- a/thistlelever/wirehost/host.py
+++ b/thistlelever/wirehost/host.py
@@ -1,4 +1,4 @@
-"""The host loop: frames in, each front's events to its own decisions, one reply a frame."""
+"""Host loop: reads frames, passes events to the decisions of each front and writes one reply per frame."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 
 class Host:
-    """The fronts of this process, which share nothing but the process."""
+    """The fronts of this process; they share only the engine lists of the reader."""
 
     def __init__(self) -> None:
+        """Start without fronts."""
         self.reader = codec.FrameReader()
         self.fronts: dict[int, Front] = {}
 
     def handle_frame(self, count: int, now: float, body: bytes) -> tuple[int, bytes]:
-        """The number and the bytes of the actions that answer one frame."""
+        """Process the `count` records of a frame at time `now` in seconds.
+
+        Returns the number of action records and their bytes; raises `MalformedInputError`.
+        """
         pending: dict[int, list] = {}
         out: list[bytes] = []
         for front, event in self.reader.read_frame(count, body):
@@ -40,6 +44,7 @@
         return len(out), b"".join(out)
 
     def run_front(self, front: int, now: float, events: list) -> list[bytes]:
+        """Return the encoded actions of a front, or a fault record when its decisions raise an exception."""
         try:
             return [codec.encode_action(front, action) for action in self.fronts[front].handle(now, events)]
         except Exception as why:
@@ -49,6 +54,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
+    """Read `size` bytes; raises `MalformedInputError` when the input ends earlier."""
     data = stream.read(size)
     if len(data) < size:
         raise codec.MalformedInputError(f"input ended inside {what}: {len(data)} of {size} bytes")
@@ -56,7 +62,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answer frames until the input ends; 0 at a clean end, 1 where the input is malformed."""
+    """Answer frames until the input ends; return 0 at a clean end and 1 when the input is malformed."""
     host = Host()
     number = 0
     try:
