--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -1,4 +1,4 @@
-"""Parameters in a statement's text: a value must never become SQL."""
+"""Binding of parameters into a statement's text: no value may be interpreted as SQL."""
 
 import re
 
@@ -21,7 +21,7 @@
     st.datetimes(),
     st.decimals(-(10**9), 10**9),
 )
-# One whole literal and nothing beside it.
+# Exactly one literal.
 WHOLE = re.compile(rb"(?:(?:date|time|timestamp) |x)?'(?:[^']|'')*'|null|true|false|-?[0-9.e+-]+", re.DOTALL)
 
 
--- a/tests/test_failed_sync.py
+++ b/tests/test_failed_sync.py
@@ -1,11 +1,11 @@
-"""A store whose file could not be synced.
-
-A sync that fails leaves pages behind that the machine takes for written: the next sync succeeds without
-them. After a failed sync of its log the store went on with the same file: SQLite drops the errors of the
-take-over that it does by itself, and a failed write closed the file and opened it again. The next sync was
-believed, the pages of the file were written over from a log that was not on the disk, and where the power
-went then the store was "malformed" when it was opened. Each sync of a small life fails here in turn (0 is
-none), and the power goes before each later one, with any first part of what was not synced on the disk.
+"""Guards against corruption of the ledger by a power failure after a failed sync.
+
+After a failed sync the kernel treats the unwritten pages as written, so the next sync succeeds without them.
+When the ledger went on with the same file after its log failed to sync (SQLite drops the errors of automatic
+checkpoints, and a failed write reopened the file), a checkpoint overwrote pages of the database from a log
+that was not on the disk. A power failure at that point left the database "malformed". Each sync of a short
+run fails here in turn (0: none), and the power fails before each later one, when any prefix of the unsynced
+writes of each file may be on the disk.
 """
 
 import os
@@ -25,12 +25,12 @@
 
 AT = Timestamp(1e9, 50.0, "boot")
 TURNS, MARKS_A_TURN = 6, 120
-# How often the power goes before each sync.
+# Simulated power failures before each sync.
 CUTS = 3
 
 
 class Disk(apsw.VFS):
-    """The machine's files, and beside them what of each would be there after the power went."""
+    """A VFS that also tracks what each file would hold after a power failure."""
 
     def __init__(self, name, fails_at, before_sync):
         self.syncs, self.fails_at, self.before_sync = 0, fails_at, before_sync
@@ -45,18 +45,18 @@
         self.before_sync(self)
         pending, self.written[inode] = self.written[inode], []
         if self.syncs == self.fails_at:
-            # What was to be written is dropped, and nobody is told again.
+            # The pending writes are lost, and later syncs report no error.
             raise apsw.IOError("as the test says")
         self.durable[inode] = applied(self.durable.get(inode, b""), pending)
 
     def image(self, inode, chance):
-        """What the disk has of a file when the power goes: of what was not synced any first part."""
+        """A file's content after a power failure, with a random prefix of the unsynced writes."""
         pending = self.written[inode]
         return applied(self.durable.get(inode, b""), pending[: chance.randint(0, len(pending))])
 
 
 def applied(image, changes):
-    """Bytes of a file after writes, and truncations, whose data is None."""
+    """Apply writes, and truncations, whose data is None, to the bytes of a file."""
     image = bytearray(image)
     for offset, data in changes:
         if data is None:
@@ -94,12 +94,12 @@
 
 
 def play(path, name):
-    """A writer's life, its thread's turns played here; it is closed as at a front's end."""
+    """Run a writer without its thread, and close it as a front does when it stops."""
     writer = LedgerWriter(lambda: LedgerFile(str(path), vfs=name))
     writer.open()
     for turn in range(TURNS):
         for number in range(MARKS_A_TURN):
-            # Over the whole table, so that each turn changes pages of the one before.
+            # Keys are spread over the table, so that each turn changes pages of the previous one.
             key = number * TURNS + turn
             writer.put("mark", b"%016d" % key, idempotency_record(key))
         writer.write()
@@ -109,7 +109,7 @@
 
 
 def turns_of(folder):
-    """How many turns' marks a store has, which must be whole and in order."""
+    """Return how many turns a ledger holds; they must be complete and consecutive."""
     file, damaged = LedgerFile(str(folder / "state.db")), []
     found = {int(key) for kind, key, _ in file.read(damaged) if kind == "mark"}
     wrong = file.verify()
@@ -124,17 +124,17 @@
 def test_a_power_cut_after_a_failed_sync_finds_a_store_that_was_true_once(tmp_path, monkeypatch, fails_at):
     monkeypatch.setattr(files, "CHECKPOINT_LOG_PAGES", 4)
     chance, cuts, least = Random(fails_at), count(), [0]
-    place = tmp_path / "place"
-    place.mkdir()
+    directory = tmp_path / "place"
+    directory.mkdir()
 
     def cut(disk):
-        """The power goes now: what is there must be true, and no less than when the sync failed."""
+        """Fail the power: the ledger must be valid and hold no less than at the failed sync."""
         if disk.syncs < disk.fails_at:
             return
         for _ in range(CUTS):
             after = tmp_path / f"after-{next(cuts)}"
             after.mkdir()
-            for entry in os.scandir(place):
+            for entry in os.scandir(directory):
                 (after / entry.name).write_bytes(disk.image(entry.inode(), chance))
             turns = turns_of(after)
             assert turns >= least[0]
@@ -142,23 +142,23 @@
             least[0] = synced_turns(disk)
 
     def synced_turns(disk):
-        """What is there when nothing that was not synced came to the disk."""
+        """Return the turns on the disk without any unsynced write."""
         after = tmp_path / "synced"
         after.mkdir()
-        for entry in os.scandir(place):
+        for entry in os.scandir(directory):
             (after / entry.name).write_bytes(disk.durable.get(entry.inode(), b""))
         return turns_of(after)
 
     name = f"disk-{fails_at}"
     disk = Disk(name, fails_at, cut)
-    writer = play(place / "state.db", name)
+    writer = play(directory / "state.db", name)
     assert not writer.failing
-    assert turns_of(place) == TURNS
+    assert turns_of(directory) == TURNS
     assert disk.syncs
 
 
 class Killed(BaseException):
-    """Stands for the end of the process."""
+    """Simulates the end of the process."""
 
 
 @pytest.mark.parametrize("step", range(7))
@@ -168,17 +168,17 @@
     failed.write([("mark", b"old", records.pack(idempotency_record(1)))])
     steps = count()
 
-    def dies(call):
-        def told(*words):
+    def killed_at_step(call):
+        def called(*arguments):
             if next(steps) == step:
                 raise Killed
-            return call(*words)
+            return call(*arguments)
 
-        return told
+        return called
 
     with monkeypatch.context() as patch:
-        patch.setattr(folder.os, "replace", dies(os.replace))
-        patch.setattr(folder, "sync_folder", dies(folder.sync_folder))
+        patch.setattr(folder.os, "replace", killed_at_step(os.replace))
+        patch.setattr(folder, "sync_folder", killed_at_step(folder.sync_folder))
         try:
             rows = [
                 ("mark", b"old", records.pack(idempotency_record(1))),
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,5 +1,5 @@
-"""What is kept on disk and how far it is trusted: each write failed in turn, kills, every kind of bad file,
-ages by clocks that jump, a start by a remembered list, and the commands."""
+"""Ledger and restart recovery: each write failed in turn, crashes, unusable files of every kind, ages by
+clocks that are stepped, starts from a stored engine list, and the commands of `thistlelever state`."""
 
 import asyncio
 import json
@@ -45,7 +45,7 @@
 
 
 class Faults(apsw.VFS):
-    """SQLite's own files, of which the n-th write fails, or each from the n-th on, or waits."""
+    """A VFS whose n-th write fails or blocks; with `stays` each write from the n-th on."""
 
     def __init__(self, name):
         self.writes, self.at, self.stays, self.error, self.waits = 0, None, False, apsw.FullError, None
@@ -85,7 +85,7 @@
         super().xSync(flags)
 
 
-def kept(path):
+def read_ledger(path):
     file, damaged = LedgerFile(str(path)), []
     found = {(kind, key): record for kind, key, record in file.read(damaged)}
     wrong = file.verify()
@@ -122,7 +122,7 @@
     vfs = Faults(name)
 
     def play(path):
-        """Three transactions; the states that were committed, in order."""
+        """Run three transactions and return the states that may be on disk, in order."""
         states, state = [{}], {}
         try:
             file = LedgerFile(str(path), vfs=name)
@@ -154,7 +154,7 @@
         vfs.at, vfs.stays, vfs.error, vfs.writes = n, stays, error, 0
         states = play(path)
         vfs.at = None
-        found, wrong = kept(path)
+        found, wrong = read_ledger(path)
         assert not wrong and set(found) in [set(state) for state in states[-2:] or states], n
     assert n > 30
 
@@ -189,7 +189,7 @@
         rest = process.stdout.read().split()
         process.stdout.close()
         said = int(rest[-1]) if rest else said
-        found, wrong = kept(path)
+        found, wrong = read_ledger(path)
         assert not wrong and said <= len(found) <= said + 5 and len(found) % 5 == 0
 
 
@@ -231,7 +231,7 @@
     file.write([("mark", b"%016d" % n, records.pack(idempotency_record(n))) for n in range(400)])
     file.write([("mark", b"%016d" % 7, b"spoilt")])
     file.close()
-    found, wrong = kept(path)
+    found, wrong = read_ledger(path)
     assert len(found) == 399 and len(wrong) == 1
     data = bytearray(path.read_bytes())
     data[4096 * 2 : 4096 * 4] = os.urandom(8192)
@@ -268,7 +268,7 @@
         writer.put("mark", b"%016d" % n, idempotency_record(n))
     while not vfs.writes:
         threading.Event().wait(0.005)
-    # The write hangs; all that is put is there at once.
+    # While the write blocks, records are available in memory at once.
     assert len(writer.records["mark"]) == 100 and writer.writes == 0
     vfs.waits.set()
     while not writer.writes:
@@ -279,12 +279,12 @@
         threading.Event().wait(0.005)
     assert told[0].startswith("full") and not writer.is_durable()
     vfs.at = None
-    # Space given back is used again without a restart.
+    # Writes succeed again without a restart once there is space on the disk.
     while len(told) < 2:
         threading.Event().wait(0.005)
     assert told[1] == "" and writer.is_durable()
     writer.close(5)
-    found, wrong = kept(tmp_path / "a.db")
+    found, wrong = read_ledger(tmp_path / "a.db")
     assert not wrong and len(found) == 100 and found["mark", b"%016d" % 7] == idempotency_record(8)
 
 
@@ -298,7 +298,7 @@
     while writer.failing:
         threading.Event().wait(0.005)
     writer.close(5)
-    assert len(kept(tmp_path / "none" / "a.db")[0]) == 1
+    assert len(read_ledger(tmp_path / "none" / "a.db")[0]) == 1
 
 
 @settings(max_examples=60, deadline=None)
@@ -324,7 +324,7 @@
     writer.close(1)
 
 
-# Trust.
+# Ages, grades and trust.
 
 HERE = ClockReading(2e9, 1_000.0, "this")
 
@@ -333,11 +333,11 @@
     "then, found",
     [
         ((2e9 - 60, 940.0, "this"), Age(60, 60)),
-        # The wall's clock was set while this boot went on: the machine's own tells it.
+        # The wall clock was set within this boot: the boot-time clock gives the age.
         ((2e9 + 3_600, 940.0, "this"), Age(60, 60)),
         ((2e9 - 86_400, 940.0, "this"), Age(60, 60)),
         ((2e9 - 5_000, 10.0, "that"), Age(5_000, 5_000)),
-        # Younger than this boot, or in the future: no age.
+        # Apparently younger than this boot, or in the future: the age has no upper bound.
         ((2e9 - 10, 10.0, "that"), Age(1_000, float("inf"))),
         ((2e9 + 10, 10.0, "that"), Age(1_000, float("inf"))),
         ((2e9 - 10, 0.0, ""), Age(10, 10)),
@@ -404,7 +404,7 @@
         assert before <= recovery.usable <= {b"0", b"1"} | said
 
 
-# Marks.
+# Idempotency keys.
 
 
 def query_class(scope=it.DeduplicationScope.ALL):
@@ -477,7 +477,7 @@
     other = str(tmp_path / "b.db")
     taken = state("import", other, input=exported.output)
     assert taken.exit_code == 0 and taken.output == "30 records\n", taken.output
-    assert kept(other)[0] == kept(path)[0]
+    assert read_ledger(other)[0] == read_ledger(path)[0]
     assert state("import", other, input="{}\n").exit_code == 2
     assert state("compact", other).exit_code == 0
     (tmp_path / "c.db").write_bytes(b"nothing of the kind" * 500)
@@ -491,7 +491,7 @@
 
 
 def test_a_mark_outlives_its_front_and_its_repeat_goes_where_it_is_dropped(tmp_path):
-    # Two lives of one front on one store; its engine is another process by then, under the same id.
+    # A front is restarted with the same ledger; its engine is another process then, under the same id.
     section = f'section state {{"path":"{tmp_path}/a.db"}}'
     first = [
         section,
@@ -523,7 +523,7 @@
                     pass
 
     asyncio.run(run())
-    assert len([1 for kind, _ in kept(tmp_path / "a.db")[0] if kind == "mark"]) == 3
+    assert len([1 for kind, _ in read_ledger(tmp_path / "a.db")[0] if kind == "mark"]) == 3
 
 
 def test_a_store_that_fails_stops_nobody_and_is_said_once(tmp_path):
@@ -548,4 +548,4 @@
         return said
 
     assert asyncio.run(run()) == ["state not kept"]
-    assert ("mark", b"\x5a" * 16) in kept(tmp_path / "none" / "a.db")[0]
+    assert ("mark", b"\x5a" * 16) in read_ledger(tmp_path / "none" / "a.db")[0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Parsers from bytes alone: whole, cut at every byte, and out of form."""
+"""Codecs of HTTP, JSON-RPC, DNS and statements: complete input, input split at each byte, malformed input."""
 
 import pytest
 from stage import dns_answer
@@ -15,8 +15,8 @@
 LISTING = dns_answer(77, 41, {"s-1": (8443, False), "s-2": (8444, True)})
 
 
-def poured(data, cuts, read, size=16):
-    """What `read` finds in a buffer that is filled piece by piece, copied as each is found."""
+def read_split(data, cuts, read, size=16):
+    """Copies of the messages that `read` finds in a buffer that is filled piece by piece."""
     buffer, found, at = ReadBuffer(size, 4096), [], 0
     for cut in (*cuts, len(data)):
         while at < cut:
@@ -26,11 +26,11 @@
             buffer.advance(len(piece))
             at += len(piece)
             while (message := read(buffer)) is not None:
-                found.append(bytes(message) if isinstance(message, memoryview) else copied(message))
+                found.append(bytes(message) if isinstance(message, memoryview) else as_values(message))
     return found
 
 
-def copied(reply):
+def as_values(reply):
     return (
         reply.status,
         bytes(reply.body),
@@ -42,11 +42,11 @@
 
 @pytest.mark.parametrize("data", [PAGE, CHUNKED])
 def test_a_reply_cut_at_each_byte(data):
-    # Risk: half a head or body taken for a whole one, or the next reply's bytes for this one's.
+    # Guards against taking a partial head or body for a complete one, or bytes of the next reply.
     two = b"HTTP/1.1 100 Continue\r\n\r\n" + data + b"HTTP/1.0 204 X\r\n\r\n"
     wanted = [(200, b"row\t1", 2.0, (7.0, 0.61), True), (204, b"", None, (), False)]
     for cut in range(len(two)):
-        assert poured(two, [cut], http.read_reply) == wanted, cut
+        assert read_split(two, [cut], http.read_reply) == wanted, cut
 
 
 @pytest.mark.parametrize(
@@ -66,15 +66,15 @@
 )
 def test_a_reply_out_of_form(data):
     with pytest.raises((http.Unreadable, TooLong)):
-        poured(data, [], http.read_reply)
+        read_split(data, [], http.read_reply)
 
 
 def test_lines_cut_at_each_byte_and_a_slice_holds_until_the_next_read():
     data = b'{"a":1}\n' + b"x" * 40 + b"\n\nlast\n"
     for cut in range(len(data)):
-        assert poured(data, [cut], ReadBuffer.next_line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
+        assert read_split(data, [cut], ReadBuffer.next_line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
     with pytest.raises(TooLong):
-        poured(b"x" * 5000, [], ReadBuffer.next_line)
+        read_split(b"x" * 5000, [], ReadBuffer.next_line)
 
 
 def test_a_list_is_read_and_each_cut_of_it_refused():
@@ -96,7 +96,7 @@
         (2, 0x04),
         (2, 0x86),
         (3, 0x02),
-        # Risk: pointers that go round hold the front for good. The first record's owner points at 12.
+        # A loop of compression pointers would block the front forever; the first record's owner points to 12.
         (12 + 25 + 1, 12 + 25),
         (12 + 25 + 1, 200),
     ],
@@ -131,7 +131,7 @@
     assert b'"data":{"after":200}' in jsonrpc.encode_error(7, -32001, "x", 0.2)
 
 
-# Risk: one figure that is none stays in the decisions' averages for good.
+# An invalid number such as `nan` would stay in the averages of the decisions for good.
 @pytest.mark.parametrize(
     "word, report",
     [
@@ -169,7 +169,7 @@
             http.check_page(memoryview(body))
 
 
-# Risk: each interim reply in a call of its own ends in a full stack; without end they are no reply.
+# Recursion on interim replies would exhaust the stack, and an endless series of them is not a reply.
 def test_interim_replies_without_end_are_none():
     buffer = ReadBuffer(65_536, 65_536)
     sent = b"HTTP/1.1 100 X\r\n\r\n" * 3000
@@ -179,7 +179,7 @@
         http.read_reply(buffer)
 
 
-# Risk: a few hundred clients, each with a long line that never ends, fill the front's memory.
+# A few hundred clients, each with a long unfinished line, would exhaust the memory of the front.
 def test_unfinished_lines_share_one_quota():
     quota = BufferQuota(10)
     first, second = ReadBuffer(4, 12, quota), ReadBuffer(4, 12, quota)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter against the wire's own examples and against input that is not what it should be."""
+"""The host with the examples of the protocol's documentation, and with malformed input."""
 
 import io
 import struct
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, text",
     [
         (frame(0)[:7], "header"),
         (frame(1, SUBMIT)[:30], "input ended inside a frame"),
@@ -55,10 +55,10 @@
         (struct.pack("<IIQ", 12, 5, 0), "impossible"),
     ],
 )
-def test_malformed_input_ends_with_one_line(data, said):
+def test_malformed_input_ends_with_one_line(data, text):
     errors = io.StringIO()
     assert serve(io.BytesIO(data), io.BytesIO(), errors) == 1
-    assert said in errors.getvalue() and errors.getvalue().count("\n") == 1
+    assert text in errors.getvalue() and errors.getvalue().count("\n") == 1
 
 
 def test_a_missing_setting_is_named_and_the_end_of_input_is_clean():
