--- a/tests/stage.py
+++ b/tests/stage.py
@@ -222,7 +222,7 @@
 
     async def do_at_ease(self, name):
         front = self.office.desk.front
-        assert not front.doubt[front.index[name.encode()]]
+        assert not front.backoffs[front.engine_index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
         await self.until(lambda: [c for c, _, _ in self.engines[name].calls].count(call) >= int(count))
@@ -259,7 +259,7 @@
 
     async def do_up(self, name):
         front = self.office.desk.front
-        assert not front.down[front.index[name.encode()]]
+        assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
         assert len(self.office.links.kept.get(name.encode(), ())) == int(count)
@@ -430,7 +430,7 @@
 
     async def do_held_back(self, count):
         """So many batches are held by their budgets by now."""
-        await self.look_until(lambda: self.office.courses.gate.judge.root.held == int(count))
+        await self.look_until(lambda: self.office.courses.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Just one of them has an answer, and it says that it may have run."""
--- a/thistlelever/carrier/members.py
+++ b/thistlelever/carrier/members.py
@@ -1,76 +1,95 @@
-"""Where membership is on: hands datagrams, turns and facts to its judge, and carries out what it says."""
+"""Drives the failure detector of membership: its clock, its datagrams, and the reporting of changes."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.peers import Peers
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
-from thistlelever.membership.facts import Send, View
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
+from thistlelever.membership.types import Send, View
 from thistlelever.wire import peers as wire
 
 
-class Members:
-    """One judge on the loop's clock. `on_view` is told whenever what others may act on has changed."""
+class MembershipDriver:
+    """One failure detector on the event loop. `on_view` is called whenever its view has changed."""
 
     def __init__(
-        self, judge: Judge, peers: Peers, metrics: Metrics, log: Log, on_view: Callable[[View], None]
+        self,
+        detector: FailureDetector,
+        peers: PeerSocket,
+        metrics: Metrics,
+        log: Log,
+        on_view: Callable[[View], None],
     ) -> None:
-        self.judge, self.peers, self.metrics, self.log, self.on_view = judge, peers, metrics, log, on_view
+        """Register with the peer socket for datagrams of membership."""
+        self.detector, self.peers, self.metrics, self.log, self.on_view = (
+            detector,
+            peers,
+            metrics,
+            log,
+            on_view,
+        )
         self.timer: asyncio.TimerHandle | None = None
-        self.told: View | None = None
-        peers.matters[wire.MEMBERSHIP] = self.heard
-        peers.fresh = self.fresh
+        self.last_view: View | None = None
+        peers.handlers[wire.MEMBERSHIP] = self.handle_datagram
+        peers.is_backlog_current = self.is_backlog_current
 
     def open(self) -> None:
-        self.judge.turned_at = clock.now()
-        self.turn()
+        """Start ticking; needs a running event loop."""
+        self.detector.last_tick_at = clock.now()
+        self.tick()
 
     def close(self) -> None:
+        """Stop ticking."""
         if self.timer:
             self.timer.cancel()
 
-    def fresh(self) -> bool:
-        return not self.judge.awake(clock.now())
+    def is_backlog_current(self) -> bool:
+        """Whether waiting datagrams may be read; False if the process was paused."""
+        return not self.detector.check_for_pause(clock.now())
 
-    def turn(self) -> None:
-        # What waits at the socket came before this moment: read after the timers, answers that are there
-        # would count as missing.
+    def tick(self) -> None:
+        """Read waiting datagrams, let the detector do what is due, and schedule the next tick."""
+        # Datagrams that already wait at the socket arrived before this moment. If the tick came first,
+        # acknowledgements among them would count as missing.
         self.peers.read()
         now = clock.now()
-        self.carry(self.judge.turn(now))
-        view = self.judge.view(now)
-        if view != self.told:
-            self.told = view
+        self.deliver(self.detector.tick(now))
+        view = self.detector.view(now)
+        if view != self.last_view:
+            self.last_view = view
             self.on_view(view)
-        at = max(self.judge.due(), now + 0.001)
-        self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.turn)
+        at = max(self.detector.next_tick_at(), now + 0.001)
+        self.timer = asyncio.get_running_loop().call_at(clock.on_loop(at), self.tick)
 
-    def heard(self, source: tuple[str, int], body: bytes) -> None:
-        message, rumours = wire.decode(body)
-        self.carry(self.judge.heard(clock.now(), source, message, rumours))
+    def handle_datagram(self, source: tuple[str, int], body: bytes) -> None:
+        """Hand a membership message to the detector; `InvalidDatagram` if it is malformed."""
+        message, updates = wire.decode(body)
+        self.deliver(self.detector.handle_message(clock.now(), source, message, updates))
 
     def leave(self) -> None:
-        self.carry(self.judge.leave(clock.now()))
+        """Announce to other fronts that this one leaves."""
+        self.deliver(self.detector.leave(clock.now()))
 
-    def carry(self, sends: list[Send]) -> None:
+    def deliver(self, sends: list[Send]) -> None:
+        """Send messages, and count and log the state changes that came with them."""
         for send in sends:
             self.peers.send(send.address, wire.encode(send.message, self.peers.tier))
-        for change in self.judge.changes:
-            mine, state = change.name == self.judge.me.name, change.state.name.lower()
-            self.metrics.add(f"membership: {change.path}" if mine else f"members: {state}")
-            # A kind of line for each state: the log bounds lines by kind, and doubts must not crowd out
+        for change in self.detector.changes:
+            own, state = change.name == self.detector.identity.name, change.state.name.lower()
+            self.metrics.add(f"membership: {change.path}" if own else f"members: {state}")
+            # One event name per state: the log limits lines per event, so frequent suspicions cannot suppress
             # deaths.
             self.log(
-                "membership" if mine else f"member {state}",
+                "membership" if own else f"member {state}",
                 member=change.name,
                 by=change.by,
                 was=change.was.name.lower() if change.was is not None else "",
                 path=change.path,
                 late=round(change.late, 3),
             )
-        self.judge.changes.clear()
+        self.detector.changes.clear()
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -238,17 +238,17 @@
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
                     writer.put("listed", engine, record(entry, roll.serial, at))
-        learnt, at = self.parts.desk.front.recall(clock.now()), moment()
+        learnt, at = self.parts.desk.front.learned_state(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
             if engine in writer.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
                 kept_start = started and at.wall - (clock.now() - started)
                 writer.put("learnt", engine, LearnedEngine(engine, bound, pace, kept_start, at))
-        for key, left in learnt.keys:
+        for key, left in learnt.cooldowns:
             # A table's name as a number: longer than any field of numbers.
             writer.put("rest", b"%x" % key, CoolDown(f"{key:x}", left, at))
-        if learnt.took or learnt.extra:
-            writer.put("window", b"window", BudgetWindow(learnt.took, learnt.extra, at))
+        if learnt.received_ago or learnt.retried_ago:
+            writer.put("window", b"window", BudgetWindow(learnt.received_ago, learnt.retried_ago, at))
         self.forget()
 
     def forget(self) -> None:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -42,7 +42,7 @@
     def __init__(self, parts: Parts, section: Takeover, membership: MembershipSide) -> None:
         config = parts.config
         sound(section, config)
-        self.parts, self.members = parts, membership.members.judge
+        self.parts, self.members = parts, membership.members.detector
         terms = Terms(
             places=section.places,
             lease=section.lease_s,
@@ -52,7 +52,7 @@
             most_kept=section.most_kept,
             most_taken=section.most_taken,
         )
-        me = self.members.me
+        me = self.members.identity
         self.judge = Judge(
             terms,
             me.address,
@@ -76,8 +76,8 @@
 
     def standing(self, address: Address, life: int) -> Standing:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
-        if address == self.members.me.address:
-            return Standing.ALIVE if life == self.members.me.life else Standing.GONE
+        if address == self.members.identity.address:
+            return Standing.ALIVE if life == self.members.identity.life else Standing.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE:
             return Standing.GONE
@@ -85,10 +85,10 @@
 
     def alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
-        return member is not None and member.lives
+        return member is not None and member.is_alive
 
     def alone(self) -> bool:
-        return bool(self.members.alone(clock.now()))
+        return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
         others = sorted(self.judge.catchup.others())
@@ -97,7 +97,7 @@
         return {"takeover": len(self.judge.places.fronts)}
 
     def renew(self, operator: Operator, config: Config) -> None:
-        self.judge.places.renew((*config.peers, self.members.me.address))
+        self.judge.places.renew((*config.peers, self.members.identity.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
--- a/thistlelever/membership/context.py
+++ b/thistlelever/membership/context.py
@@ -1,22 +1,22 @@
-"""What all parts of the failure detector share."""
+"""State shared by all parts of the failure detector."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import NamedTuple
 
-from thistlelever.membership.chance import Chance
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.gossip import GossipQueue
 from thistlelever.membership.local_health import LocalHealth
+from thistlelever.membership.random_source import RandomSource
 
 
 class Context(NamedTuple):
-    """One for each failure detector, handed to its parts."""
+    """One per failure detector, passed to its parts."""
 
     config: MembershipConfig
-    chance: Chance
+    random: RandomSource
     health: LocalHealth
     gossip: GossipQueue
-    # How often each thing happened since the start.
+    # Event counters since the start, shown by `views.show`.
     counts: Counter[str]
--- a/thistlelever/membership/merge.py
+++ b/thistlelever/membership/merge.py
@@ -1,50 +1,53 @@
-"""What other fronts say of members, merged into this front's table."""
+"""Merges messages and gossip from other fronts into the member table."""
 
 from __future__ import annotations
 
 from thistlelever.membership.context import Context
-from thistlelever.membership.facts import Address
-from thistlelever.membership.member import Member, is_fresh
+from thistlelever.membership.member import Member, accept_sequence_number
 from thistlelever.membership.name_conflict import NameConflicts
 from thistlelever.membership.suspicion import Suspicions
 from thistlelever.membership.table import MemberTable
-from thistlelever.wire.peers import Message, Rumour, State, address_of, tag
+from thistlelever.membership.types import Address
+from thistlelever.wire.peers import GossipUpdate, Message, State, address_of, tag
 
 BY_GOSSIP = "rumour"
-BY_DEATH_RUMOUR = "rumour of its death"
+BY_DEATH_GOSSIP = "rumour of its death"
 BY_ITSELF = "itself"
 
 
 class Merger:
-    """A newer incarnation, or a worse state of the same, replaces what was believed."""
+    """Merge rules: a higher incarnation wins, and at the same incarnation the worse state."""
 
     def __init__(
         self, context: Context, table: MemberTable, suspicions: Suspicions, conflicts: NameConflicts
     ) -> None:
-        """Merges into the table; what is said of this front itself goes to `conflicts`."""
+        """Merge into `table`; updates about this front itself go to `conflicts`."""
         self.table, self.suspicions, self.conflicts = table, suspicions, conflicts
         self.config, self.gossip, self.counts = context.config, context.gossip, context.counts
 
     def observe_sender(self, now: float, source: Address, message: Message) -> Member | None:
-        """Who sends is there, at the incarnation that it names; None where there is no room to know it."""
+        """The sender of a message, added or updated: it is alive at the incarnation that it names.
+
+        None if the table is full.
+        """
         name, incarnation, life = message.name, message.incarnation, message.life
         member = self.table.get(name)
         if member is None:
             if len(self.table.members) >= self.config.max_members:
                 return None
             member = Member(name, source, incarnation, life, now)
-            is_fresh(member, message.count)
+            accept_sequence_number(member, message.count)
             self.table.add(now, member, name, BY_ITSELF)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
         elif incarnation > member.incarnation:
-            self.table.renew(now, member, source, incarnation, life)
-            is_fresh(member, message.count)
+            self.table.raise_incarnation(now, member, source, incarnation, life)
+            accept_sequence_number(member, message.count)
             self.table.set_state(now, member, State.ALIVE, name, BY_ITSELF)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
         return member
 
-    def learn(self, now: float, update: Rumour, by: str) -> None:
-        """Merge one update that another front passed on."""
+    def merge(self, now: float, update: GossipUpdate, by: str) -> None:
+        """Merge one gossip update that `by` passed on."""
         if update.name == self.table.local.identity.name:
             self.conflicts.refute(now, update)
             return
@@ -62,30 +65,33 @@
         elif update.state is State.SUSPECTED is member.state:
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
 
-    def add(self, now: float, update: Rumour, by: str) -> Member | None:
-        """A member that was not known; None where it is not to be known."""
+    def add(self, now: float, update: GossipUpdate, by: str) -> Member | None:
+        """Add an unknown member; None if it is dead or has left, or if the table is full."""
         gone = update.state in (State.DEAD, State.LEFT)
         if gone or len(self.table.members) >= self.config.max_members:
             return None
         address = address_of(update.address)
         member = Member(update.name, address, update.incarnation, update.life, now)
         self.table.add(now, member, by, BY_GOSSIP)
-        self.gossip.add(member.record())
+        self.gossip.add(member.to_update())
         return member
 
-    def replace(self, now: float, member: Member, update: Rumour, newer: bool, by: str) -> None:
-        """Believe the update in place of what was believed."""
+    def replace(self, now: float, member: Member, update: GossipUpdate, newer: bool, by: str) -> None:
+        """Apply an update that outweighs the current belief."""
         if newer:
-            self.table.renew(now, member, address_of(update.address), update.incarnation, update.life)
+            self.table.raise_incarnation(
+                now, member, address_of(update.address), update.incarnation, update.life
+            )
         if update.state is State.SUSPECTED:
             if newer:
                 self.table.set_state(now, member, State.ALIVE, by, BY_GOSSIP)
             self.suspicions.accuse(now, member, update.accuser, by, BY_GOSSIP)
-        elif update.state is State.DEAD and member.lives:
-            # Departs from SWIM: a death by hearsay is one more accuser. Who passes it on may be of the other
-            # side of a cut that has just healed, where the member was out of reach and could refute nothing.
+        elif update.state is State.DEAD and member.is_alive:
+            # Departs from SWIM: a gossiped death counts as one more accusation instead of being believed at
+            # once. After a network partition has healed it may come from the other side, where the member was
+            # unreachable and could not refute it.
             self.counts["deaths by hearsay"] += 1
-            self.suspicions.hear_of_death(now, member, tag(by), by, BY_DEATH_RUMOUR)
+            self.suspicions.accuse_by_reported_death(now, member, tag(by), by, BY_DEATH_GOSSIP)
         else:
             self.table.set_state(now, member, update.state, by, BY_GOSSIP)
-            self.gossip.add(member.record())
+            self.gossip.add(member.to_update())
--- a/thistlelever/wire/jsonrpc.py
+++ b/thistlelever/wire/jsonrpc.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from thistlelever.ground.submission import Unfit
+from thistlelever.ground.submission import InvalidFieldError
 
 # Error codes: of the JSON-RPC specification, and of this program.
 NOT_JSON, NO_REQUEST, NO_METHOD, BAD_FIELD = -32700, -32600, -32601, -32602
@@ -54,14 +54,14 @@
 
 
 def submitted_statement(call: Call) -> bytes:
-    """Return the statement in the parameters of a call; raises `Unfit`."""
+    """Return the statement in the parameters of a call; raises `InvalidFieldError`."""
     body = call.params.get("bytes")
     if type(body) is not str:
-        raise Unfit("bytes", "a string expected")
+        raise InvalidFieldError("bytes", "a string expected")
     try:
         return a2b_base64(body, strict_mode=True)
     except (Base64Error, ValueError):
-        raise Unfit("bytes", "base64 expected") from None
+        raise InvalidFieldError("bytes", "base64 expected") from None
 
 
 def encode_result(number: int, pages: list[bytes]) -> bytes:
