--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -183,18 +183,18 @@
             env=os.environ | {"PYTHONPATH": f"{ROOT}:{ROOT}/tests"},
         )
         for _ in range(3 + turn * 7):
-            said = int(process.stdout.readline())
+            committed = int(process.stdout.readline())
         process.send_signal(signal.SIGKILL)
         process.wait()
         rest = process.stdout.read().split()
         process.stdout.close()
-        said = int(rest[-1]) if rest else said
+        committed = int(rest[-1]) if rest else committed
         found, wrong = read_ledger(path)
-        assert not wrong and said <= len(found) <= said + 5 and len(found) % 5 == 0
+        assert not wrong and committed <= len(found) <= committed + 5 and len(found) % 5 == 0
 
 
 @pytest.mark.parametrize(
-    "what, word",
+    "make, reason",
     [
         (lambda p: p.write_bytes(b"no database at all " * 300), "foreign"),
         (lambda p: foreign(p), "foreign"),
@@ -203,11 +203,11 @@
         (lambda p: p.symlink_to("/dev/full"), "full"),
     ],
 )
-def test_what_is_no_store_of_ours_is_not_written_to(tmp_path, what, word):
+def test_what_is_no_store_of_ours_is_not_written_to(tmp_path, make, reason):
     path = tmp_path / "a.db"
-    what(path)
+    make(path)
     before = path.read_bytes() if path.is_file() and not path.is_symlink() else b""
-    with pytest.raises(LedgerError, match=word):
+    with pytest.raises(LedgerError, match=reason):
         LedgerFile(str(path))
     assert not before or path.read_bytes() == before
 
@@ -259,8 +259,8 @@
 
 
 def test_nobody_waits_for_a_write_that_takes_long_and_what_failed_is_written_later(tmp_path):
-    vfs, told = Faults("slow"), []
-    writer = LedgerWriter(lambda: LedgerFile(str(tmp_path / "a.db"), vfs="slow"), 0.01, told.append)
+    vfs, reports = Faults("slow"), []
+    writer = LedgerWriter(lambda: LedgerFile(str(tmp_path / "a.db"), vfs="slow"), 0.01, reports.append)
     assert not writer.open()
     vfs.at, vfs.waits, vfs.writes = 1, threading.Event(), 0
     writer.start()
@@ -275,14 +275,14 @@
         threading.Event().wait(0.005)
     vfs.at, vfs.waits, vfs.stays, vfs.writes = 1, None, True, 0
     writer.put("mark", b"%016d" % 7, idempotency_record(8))
-    while not told:
+    while not reports:
         threading.Event().wait(0.005)
-    assert told[0].startswith("full") and not writer.is_durable()
+    assert reports[0].startswith("full") and not writer.is_durable()
     vfs.at = None
     # Writes succeed again without a restart once there is space on the disk.
-    while len(told) < 2:
+    while len(reports) < 2:
         threading.Event().wait(0.005)
-    assert told[1] == "" and writer.is_durable()
+    assert reports[1] == "" and writer.is_durable()
     writer.close(5)
     found, wrong = read_ledger(tmp_path / "a.db")
     assert not wrong and len(found) == 100 and found["mark", b"%016d" % 7] == idempotency_record(8)
@@ -393,15 +393,15 @@
 def test_what_is_in_use_was_fresh_or_has_answered(steps):
     names = [b"%d" % n for n in range(6)]
     given = dict(zip(names, (Age(s, s) for s in (1, 10, 100, 1_000, 10_000, 1e6)), strict=True))
-    recovery, said = RestartRecovery(AgeLimits(), given), set()
+    recovery, answered = RestartRecovery(AgeLimits(), given), set()
     for n, what in steps:
         before = set(recovery.usable)
         if what in ("yes", "no"):
             recovery.record_probe(names[n], what == "yes")
-            said |= {names[n]} if what == "yes" else set()
+            answered |= {names[n]} if what == "yes" else set()
         else:
             {"wait": recovery.probes_timed_out, "again": recovery.retry}[what]()
-        assert before <= recovery.usable <= {b"0", b"1"} | said
+        assert before <= recovery.usable <= {b"0", b"1"} | answered
 
 
 # Idempotency keys.
@@ -449,8 +449,8 @@
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
-    told = memory.enter(batch)
-    assert (told and type(told)) == answer and batch.taken.running_on == out
+    action = memory.enter(batch)
+    assert (action and type(action)) == answer and batch.taken.running_on == out
     if out:
         assert batch.name(0) == Name("a" * 16, 2) and batch.taken.running_for == ran
 
@@ -544,8 +544,8 @@
                 (tmp_path / "none").mkdir()
                 await stage.until(lambda: any(e == "state kept again" for e, _ in stage.events))
                 assert side.show()["keeps"]
-                said = [e for e, _ in stage.events if e == "state not kept"]
-        return said
+                reported = [e for e, _ in stage.events if e == "state not kept"]
+        return reported
 
     assert asyncio.run(run()) == ["state not kept"]
     assert ("mark", b"\x5a" * 16) in read_ledger(tmp_path / "none" / "a.db")[0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -133,7 +133,7 @@
 
 # An invalid number such as `nan` would stay in the averages of the decisions for good.
 @pytest.mark.parametrize(
-    "word, report",
+    "text, report",
     [
         ("util:0.5;inflight:3;more:1", (3.0, 0.5)),
         ("util:0.5", ()),
@@ -144,8 +144,8 @@
         ("util:-1;inflight:3", ()),
     ],
 )
-def test_a_load_report_is_whole_or_none(word, report):
-    assert http.parse_load_report(word, ("inflight", "util")) == report
+def test_a_load_report_is_whole_or_none(text, report):
+    assert http.parse_load_report(text, ("inflight", "util")) == report
 
 
 @pytest.mark.parametrize(
--- a/thistlelever/wire/http.py
+++ b/thistlelever/wire/http.py
@@ -154,9 +154,9 @@
             return Reply(status, fields, memoryview(b"".join(parts)), keeps)
 
 
-def parse_integer(word: memoryview | bytes, base: int) -> int:
+def parse_integer(raw: memoryview | bytes, base: int) -> int:
     """Parse an unsigned integer without signs, blanks or underscores; raises `Unreadable`."""
-    text = bytes(word)
+    text = bytes(raw)
     if not text.isalnum():
         raise Unreadable(f"not a number: {text[:20]!r}")
     try:
@@ -165,10 +165,10 @@
         raise Unreadable(f"not a number: {text[:20]!r}") from None
 
 
-def parse_measure(word: str) -> float | None:
+def parse_measure(text: str) -> float | None:
     """Parse a finite number from 0 up, else return None: a single `nan` would stay in an average for good."""
     try:
-        value = float(word)
+        value = float(text)
     except ValueError:
         return None
     return value if isfinite(value) and value >= 0 else None
@@ -184,13 +184,13 @@
     return bytes(body)
 
 
-def parse_load_report(word: str, names: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
     """Parse a load report, `name:value` pairs separated by `;`, to numbers in the order of `names`.
 
     Returns an empty tuple unless all of them are present and valid.
     """
     measures = {}
-    for pair in word.split(";"):
+    for pair in text.split(";"):
         name, _, value = pair.partition(":")
         measures[name.strip()] = parse_measure(value)
     # The gaps of an incomplete report would make the engine look idle.
