--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -20,7 +20,7 @@
 
 def test_events_read_as_written():
     returned = "78 0300 c4913a5d374f0400 00 0a124a07431f 01 44480000 01 60100100 03 0000e04052b81e3f0000a03f"
-    events = codec.Reader().frame(2, bytes.fromhex(SUBMIT + returned))
+    events = codec.FrameReader().read_frame(2, bytes.fromhex(SUBMIT + returned))
     received, ended = (event for _, event in events)
     assert (received.time_limit, received.work, received.memory, received.table_group) == (
         0.24,
@@ -34,9 +34,9 @@
 
 def test_actions_written_as_the_page_shows():
     engine = bytes.fromhex("0a124a07431f")
-    sent = codec.write(3, it.Dispatch(0x44F375D3A91C4, engine, 0.08))
+    sent = codec.encode_action(3, it.Dispatch(0x44F375D3A91C4, engine, 0.08))
     assert sent == bytes.fromhex("46 0300 c4913a5d374f0400 0a124a07431f 80380100")
-    assert codec.write(3, it.Terms(0x44F375D3A91C4, 640.0, 2)) == bytes.fromhex(
+    assert codec.encode_action(3, it.Terms(0x44F375D3A91C4, 640.0, 2)) == bytes.fromhex(
         "82 0300 c4913a5d374f0400 00002044 02"
     )
 
@@ -44,12 +44,12 @@
 def test_a_list_slot_used_twice_in_a_frame_is_looked_up_in_order():
     roster = "46 0300 2900000000000000 0000 03"
     other = DIRECTORY.replace("431f", "4320")
-    events = codec.Reader().frame(4, bytes.fromhex(DIRECTORY + roster + other + roster))
+    events = codec.FrameReader().read_frame(4, bytes.fromhex(DIRECTORY + roster + other + roster))
     assert [event.engines[0].id[-1] for _, event in events] == [0x1F, 0x20]
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, text",
     [
         (frame(0)[:7], "header"),
         (frame(1, SUBMIT)[:30], "input ended inside a frame"),
@@ -60,10 +60,10 @@
         (struct.pack("<IIQ", 12, 5, 0), "impossible"),
     ],
 )
-def test_malformed_input_ends_with_one_line(data, said):
+def test_malformed_input_ends_with_one_line(data, text):
     errors = io.StringIO()
     assert serve(io.BytesIO(data), io.BytesIO(), errors) == 1
-    assert said in errors.getvalue() and errors.getvalue().count("\n") == 1
+    assert text in errors.getvalue() and errors.getvalue().count("\n") == 1
 
 
 def test_a_missing_setting_is_named_and_the_end_of_input_is_clean():
