--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -43,7 +43,7 @@
 RANDOM_CANDIDATES = 2
 # How many engines one choice may probe, so that one silent engine does not delay a batch.
 MAX_PROBES = 2
-# What the task of a batch asks for beside a dispatch (an engine's index) or an action.
+# What the task of a batch requests beside a dispatch (an engine's index) or an action.
 ENQUEUE = "enqueue"
 WAIT = "wait"
 # A time before any other, where nothing has happened yet.
@@ -271,7 +271,7 @@
         self.engine_memory: list[float] = []
         # Whether the list has the engine as ready.
         self.ready: list[bool] = []
-        # When it was started, and when this front began to treat it as started anew.
+        # When it was started, and when this front began to treat it as restarted.
         self.started_at: list[float] = []
         self.fresh_since: list[float] = []
         # How many threads of this front's dispatches it may run, by additive increase, multiplicative
@@ -368,7 +368,7 @@
         yield self.final_refusal(batch)
 
     def advance(self, batch: Batch, event: Any) -> None:
-        """Send an event or an engine's index to the batch's task, and do what it asks for next."""
+        """Send an event or an engine's index to the batch's task, and carry out its next request."""
         try:
             request = batch.task.send(event)
         except StopIteration:
@@ -440,7 +440,7 @@
     def is_straggling(self, batch: Batch, note: it.ProgressNote) -> bool:
         """Whether the rest of this dispatch would outlast a new one, and a new one is allowed.
 
-        This finds bad query plans. A slow engine is told apart by comparison: a dispatch at the same pace
+        This finds bad query plans. A slow engine is not mistaken for one: a dispatch at the same pace
         as the engine's others has no bad plan.
         """
         idempotent = self.query_classes[batch.class_index].repeat is it.Idempotency.IDEMPOTENT
@@ -827,7 +827,7 @@
         self.backoff_until[engine] = 0.0
 
     def reset_engine(self, engine: int, started: float) -> None:
-        """Treat the engine as started anew.
+        """Treat the engine as restarted.
 
         With its concurrency limit from before it went down, all fronts would flood it.
         """
@@ -863,7 +863,7 @@
         if engine not in self.load_estimates:
             sent = sum(dispatch.width for dispatch in self.unreported_dispatches(engine))
             # An old report gives way to the mean of all engines: one that was busy when last heard would
-            # never be sent to again, and so never be heard of again.
+            # never be sent to again, and so never report again.
             trust = self.decay_time / (self.decay_time + self.now - self.reported_at[engine])
             mean = self.mean_utilization
             utilization = mean + trust * (self.utilizations[engine] - mean)
--- a/thistlelever/ground/interface.py
+++ b/thistlelever/ground/interface.py
@@ -317,7 +317,7 @@
 
 
 class TimerDue(NamedTuple):
-    """A timer that the front asked for is due."""
+    """A timer that the front requested is due."""
 
     token: int
 
