--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -9,8 +9,8 @@
 from thistlelever.membership.local_health import LocalHealth
 from thistlelever.membership.merge import Merger
 from thistlelever.membership.prober import Prober
-from thistlelever.takeover.holder import Holder
-from thistlelever.wire.work import Verb, Word
+from thistlelever.takeover.replica import Replica
+from thistlelever.wire.work import Message, Verb
 
 
 def health():
@@ -46,7 +46,7 @@
 
 def promise():
     """A place that says yes to whoever asks, and nothing of what it knows."""
-    Holder.claim = lambda self, now, word: Word(
+    Replica.claim = lambda self, now, word: Message(
         Verb.YES, word.nonce, word.key, word.epoch, word.owner, lease_ms=word.lease_ms
     )
 
--- a/rigs/takeover_model.py
+++ b/rigs/takeover_model.py
@@ -16,27 +16,33 @@
 import click
 
 from rigs.verdict import close
-from thistlelever.takeover import judge as judging
-from thistlelever.takeover.facts import Group, Say, Standing, Terms, may_have_run
-from thistlelever.takeover.holder import Holder
-from thistlelever.takeover.judge import Judge
+from thistlelever.takeover import lease_manager
+from thistlelever.takeover.facts import (
+    Liveness,
+    QueryClassPolicy,
+    QuorumOutcome,
+    TakeoverConfig,
+    may_have_run,
+)
+from thistlelever.takeover.lease_manager import LeaseManager
+from thistlelever.takeover.replica import Replica
 from thistlelever.wire.work import Verb
 
 FRONTS = tuple(("127.0.0.1", 7000 + n) for n in range(3))
-GROUPS = (Group("pay", 1.0, False, False, 3.0, True),)
+GROUPS = (QueryClassPolicy("pay", 1.0, False, False, 3.0, True),)
 MARK, TXNS = b"m" * 16, (b"txn-of-a", b"txn-of-b")
-TERMS = Terms(keep=5.0)
+TERMS = TakeoverConfig(keep=5.0)
 # A jump of the clock is longer than every lease and question.
 JUMP = 2.0
 
 
 def all_alive(address, life):
-    return Standing.ALIVE
+    return Liveness.ALIVE
 
 
 def first_gone(address, life):
     """Whatever is true of it."""
-    return Standing.GONE if address == FRONTS[0] else Standing.ALIVE
+    return Liveness.GONE if address == FRONTS[0] else Liveness.ALIVE
 
 
 def yes(*_):
@@ -58,7 +64,7 @@
         self.wards = [None, None]
 
     def judge(self, place, born):
-        made = Judge(TERMS, FRONTS[place], 1, FRONTS, GROUPS, place, born)
+        made = LeaseManager(TERMS, FRONTS[place], 1, FRONTS, GROUPS, place, born)
         made.heirs.standing = first_gone if self.accused else all_alive
         made.heirs.alive, made.heirs.alone = yes, no
         return made
@@ -101,9 +107,9 @@
         judge = self.judges[place]
         if self.at[place] == "asks":
             # A group that demands protection is begun only where it is known that nothing ran.
-            if may_have_run(told.value) or told.say not in (Say.FRESH, Say.TAKEN):
+            if may_have_run(told.value) or told.say not in (QuorumOutcome.FRESH, QuorumOutcome.TAKEN):
                 self.at[place] = "led" if may_have_run(told.value) else "refused"
-            elif told.say is Say.TAKEN:
+            elif told.say is QuorumOutcome.TAKEN:
                 judge.close(self.now, ward)
                 self.at[place] = "away"
             else:
@@ -112,7 +118,7 @@
                     self.at[place] = "cleared"
             self.settle(place)
         elif self.at[place] == "goes out":
-            self.at[place] = "cleared" if told.say is Say.SURE else "refused"
+            self.at[place] = "cleared" if told.say is QuorumOutcome.SURE else "refused"
 
     # Steps.
 
@@ -266,24 +272,24 @@
 
 def no_majority():
     """One place's word is enough."""
-    made = judging.Ward.__init__
+    made = lease_manager.Lease.__init__
 
     def init(self, *words):
         made(self, *words)
         self.need = 1
 
-    judging.Ward.__init__ = init
+    lease_manager.Lease.__init__ = init
 
 
 def no_word_first():
     """What may not run twice goes out while its places are told of it."""
-    goes_out = Judge.goes_out
-    Judge.goes_out = lambda self, *words: goes_out(self, *words) and False
+    goes_out = LeaseManager.goes_out
+    LeaseManager.goes_out = lambda self, *words: goes_out(self, *words) and False
 
 
 def no_epoch():
     """A place takes what an earlier owner says after a later one was promised."""
-    put = Holder.put
+    put = Replica.put
 
     def taking(self, now, word):
         kept = self.kept.get(word.key)
@@ -293,12 +299,12 @@
             )
         return put(self, now, word)
 
-    Holder.put = taking
+    Replica.put = taking
 
 
 def no_youth():
     """A place that was started again answers as if it had forgotten nothing."""
-    Holder.young = lambda self, now: False
+    Replica.young = lambda self, now: False
 
 
 # Accused whatever is true, tries of each client, jumps of the clock, places that forget.
--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -18,9 +18,9 @@
 from rigs.fleet import Fleet
 from rigs.verdict import Chance, close
 from thistlelever.standins.papers import GROUP, SETTINGS
-from thistlelever.takeover.places import Places
+from thistlelever.takeover.placement import Placement
 from thistlelever.wire import peers, work
-from thistlelever.wire.work import State, Verb
+from thistlelever.wire.work import RunState, Verb
 
 LIMIT, KEEP, PATIENCE, RUNS_FOR = 2.5, 0.5, 0.7, 0.4
 # A place knows all that it should only once a life is older than its records.
@@ -61,7 +61,7 @@
         self.engine.act = self.call
         self.relay, self.case = self.owner.relays["e-0"], None
         fleet.wire.takes = self.datagram
-        self.places = Places(tuple(f.known_as for f in fleet.fronts), 3)
+        self.places = Placement(tuple(f.known_as for f in fleet.fronts), 3)
         self.numbers, self.marks, self.real = count(1), count(1), self.relay.carry
         self.relay.carry = self.bytes_there
 
@@ -130,11 +130,11 @@
             sends, state = sender == self.owner.place, word.value and word.value.state
             if sends and word.verb is Verb.CLAIM and case.step.startswith("claim"):
                 return case.step == "claim lost" and self.reaches("claim lost")
-            if sends and word.verb is Verb.PUT and state is State.OUT and case.step.startswith("word"):
+            if sends and word.verb is Verb.PUT and state is RunState.OUT and case.step.startswith("word"):
                 return case.step == "word lost" and self.reaches("word lost")
             if not sends and word.verb is Verb.YES:
                 self.reaches("claim not acknowledged" if word.lease_ms else "word not acknowledged")
-            if sends and word.verb is Verb.PUT and state is State.RETURNED and not word.lease_ms:
+            if sends and word.verb is Verb.PUT and state is RunState.RETURNED and not word.lease_ms:
                 return self.reaches("before it is taken back")
         return False
 
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -19,11 +19,20 @@
 from thistlelever.ground.tally import Tally
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
-from thistlelever.takeover.facts import Address, AskOn, CallOff, Enough, Group, Say, Told, may_have_run
-from thistlelever.takeover.judge import Judge
-from thistlelever.takeover.ward import Phase, Run, Ward
+from thistlelever.takeover.facts import (
+    Address,
+    KeepAlive,
+    CancelRun,
+    StopKeepAlive,
+    QueryClassPolicy,
+    QuorumOutcome,
+    QuorumResult,
+    may_have_run,
+)
+from thistlelever.takeover.lease_manager import LeaseManager
+from thistlelever.takeover.lease import Phase, RunEnd, Lease
 from thistlelever.wire import work as wire
-from thistlelever.wire.work import State, Value, Word
+from thistlelever.wire.work import RunState, RunStatus, Message
 
 # A batch that another front has is looked at again after this, and half as long by chance.
 LOOK_AGAIN = 0.06
@@ -38,7 +47,7 @@
 class Guard:
     """One batch's hold on itself, asked before anything of it goes out."""
 
-    def __init__(self, wards: Wards, batch: Batch, ward: Ward) -> None:
+    def __init__(self, wards: Wards, batch: Batch, ward: Lease) -> None:
         self.wards, self.batch, self.ward = wards, batch, ward
         self.group = wards.judge.groups[ward.group]
 
@@ -60,20 +69,20 @@
                 wards.soon()
             return True
         told = await wards.answer(ward)
-        if told.say is Say.ALONE and not self.group.demands:
+        if told.say is QuorumOutcome.ALONE and not self.group.demands:
             # It can't be known, and what then is done is what a lone front does.
             wards.tally.add("takeover: dispatched unprotected")
             ward.bare = "no majority for its dispatch"
             return True
-        return told.say is Say.SURE
+        return told.say is QuorumOutcome.SURE
 
-    async def holds(self) -> Say:
+    async def holds(self) -> QuorumOutcome:
         """Whether it still is this front's; asked where that is not sure by itself."""
         wards, ward = self.wards, self.ward
         if wards.lost(ward):
-            return Say.LOST
+            return QuorumOutcome.LOST
         if ward.holds(clock.now()):
-            return Say.SURE
+            return QuorumOutcome.SURE
         wards.judge.confirm(clock.now(), ward)
         told = await wards.answer(ward, ward.limit_at)
         wards.tally.add(f"takeover: asked whether still its own: {told.say.value}")
@@ -82,21 +91,25 @@
     async def settled(self, told):
         """The final answer as it may be given. Risk: one that was told harmless runs at another front."""
         say = await self.holds()
-        if say is Say.SURE or say is Say.ALONE and (type(told) is not it.PushBack or self.group.repeatable):
+        if (
+            say is QuorumOutcome.SURE
+            or say is QuorumOutcome.ALONE
+            and (type(told) is not it.PushBack or self.group.repeatable)
+        ):
             return told
         self.wards.tally.add("takeover: answers left to another")
         return it.Error(self.batch.number)
 
     async def may_call_off(self) -> bool:
         """Whether what is out may be given up. Where it can't be known it is left to end by itself."""
-        return self.ward.phase is Phase.CLOSED or await self.holds() is Say.SURE
+        return self.ward.phase is Phase.CLOSED or await self.holds() is QuorumOutcome.SURE
 
     def came_back(self, end: End) -> None:
         """That dispatch has ended."""
         run = (
-            Run.NEVER_RAN
+            RunEnd.NEVER_RAN
             if end.fate in NEVER_RAN
-            else (Run.RETURNED if end.fate is it.Fate.RETURNED else Run.UNKNOWN)
+            else (RunEnd.RETURNED if end.fate is it.Fate.RETURNED else RunEnd.UNKNOWN)
         )
         self.wards.judge.came_back(clock.now(), self.ward, run)
 
@@ -114,7 +127,7 @@
 
     def __init__(
         self,
-        judge: Judge,
+        judge: LeaseManager,
         peers: Peers,
         manifest: it.Manifest,
         roll: Roll,
@@ -130,7 +143,7 @@
         self.asking: dict[bytes, asyncio.Task] = {}
         self.asides: set[asyncio.Task] = set()
         # Words that have not left yet, and when they do at the latest.
-        self.words: dict[Address, list[Word]] = {}
+        self.words: dict[Address, list[Message]] = {}
         self.leaves_at: dict[Address, float] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.pending = False
@@ -140,7 +153,7 @@
 
     # A batch's path.
 
-    def lost(self, ward: Ward) -> bool:
+    def lost(self, ward: Lease) -> bool:
         return ward.phase in (Phase.LOST, Phase.CLOSED)
 
     def enter_lazy(self, batch: Batch) -> None:
@@ -165,7 +178,7 @@
                 self.judge.close(clock.now(), ward)
                 self.soon()
                 raise
-            if told.say is not Say.TAKEN:
+            if told.say is not QuorumOutcome.TAKEN:
                 answer = self.goes_on(batch, ward, told, tariff)
                 if answer:
                     self.judge.close(clock.now(), ward)
@@ -179,14 +192,14 @@
             await asyncio.sleep(LOOK_AGAIN * (1 + self.judge.chance() / 2))
 
     def goes_on(
-        self, batch: Batch, ward: Ward, told: Told, tariff: it.Tariff
+        self, batch: Batch, ward: Lease, told: QuorumResult, tariff: it.Tariff
     ) -> it.PushBack | it.Error | None:
         """What a claim's answer means for the batch, where no other front has it."""
         once_only = tariff.repeat is it.Repeat.ONCE_ONLY
         demands = self.judge.groups[ward.group].demands
         # Where what can't be protected goes out all the same, that nothing is known says nothing.
-        unknown = told.say in (Say.UNSURE, Say.ALONE) or (
-            told.say is Say.FRESH and told.value is None and not demands
+        unknown = told.say in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
+            told.say is QuorumOutcome.FRESH and told.value is None and not demands
         )
         self.tally.add(f"takeover: {told.say.value}")
         if may_have_run(told.value):
@@ -206,16 +219,16 @@
         self.guards[ward.owner.txn] = batch.ward
         return None
 
-    def not_known(self, batch: Batch, told: Told, why: str) -> it.Error:
+    def not_known(self, batch: Batch, told: QuorumResult, why: str) -> it.Error:
         self.tally.add("takeover: told that it is not known")
         self.log(
             "work not known", batch=batch.asked.txn, mark=batch.asked.reference, say=told.say.value, why=why
         )
         return it.Error(batch.number)
 
-    def adopts(self, batch: Batch, value: Value, tariff: it.Tariff) -> bool:
+    def adopts(self, batch: Batch, value: RunStatus, tariff: it.Tariff) -> bool:
         """Another front's run becomes this one's first dispatch: whether the batch can go on from there."""
-        if value.state is State.RETURNED and tariff.repeat is it.Repeat.REPEATABLE:
+        if value.state is RunState.RETURNED and tariff.repeat is it.Repeat.REPEATABLE:
             return True
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
         good = goes_on_from(batch, tariff, self.roll, *begun)
@@ -231,7 +244,7 @@
             )
         return good
 
-    async def read(self, batch: Batch, value: Value) -> End | None:
+    async def read(self, batch: Batch, value: RunStatus) -> End | None:
         """The result of a run that another front has out, read at its engine; None where there is none."""
         entry = self.roll.entries.get(value.engine.encode("latin-1"))
         if entry is None:
@@ -250,7 +263,7 @@
         self.tally.add("takeover: read another front's run")
         return end
 
-    async def answer(self, ward: Ward, limit_at: float = float("inf")) -> Told:
+    async def answer(self, ward: Lease, limit_at: float = float("inf")) -> QuorumResult:
         """What the places say to the question that is out."""
         waiter = self.waiters[ward.owner.txn] = asyncio.get_running_loop().create_future()
         began = clock.now()
@@ -259,7 +272,7 @@
             async with asyncio.timeout_at(clock.on_loop(limit_at + PAST_LIMIT)):
                 return await waiter
         except TimeoutError:
-            return Told(Say.ALONE)
+            return QuorumResult(QuorumOutcome.ALONE)
         finally:
             self.waiters.pop(ward.owner.txn, None)
             self.waited.append(clock.now() - began)
@@ -319,7 +332,7 @@
             waiter = self.waiters.get(ward.owner.txn)
             if waiter and not waiter.done():
                 waiter.set_result(told)
-            elif told.say is Say.LOST:
+            elif told.say is QuorumOutcome.LOST:
                 self.tell_lost(ward)
         for note in judge.notes:
             self.tally.add(f"work {note.what}")
@@ -340,7 +353,7 @@
                 self.peers.send(address, data)
         self.plan(now)
 
-    def tell_lost(self, ward: Ward) -> None:
+    def tell_lost(self, ward: Lease) -> None:
         if guard := self.guards.get(ward.owner.txn):
             guard.batch.inbox.put_nowait(TakenOver(guard.batch.number))
 
@@ -352,19 +365,19 @@
 
     # What is done for the lost.
 
-    def carry(self, order: AskOn | CallOff | Enough) -> None:
+    def carry(self, order: KeepAlive | CancelRun | StopKeepAlive) -> None:
         task = self.asking.pop(order.key, None)
         if task:
             task.cancel()
         loop = asyncio.get_running_loop()
-        if type(order) is AskOn:
+        if type(order) is KeepAlive:
             self.asking[order.key] = loop.create_task(self.ask_on(order))
-        elif type(order) is CallOff:
+        elif type(order) is CancelRun:
             task = loop.create_task(self.call_off(order))
             self.asides.add(task)
             task.add_done_callback(self.asides.discard)
 
-    async def ask_on(self, order: AskOn) -> None:
+    async def ask_on(self, order: KeepAlive) -> None:
         """Until the judge says that it is enough."""
         while True:
             entry = self.roll.entries.get(order.engine.encode("latin-1"))
@@ -375,18 +388,18 @@
             self.soon()
             await asyncio.sleep(self.judge.terms.ask)
 
-    async def call_off(self, order: CallOff) -> None:
+    async def call_off(self, order: CancelRun) -> None:
         if entry := self.roll.entries.get(order.engine.encode("latin-1")):
             await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
 
 
-def groups(manifest: it.Manifest, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
+def groups(manifest: it.Manifest, demand: tuple[str, ...] | None) -> tuple[QueryClassPolicy, ...]:
     """The service groups as the judgement knows them; where nothing is said once-only ones demand
     protection."""
 
-    def one(t: it.Tariff) -> Group:
+    def one(t: it.Tariff) -> QueryClassPolicy:
         demands = t.repeat is it.Repeat.ONCE_ONLY if demand is None else t.name in demand
-        return Group(
+        return QueryClassPolicy(
             t.name,
             t.utility,
             t.repeat is it.Repeat.REPEATABLE,
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -13,8 +13,8 @@
 from thistlelever.lifecycle.membership import MembershipSide
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.takeover import views
-from thistlelever.takeover.facts import Address, Standing, Terms
-from thistlelever.takeover.judge import Judge
+from thistlelever.takeover.facts import Address, Liveness, TakeoverConfig
+from thistlelever.takeover.lease_manager import LeaseManager
 from thistlelever.wire.peers import State
 
 # Before a front ends what is out is handed over, with time left to tell its clients.
@@ -43,7 +43,7 @@
         papers = parts.papers
         sound(section, papers)
         self.parts, self.members = parts, membership.members.judge
-        terms = Terms(
+        terms = TakeoverConfig(
             places=section.places,
             lease=section.lease_s,
             renew=section.lease_s * 0.4,
@@ -53,7 +53,7 @@
             most_taken=section.most_taken,
         )
         me = self.members.me
-        self.judge = Judge(
+        self.judge = LeaseManager(
             terms,
             me.address,
             me.life,
@@ -74,14 +74,14 @@
             parts.log,
         )
 
-    def standing(self, address: Address, life: int) -> Standing:
+    def standing(self, address: Address, life: int) -> Liveness:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
         if address == self.members.me.address:
-            return Standing.ALIVE if life == self.members.me.life else Standing.GONE
+            return Liveness.ALIVE if life == self.members.me.life else Liveness.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE:
-            return Standing.GONE
-        return Standing.SUSPECTED if member.state is State.SUSPECTED else Standing.ALIVE
+            return Liveness.GONE
+        return Liveness.SUSPECTED if member.state is State.SUSPECTED else Liveness.ALIVE
 
     def alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
--- a/thistlelever/takeover/catchup.py
+++ b/thistlelever/takeover/catchup.py
@@ -8,25 +8,25 @@
 from __future__ import annotations
 
 from thistlelever.takeover.facts import Address, Send
-from thistlelever.takeover.holder import Holder
-from thistlelever.takeover.places import Places
-from thistlelever.wire.work import Owner, Verb, Word
+from thistlelever.takeover.placement import Placement
+from thistlelever.takeover.replica import Replica
+from thistlelever.wire.work import Message, Owner, Verb
 
 # So many records are told at a time; what did not come whole is asked for again after this.
-A_TIME, AGAIN = 12, 0.08
+PAGE_SIZE, RETRY_INTERVAL_S = 12, 0.08
 # A list that is being told is kept so long for who asks on.
-KEPT_FOR = 2.0
-ALL = b"\0" * 16
+LISTING_TTL_S = 2.0
+ALL_KEYS = b"\0" * 16
 
 
 class CatchUp:
     """Both sides of it in one front."""
 
-    def __init__(self, me: Owner, holder: Holder, places: Places) -> None:
+    def __init__(self, me: Owner, holder: Replica, places: Placement) -> None:
         self.me, self.holder, self.places = me, holder, places
         # Of whom it is asked: from which record on, when again; and of that piece what has come.
         self.asked: dict[Address, list] = {}
-        self.came: dict[Address, dict[bytes, Word]] = {}
+        self.came: dict[Address, dict[bytes, Message]] = {}
         self.begun, self.told_all = False, set()
         # Lists that are being told, by who asks.
         self.lists: dict[Address, tuple[float, list[bytes]]] = {}
@@ -38,22 +38,22 @@
 
     def turn(self, now: float) -> list[Send]:
         """What is due by now."""
-        self.lists = {a: told for a, told in self.lists.items() if now - told[0] < KEPT_FOR}
+        self.lists = {a: told for a, told in self.lists.items() if now - told[0] < LISTING_TTL_S}
         if not self.holder.young(now):
             self.asked, self.came = {}, {}
             return []
         sends = []
         for address, state in self.asked.items():
             if now >= state[1]:
-                state[1] = now + AGAIN
+                state[1] = now + RETRY_INTERVAL_S
                 self.came[address] = {}
-                sends.append(Send(address, Word(Verb.CATCH, state[0], ALL, 0, self.me)))
+                sends.append(Send(address, Message(Verb.CATCH, state[0], ALL_KEYS, 0, self.me)))
         return sends
 
     def due(self) -> float:
         return min((state[1] for state in self.asked.values()), default=float("inf"))
 
-    def answer(self, now: float, source: Address, word: Word) -> list[Word]:
+    def answer(self, now: float, source: Address, word: Message) -> list[Message]:
         """A piece of what this front keeps for another: records, and an end that counts them and says from
         where to go on, or that it is all."""
         if word.nonce == 0 or source not in self.lists:
@@ -65,10 +65,12 @@
             self.lists[source] = now, keys
         _, keys = self.lists[source]
         piece = [
-            self.holder.kept[key] for key in keys[word.nonce : word.nonce + A_TIME] if key in self.holder.kept
+            self.holder.kept[key]
+            for key in keys[word.nonce : word.nonce + PAGE_SIZE]
+            if key in self.holder.kept
         ]
         told = [
-            Word(
+            Message(
                 Verb.KEPT,
                 word.nonce,
                 kept.key,
@@ -81,11 +83,11 @@
             for kept in piece
             if kept.owner
         ]
-        after = word.nonce + A_TIME
-        end = Word(
+        after = word.nonce + PAGE_SIZE
+        end = Message(
             Verb.END,
             word.nonce,
-            ALL,
+            ALL_KEYS,
             0 if after >= len(keys) else after,
             self.me,
             None,
@@ -94,7 +96,7 @@
         )
         return [*told, end]
 
-    def heard(self, now: float, source: Address, word: Word) -> None:
+    def heard(self, now: float, source: Address, word: Message) -> None:
         """A record, or the end of a piece."""
         state = self.asked.get(source)
         if state is None or word.nonce != state[0]:
@@ -105,7 +107,7 @@
             return
         if len(came) < word.lease_ms:
             # Some of it was lost, or is late: all of the piece is asked for again.
-            state[1] = min(state[1], now + AGAIN / 4)
+            state[1] = min(state[1], now + RETRY_INTERVAL_S / 4)
             return
         for one in came.values():
             self.holder.restore(now, one)
--- a/thistlelever/takeover/facts.py
+++ b/thistlelever/takeover/facts.py
@@ -5,12 +5,12 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-from thistlelever.wire.work import Owner, State, Value, Word
+from thistlelever.wire.work import Message, Owner, RunState, RunStatus
 
 Address = tuple[str, int]
 
 
-class Terms(NamedTuple):
+class TakeoverConfig(NamedTuple):
     """Times in seconds; `docs/takeover.md` says how they follow from each other."""
 
     # How many fronts keep the record of a batch that somebody can come back for.
@@ -32,7 +32,7 @@
     most_taken: int = 256
 
 
-class Standing(IntEnum):
+class Liveness(IntEnum):
     """What membership holds a front for."""
 
     ALIVE = 0
@@ -40,7 +40,7 @@
     GONE = 2
 
 
-class Group(NamedTuple):
+class QueryClassPolicy(NamedTuple):
     """What matters here of a service group."""
 
     name: str
@@ -52,7 +52,7 @@
     demands: bool
 
 
-class Say(Enum):
+class QuorumOutcome(Enum):
     """How a question to the places ended."""
 
     # Of a claim: nothing of it ever ran; it ran or may be running, and is now this front's; another owns it;
@@ -67,22 +67,22 @@
     LOST = "lost"
 
 
-class Told(NamedTuple):
+class QuorumResult(NamedTuple):
     """The answer to one question. `value` is what is known of the batch, `owner` who has it where it is
     another's, `regained` whether it had been an heir's meanwhile."""
 
-    say: Say
-    value: Value | None = None
+    say: QuorumOutcome
+    value: RunStatus | None = None
     owner: Owner | None = None
     regained: bool = False
 
 
 class Send(NamedTuple):
     address: Address
-    word: Word
+    word: Message
 
 
-class AskOn(NamedTuple):
+class KeepAlive(NamedTuple):
     """Go on asking the engine for a batch whose front is lost, so that it goes on running, and its result on
     lying there."""
 
@@ -92,7 +92,7 @@
     number: int
 
 
-class CallOff(NamedTuple):
+class CancelRun(NamedTuple):
     """Nobody can come back for it: the engine is to be free at once."""
 
     key: bytes
@@ -101,13 +101,13 @@
     number: int
 
 
-class Enough(NamedTuple):
+class StopKeepAlive(NamedTuple):
     """Ask on no longer."""
 
     key: bytes
 
 
-class Note(NamedTuple):
+class LeaseEvent(NamedTuple):
     """Something that befell a batch, for log and counters."""
 
     what: str
@@ -115,5 +115,5 @@
     facts: dict
 
 
-def may_have_run(value: Value | None) -> bool:
-    return value is not None and value.state is not State.HELD
+def may_have_run(value: RunStatus | None) -> bool:
+    return value is not None and value.state is not RunState.HELD
--- a/thistlelever/takeover/places.py
+++ b/thistlelever/takeover/placement.py
@@ -11,7 +11,7 @@
 from thistlelever.takeover.facts import Address
 
 
-class Places:
+class Placement:
     """The fronts of the tier by their addresses as others know them, this one among them."""
 
     def __init__(self, fronts: tuple[Address, ...], many: int, me: Address | None = None) -> None:
--- a/thistlelever/takeover/holder.py
+++ b/thistlelever/takeover/replica.py
@@ -9,12 +9,12 @@
 
 from collections import defaultdict
 
-from thistlelever.takeover.facts import Address, Terms
+from thistlelever.takeover.facts import Address, TakeoverConfig
 from thistlelever.wire.peers import address_of
-from thistlelever.wire.work import Owner, State, Value, Verb, Word
+from thistlelever.wire.work import Message, Owner, RunState, RunStatus, Verb
 
 
-class Kept:
+class Record:
     """One batch as this place knows it."""
 
     __slots__ = (
@@ -36,7 +36,7 @@
         # To whom it is promised, and who said the value.
         self.owner: Owner | None = None
         self.whose: Owner | None = None
-        self.value: Value | None = None
+        self.value: RunStatus | None = None
         self.heir, self.released, self.lease_till, self.forget_at = False, False, 0.0, 0.0
         # When the value came, and any word of its owner's.
         self.valued_at, self.heard_at = 0.0, 0.0
@@ -55,13 +55,13 @@
         return max(self.lease_till - now, 0.0)
 
 
-class Holder:
+class Replica:
     """The records of one place. `horizon` is how long a record may matter: a life younger than that may have
     forgotten some, and says so."""
 
-    def __init__(self, terms: Terms, horizon: float, now: float) -> None:
+    def __init__(self, terms: TakeoverConfig, horizon: float, now: float) -> None:
         self.terms, self.horizon, self.born = terms, horizon, now
-        self.kept: dict[bytes, Kept] = {}
+        self.kept: dict[bytes, Record] = {}
         self.by_front: dict[Address, set[bytes]] = defaultdict(set)
         # Whether it can promise anything: a place that fails says so and is passed by.
         self.failing = ""
@@ -70,7 +70,7 @@
     def young(self, now: float) -> bool:
         return now - self.born < self.horizon
 
-    def answer(self, now: float, word: Word) -> Word | None:
+    def answer(self, now: float, word: Message) -> Message | None:
         """What this place says to a claim, a put, a release or a drop."""
         match word.verb:
             case Verb.CLAIM:
@@ -85,7 +85,7 @@
                     self.drop(kept)
         return None
 
-    def claim(self, now: float, word: Word) -> Word:
+    def claim(self, now: float, word: Message) -> Message:
         kept = self.kept.get(word.key)
         if kept is None:
             kept = self.room(word.key)
@@ -100,7 +100,7 @@
         self.promise(now, kept, word)
         return self.yes(now, word, kept)
 
-    def put(self, now: float, word: Word) -> Word | None:
+    def put(self, now: float, word: Message) -> Message | None:
         """An owner's word on its batch. A later epoch had a majority's promise, this place among them or not:
         its lease is not asked for again."""
         kept = self.kept.get(word.key)
@@ -115,7 +115,7 @@
         # Nobody waits for an answer to the last word of a batch.
         return self.yes(now, word, kept) if word.nonce else None
 
-    def restore(self, now: float, word: Word) -> None:
+    def restore(self, now: float, word: Message) -> None:
         """What another place keeps of a batch whose record this one had in a former life."""
         kept = self.kept.get(word.key) or self.room(word.key)
         if kept is None:
@@ -124,7 +124,7 @@
         if word.epoch > kept.epoch:
             self.promise(now, kept, word)
 
-    def outweighs(self, now: float, kept: Kept, word: Word) -> bool:
+    def outweighs(self, now: float, kept: Record, word: Message) -> bool:
         """Whether a word's value is later than the one that is kept; then it is kept."""
         if word.value is None or kept.value is not None and word.value.order <= kept.value.order:
             return False
@@ -134,7 +134,7 @@
         self.listed(kept)
         return True
 
-    def promise(self, now: float, kept: Kept, word: Word) -> None:
+    def promise(self, now: float, kept: Record, word: Message) -> None:
         self.unlisted(kept)
         kept.owner, kept.epoch, kept.released = word.owner, word.epoch, False
         kept.heir, kept.heard_at = word.heir, now
@@ -143,13 +143,13 @@
         over = kept.valued_at + kept.value.left_ms / 1e3 if kept.value else now + self.terms.lease
         kept.forget_at = max(kept.forget_at, over + self.terms.keep)
 
-    def asked_for(self, now: float, kept: Kept, word: Word) -> None:
+    def asked_for(self, now: float, kept: Record, word: Message) -> None:
         """Keep what a client comes back for for as long as clients may come after it. Risk: tries that own
         nothing, for want of a majority, leave no value, and a run is forgotten that is still asked for."""
         if not word.heir:
             kept.forget_at = max(kept.forget_at, now + word.lease_ms / 1e3 + self.terms.keep)
 
-    def release(self, word: Word) -> None:
+    def release(self, word: Message) -> None:
         """The lease is over, the promise stands. Risk: a place that forgets whom it promised an epoch to
         promises it to another, and two have a majority for the same one."""
         kept = self.kept.get(word.key)
@@ -158,24 +158,24 @@
             kept.lease_till, kept.released = 0.0, True
             self.listed(kept)
 
-    def listed(self, kept: Kept) -> None:
+    def listed(self, kept: Record) -> None:
         if kept.behind:
             self.by_front[address_of(kept.behind.address)].add(kept.key)
 
-    def unlisted(self, kept: Kept) -> None:
+    def unlisted(self, kept: Record) -> None:
         if kept.behind and (keys := self.by_front.get(address_of(kept.behind.address))):
             keys.discard(kept.key)
             if not keys:
                 del self.by_front[address_of(kept.behind.address)]
 
-    def room(self, key: bytes) -> Kept | None:
+    def room(self, key: bytes) -> Record | None:
         if self.failing or len(self.kept) >= self.terms.most_kept:
             self.full += 1
             return None
-        kept = self.kept[key] = Kept(key)
+        kept = self.kept[key] = Record(key)
         return kept
 
-    def drop(self, kept: Kept) -> None:
+    def drop(self, kept: Record) -> None:
         self.unlisted(kept)
         del self.kept[kept.key]
 
@@ -183,11 +183,11 @@
         for kept in [k for k in self.kept.values() if now >= k.forget_at]:
             self.drop(kept)
 
-    def yes(self, now: float, word: Word, kept: Kept) -> Word:
+    def yes(self, now: float, word: Message, kept: Record) -> Message:
         # What was put need not come back.
         claim = word.verb is Verb.CLAIM
         value = self.aged(now, kept, kept.value) if claim else None
-        return Word(
+        return Message(
             Verb.YES,
             word.nonce,
             word.key,
@@ -198,12 +198,12 @@
             young=self.young(now),
         )
 
-    def no(self, now: float, word: Word, kept: Kept | None) -> Word:
+    def no(self, now: float, word: Message, kept: Record | None) -> Message:
         """Where nothing can be promised at all, the answer names the asker itself, with nothing behind it."""
         if kept is None:
-            return Word(Verb.NO, word.nonce, word.key, 0, word.owner)
+            return Message(Verb.NO, word.nonce, word.key, 0, word.owner)
         owner = kept.owner or word.owner
-        return Word(
+        return Message(
             Verb.NO,
             word.nonce,
             word.key,
@@ -215,13 +215,13 @@
             self.young(now),
         )
 
-    def aged(self, now: float, kept: Kept, value: Value | None) -> Value | None:
+    def aged(self, now: float, kept: Record, value: RunStatus | None) -> RunStatus | None:
         """The value with its times as they are now."""
         if value is None:
             return None
         past = max(round((now - kept.valued_at) * 1e3), 0)
-        ran = value.ran_ms + past if value.state is not State.HELD else 0
-        return Value(
+        ran = value.ran_ms + past if value.state is not RunState.HELD else 0
+        return RunStatus(
             value.epoch,
             value.step,
             value.state,
--- a/thistlelever/takeover/heirs.py
+++ b/thistlelever/takeover/successors.py
@@ -8,23 +8,23 @@
 
 from thistlelever.takeover.facts import (
     Address,
-    AskOn,
-    CallOff,
-    Enough,
-    Group,
-    Note,
-    Say,
-    Standing,
-    Terms,
-    Told,
+    CancelRun,
+    KeepAlive,
+    LeaseEvent,
+    Liveness,
+    QueryClassPolicy,
+    QuorumOutcome,
+    QuorumResult,
+    StopKeepAlive,
+    TakeoverConfig,
 )
-from thistlelever.takeover.holder import Holder, Kept
-from thistlelever.takeover.places import Places
+from thistlelever.takeover.placement import Placement
+from thistlelever.takeover.replica import Record, Replica
 from thistlelever.wire.peers import address_of
-from thistlelever.wire.work import State
+from thistlelever.wire.work import RunState
 
 
-class Claim(NamedTuple):
+class PendingClaim(NamedTuple):
     """A batch whose front is gone, to be claimed for nobody yet."""
 
     key: bytes
@@ -34,12 +34,12 @@
     left: float
 
 
-class Taken:
+class InheritedRun:
     """One batch that is asked on for."""
 
     __slots__ = ("key", "engine", "txn", "group", "owner", "since", "till", "claimed", "word")
 
-    def __init__(self, kept: Kept, now: float, till: float) -> None:
+    def __init__(self, kept: Record, now: float, till: float) -> None:
         value = kept.value
         self.key, self.engine, self.txn, self.group = kept.key, value.engine, value.txn, value.group
         self.owner, self.since, self.till = kept.behind, now, till
@@ -47,27 +47,32 @@
         self.claimed, self.word = "", ""
 
 
-class Heirs:
+class Successor:
     """The heir's side of one front. `standing` says what membership holds a front and life for; while `alone`
     nothing that it says is acted on."""
 
     def __init__(
-        self, terms: Terms, me: Address, holder: Holder, places: Places, groups: tuple[Group, ...]
+        self,
+        terms: TakeoverConfig,
+        me: Address,
+        holder: Replica,
+        places: Placement,
+        groups: tuple[QueryClassPolicy, ...],
     ) -> None:
         self.terms, self.me, self.holder, self.places, self.groups = terms, me, holder, places, groups
-        self.standing: Callable[[Address, int], Standing] = lambda address, life: Standing.ALIVE
+        self.standing: Callable[[Address, int], Liveness] = lambda address, life: Liveness.ALIVE
         self.alone: Callable[[], bool] = lambda: False
         # Who of the places is taken to be alive; what matters of a place is its address.
         self.alive: Callable[[Address], bool] = lambda address: True
-        self.taken: dict[bytes, Taken] = {}
+        self.taken: dict[bytes, InheritedRun] = {}
         self.let_go: set[bytes] = set()
-        self.orders: list[AskOn | CallOff | Enough] = []
-        self.notes: list[Note] = []
+        self.orders: list[KeepAlive | CancelRun | StopKeepAlive] = []
+        self.notes: list[LeaseEvent] = []
 
     def has(self, key: bytes) -> bool:
         return key in self.taken
 
-    def look(self, now: float) -> list[Claim]:
+    def look(self, now: float) -> list[PendingClaim]:
         """What has to be done by now, into `orders`; what is to be claimed."""
         for taken in list(self.taken.values()):
             self.look_again(now, taken)
@@ -85,7 +90,7 @@
                 life = kept.behind.life
                 if life not in lives:
                     lives[life] = self.standing(address, life)
-                if lives[life] is not Standing.ALIVE and not kept.heir:
+                if lives[life] is not Liveness.ALIVE and not kept.heir:
                     claims += self.inherit(now, kept, lives[life])
         return claims
 
@@ -94,16 +99,16 @@
         value = self.holder.kept[key].value
         return (-self.groups[value.group].utility if value and value.group < len(self.groups) else 0.0), key
 
-    def inherit(self, now: float, kept: Kept, standing: Standing) -> list[Claim]:
+    def inherit(self, now: float, kept: Record, standing: Liveness) -> list[PendingClaim]:
         value = kept.value
-        if value is None or value.state is not State.OUT or value.group >= len(self.groups):
+        if value is None or value.state is not RunState.OUT or value.group >= len(self.groups):
             return []
         if not self.is_heir(kept):
             return []
-        over = standing is Standing.GONE and kept.left(now) == 0
+        over = standing is Liveness.GONE and kept.left(now) == 0
         if kept.lazy and self.groups[value.group].repeatable:
             if over:
-                self.orders.append(CallOff(kept.key, value.engine, value.txn, value.number))
+                self.orders.append(CancelRun(kept.key, value.engine, value.txn, value.number))
                 self.note("called off", kept.key, value.txn, engine=value.engine)
                 self.holder.drop(kept)
             return []
@@ -113,10 +118,10 @@
         if over and not taken.claimed and not kept.lazy:
             taken.claimed = "asked"
             left = max(kept.forget_at - now, 0.0)
-            return [Claim(kept.key, value.txn, value.group, kept.epoch, left)]
+            return [PendingClaim(kept.key, value.txn, value.group, kept.epoch, left)]
         return []
 
-    def is_heir(self, kept: Kept) -> bool:
+    def is_heir(self, kept: Record) -> bool:
         """The first of the places that lives, other than the lost one; two that see it differently both ask
         on, which no engine minds, and one of them is promised it."""
         if kept.lazy:
@@ -127,7 +132,7 @@
                 return place == self.me
         return False
 
-    def take(self, now: float, kept: Kept) -> Taken | None:
+    def take(self, now: float, kept: Record) -> InheritedRun | None:
         """Ask on for it, unless so much is taken already that is worth no less."""
         if len(self.taken) >= self.terms.most_taken:
             least = min(self.taken.values(), key=lambda t: (self.groups[t.group].utility, -t.since))
@@ -136,8 +141,8 @@
                 return None
             self.stop(least)
             self.lets_go(least.key, least.txn)
-        taken = self.taken[kept.key] = Taken(kept, now, kept.forget_at)
-        self.orders.append(AskOn(taken.key, taken.engine, taken.txn, kept.value.number))
+        taken = self.taken[kept.key] = InheritedRun(kept, now, kept.forget_at)
+        self.orders.append(KeepAlive(taken.key, taken.engine, taken.txn, kept.value.number))
         owner = "{}:{}".format(*address_of(kept.behind.address))
         self.note(
             "asked on for",
@@ -154,7 +159,7 @@
             self.let_go.add(key)
             self.note("let go", key, txn)
 
-    def look_again(self, now: float, taken: Taken) -> None:
+    def look_again(self, now: float, taken: InheritedRun) -> None:
         """Whether what is asked on for still is this front's to ask."""
         kept = self.holder.kept.get(taken.key)
         if (
@@ -162,7 +167,7 @@
             or now >= taken.till
             or kept.value is None
             or kept.value.txn != taken.txn
-            or (kept.value.state is not State.OUT)
+            or (kept.value.state is not RunState.OUT)
         ):
             self.stop(taken)
             return
@@ -172,21 +177,21 @@
             self.stop(taken)
         elif (
             not taken.claimed
-            and self.standing(address_of(taken.owner.address), taken.owner.life) is Standing.ALIVE
+            and self.standing(address_of(taken.owner.address), taken.owner.life) is Liveness.ALIVE
         ):
             self.stop(taken)
 
-    def claimed(self, ward, told: Told) -> None:
+    def claimed(self, ward, told: QuorumResult) -> None:
         """What became of a claim."""
         taken = self.taken.get(ward.key)
         if taken is None:
             return
-        good = told.say in (Say.FRESH, Say.FOUND, Say.UNSURE)
+        good = told.say in (QuorumOutcome.FRESH, QuorumOutcome.FOUND, QuorumOutcome.UNSURE)
         if good and taken.claimed != "yes":
             self.note("taken over", ward.key, taken.txn, engine=taken.engine)
         # Without a majority it is asked on for all the same, and claimed again.
-        taken.claimed = "yes" if good else "no" if told.say is Say.TAKEN else ""
-        if told.say is Say.TAKEN:
+        taken.claimed = "yes" if good else "no" if told.say is QuorumOutcome.TAKEN else ""
+        if told.say is QuorumOutcome.TAKEN:
             self.stop(taken)
 
     def asked(self, key: bytes, word: str) -> None:
@@ -202,8 +207,8 @@
             self.let_go.add(key)
 
     def note(self, what: str, key: bytes, txn: bytes, **facts) -> None:
-        self.notes.append(Note(what, key, {"txn": txn.hex(), **facts}))
+        self.notes.append(LeaseEvent(what, key, {"txn": txn.hex(), **facts}))
 
-    def stop(self, taken: Taken) -> None:
+    def stop(self, taken: InheritedRun) -> None:
         self.taken.pop(taken.key, None)
-        self.orders.append(Enough(taken.key))
+        self.orders.append(StopKeepAlive(taken.key))
--- a/thistlelever/takeover/views.py
+++ b/thistlelever/takeover/views.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from thistlelever.takeover.facts import Standing
-from thistlelever.takeover.holder import Kept
-from thistlelever.takeover.judge import Judge
-from thistlelever.takeover.ward import Ward
+from thistlelever.takeover.facts import Liveness
+from thistlelever.takeover.lease import Lease
+from thistlelever.takeover.lease_manager import LeaseManager
+from thistlelever.takeover.replica import Record
 from thistlelever.wire.peers import address_of
 
 
-def show(judge: Judge, now: float) -> dict:
+def show(judge: LeaseManager, now: float) -> dict:
     """Counts of what is its own, kept for others and taken over, and each that is taken over."""
     wards = judge.wards.values()
     mine = [w for w in wards if w.marked and not w.heir]
@@ -37,7 +37,7 @@
     }
 
 
-def explain(judge: Judge, batch: str, now: float) -> dict:
+def explain(judge: LeaseManager, batch: str, now: float) -> dict:
     """All that is known here of a batch, by its id or its mark."""
     try:
         key = bytes.fromhex(batch)
@@ -55,7 +55,7 @@
     }
 
 
-def own(judge: Judge, ward: Ward, now: float) -> dict:
+def own(judge: LeaseManager, ward: Lease, now: float) -> dict:
     return {
         "batch": ward.owner.txn.hex(),
         "key": ward.key.hex(),
@@ -69,9 +69,9 @@
     }
 
 
-def record(judge: Judge, kept: Kept, now: float) -> dict:
+def record(judge: LeaseManager, kept: Record, now: float) -> dict:
     value, owner = kept.value, kept.behind
-    standing = judge.heirs.standing(address_of(owner.address), owner.life) if owner else Standing.GONE
+    standing = judge.heirs.standing(address_of(owner.address), owner.life) if owner else Liveness.GONE
     return {
         "key": kept.key.hex(),
         "epoch": kept.epoch,
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -14,7 +14,7 @@
 # The matter that frames of `wire.peers` name.
 WORK = 2
 # A word's time in milliseconds, its counters, an engine's name: past these it is none.
-MOST_MS, MOST_COUNT, LONGEST_NAME = 86_400_000, 2**32, 64
+MAX_DURATION_MS, COUNTER_LIMIT, MAX_ENGINE_NAME = 86_400_000, 2**32, 64
 
 
 class Verb(IntEnum):
@@ -34,7 +34,7 @@
     END = 8
 
 
-class State(IntEnum):
+class RunState(IntEnum):
     """What is known of a batch's fate."""
 
     # Nothing of it ever ran.
@@ -46,13 +46,13 @@
     UNKNOWN = 3
 
 
-class Value(Struct, array_like=True, frozen=True):
+class RunStatus(Struct, array_like=True, frozen=True):
     """What is known of a batch. `epoch` and `step` order two values, the later outweighs. `left_ms` is what
     its client still waits, `ran_ms` how long ago the first dispatch went out that may have run."""
 
     epoch: int
     step: int
-    state: State
+    state: RunState
     group: int
     left_ms: int
     engine: str = ""
@@ -74,7 +74,7 @@
     txn: bytes
 
 
-class Word(Struct, array_like=True, frozen=True):
+class Message(Struct, array_like=True, frozen=True):
     """One question or answer. `nonce` ties an answer to its question; an answer names the owner and the epoch
     that its sender has promised itself to, and the value that it keeps."""
 
@@ -83,7 +83,7 @@
     key: bytes
     epoch: int
     owner: Owner
-    value: Value | None = None
+    value: RunStatus | None = None
     lease_ms: int = 0
     # Of a claim or an answer: for an heir, whom no client waits for. Of an answer: a life too young to know.
     heir: bool = False
@@ -91,10 +91,10 @@
 
 
 _pack = msgspec.msgpack.Encoder().encode
-_words = msgspec.msgpack.Decoder(tuple[Word, ...]).decode
+_decode_messages = msgspec.msgpack.Decoder(tuple[Message, ...]).decode
 
 
-def encode(words: list[Word], tier: int) -> list[bytes]:
+def encode(words: list[Message], tier: int) -> list[bytes]:
     """As few datagrams as hold the words, in their order. Each word is packed once: a list of up to fifteen
     of them is a byte that counts them, and they."""
     found: list[bytes] = []
@@ -113,10 +113,10 @@
     return found
 
 
-def decode(body: bytes) -> tuple[Word, ...]:
+def decode(body: bytes) -> tuple[Message, ...]:
     """The words of one datagram; `Unfit` where they are out of form."""
     try:
-        words = _words(body)
+        words = _decode_messages(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
         raise Unfit("out of form") from why
     if not all(sound(word) for word in words):
@@ -124,28 +124,28 @@
     return words
 
 
-def sound(word: Word) -> bool:
+def sound(word: Message) -> bool:
     """Risk: a figure without measure is kept for ever, or can never be outbid."""
     owner, value = word.owner, word.value
     good = (
         len(word.key) in (8, 16)
         and len(owner.address) == 6
         and len(owner.txn) == 8
-        and 0 <= owner.life < MOST_COUNT
-        and 0 <= word.nonce < MOST_COUNT
-        and 0 <= word.epoch < MOST_COUNT
-        and 0 <= word.lease_ms <= MOST_MS
+        and 0 <= owner.life < COUNTER_LIMIT
+        and 0 <= word.nonce < COUNTER_LIMIT
+        and 0 <= word.epoch < COUNTER_LIMIT
+        and 0 <= word.lease_ms <= MAX_DURATION_MS
     )
     return good and (
         value is None
         or (
-            0 <= value.epoch < MOST_COUNT
-            and 0 <= value.step < MOST_COUNT
+            0 <= value.epoch < COUNTER_LIMIT
+            and 0 <= value.step < COUNTER_LIMIT
             and 0 <= value.group < 256
             and 0 <= value.number < 256
-            and 0 <= value.left_ms <= MOST_MS
-            and 0 <= value.ran_ms <= MOST_MS
-            and len(value.engine) <= LONGEST_NAME
+            and 0 <= value.left_ms <= MAX_DURATION_MS
+            and 0 <= value.ran_ms <= MAX_DURATION_MS
+            and len(value.engine) <= MAX_ENGINE_NAME
             and len(value.txn) in (0, 8)
         )
     )
