--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -46,8 +46,8 @@
 
 def promise():
     """A place that says yes to whoever asks, and nothing of what it knows."""
-    Replica.claim = lambda self, now, word: Message(
-        Verb.YES, word.nonce, word.key, word.epoch, word.owner, lease_ms=word.lease_ms
+    Replica.claim = lambda self, now, message: Message(
+        Verb.YES, message.nonce, message.key, message.epoch, message.owner, lease_ms=message.lease_ms
     )
 
 
--- a/rigs/takeover_model.py
+++ b/rigs/takeover_model.py
@@ -31,7 +31,7 @@
 FRONTS = tuple(("127.0.0.1", 7000 + n) for n in range(3))
 GROUPS = (QueryClassPolicy("pay", 1.0, False, False, 3.0, True),)
 MARK, TXNS = b"m" * 16, (b"txn-of-a", b"txn-of-b")
-TERMS = TakeoverConfig(keep=5.0)
+TERMS = TakeoverConfig(retention_s=5.0)
 # A jump of the clock is longer than every lease and question.
 JUMP = 2.0
 
@@ -59,14 +59,14 @@
     def __init__(self, accused, most_tries):
         self.now, self.jumps, self.forgets, self.accused = 1000.0, 0, 0, accused
         self.most_tries = most_tries
-        self.judges = [self.judge(n, 0.0) for n in range(3)]
+        self.managers = [self.new_manager(n, 0.0) for n in range(3)]
         self.mail, self.at, self.runs, self.tries = [], ["away", "away"], [], [0, 0]
-        self.wards = [None, None]
+        self.leases = [None, None]
 
-    def judge(self, place, born):
+    def new_manager(self, place, born):
         made = LeaseManager(TERMS, FRONTS[place], 1, FRONTS, GROUPS, place, born)
-        made.heirs.standing = first_gone if self.accused else all_alive
-        made.heirs.alive, made.heirs.alone = yes, no
+        made.successor.liveness = first_gone if self.accused else all_alive
+        made.successor.is_alive, made.successor.is_isolated = yes, no
         return made
 
     def after(self, what, which):
@@ -75,9 +75,9 @@
         touched = {"deliver": lambda: (self.mail[which][1],), "send": tuple, "jump": lambda: (0, 1, 2)}.get(
             what, lambda: (which,)
         )()
-        wards = {None: None}
-        other.judges = [twin(j, wards) if n in touched else j for n, j in enumerate(self.judges)]
-        other.wards = [wards.get(ward, ward) for ward in self.wards]
+        leases = {None: None}
+        other.managers = [twin(j, leases) if n in touched else j for n, j in enumerate(self.managers)]
+        other.leases = [leases.get(lease, lease) for lease in self.leases]
         other.mail, other.at, other.runs, other.tries = [*self.mail], [*self.at], [*self.runs], [*self.tries]
         getattr(other, "do_" + what)(which)
         return other
@@ -85,40 +85,40 @@
     def settle(self, place):
         """Take what a judge has to say, as its carrier does. An answer that nobody waits for any more does
         nothing whenever it comes, and is left out."""
-        judge = self.judges[place]
-        self.mail += [(place, FRONTS.index(send.address), send.word) for send in judge.sends]
+        manager = self.managers[place]
+        self.mail += [(place, FRONTS.index(send.address), send.message) for send in manager.sends]
         self.mail = [
             (s, t, w)
             for s, t, w in self.mail
             if w.verb not in (Verb.YES, Verb.NO)
-            or w.nonce in self.judges[t].asked
+            or w.nonce in self.managers[t].leases_by_nonce
             or w.verb is Verb.YES
             and w.lease_ms
-            and w.owner.txn not in self.judges[t].wards
+            and w.owner.txn not in self.managers[t].leases
         ]
-        judge.sends = []
-        done, judge.done = judge.done, []
-        judge.orders, judge.notes = [], []
-        for ward, told in done:
-            if place < 2 and ward is self.wards[place]:
-                self.hear(place, ward, told)
-
-    def hear(self, place, ward, told):
-        judge = self.judges[place]
+        manager.sends = []
+        done, manager.results = manager.results, []
+        manager.commands, manager.events = [], []
+        for lease, result in done:
+            if place < 2 and lease is self.leases[place]:
+                self.hear(place, lease, result)
+
+    def hear(self, place, lease, result):
+        manager = self.managers[place]
         if self.at[place] == "asks":
             # A group that demands protection is begun only where it is known that nothing ran.
-            if may_have_run(told.value) or told.say not in (QuorumOutcome.FRESH, QuorumOutcome.TAKEN):
-                self.at[place] = "led" if may_have_run(told.value) else "refused"
-            elif told.say is QuorumOutcome.TAKEN:
-                judge.close(self.now, ward)
+            if may_have_run(result.value) or result.outcome not in (QuorumOutcome.FRESH, QuorumOutcome.TAKEN):
+                self.at[place] = "led" if may_have_run(result.value) else "refused"
+            elif result.outcome is QuorumOutcome.TAKEN:
+                manager.close(self.now, lease)
                 self.at[place] = "away"
             else:
                 self.at[place] = "goes out"
-                if not judge.goes_out(self.now, ward, "e", TXNS[place]):
+                if not manager.begin_dispatch(self.now, lease, "e", TXNS[place]):
                     self.at[place] = "cleared"
             self.settle(place)
         elif self.at[place] == "goes out":
-            self.at[place] = "cleared" if told.say is QuorumOutcome.SURE else "refused"
+            self.at[place] = "cleared" if result.outcome is QuorumOutcome.SURE else "refused"
 
     # Steps.
 
@@ -138,14 +138,14 @@
         return found
 
     def do_deliver(self, number):
-        source, target, word = self.mail.pop(number)
-        self.judges[target].heard(self.now, FRONTS[source], (word,))
+        source, target, message = self.mail.pop(number)
+        self.managers[target].receive(self.now, FRONTS[source], (message,))
         self.settle(target)
 
     def do_enter(self, place):
         self.tries[place] += 1
         self.at[place] = "asks"
-        self.wards[place] = self.judges[place].enter(self.now, MARK, TXNS[place], 0, self.now + 3 + JUMP)
+        self.leases[place] = self.managers[place].acquire(self.now, MARK, TXNS[place], 0, self.now + 3 + JUMP)
         self.settle(place)
 
     def do_send(self, place):
@@ -155,14 +155,14 @@
     def do_jump(self, stopped):
         self.jumps += 1
         self.now += JUMP
-        for place, judge in enumerate(self.judges):
+        for place, manager in enumerate(self.managers):
             if place != stopped:
-                judge.turn(self.now)
+                manager.tick(self.now)
                 self.settle(place)
 
     def do_forget(self, place):
         self.forgets += 1
-        self.judges[place] = self.judge(place, self.now)
+        self.managers[place] = self.new_manager(place, self.now)
 
     def key(self):
         """What tells this state from others: no counters, no nonces."""
@@ -173,35 +173,52 @@
         def owner(o):
             return o and (o.address, o.txn)
 
-        def word(w):
+        def message(w):
             return w.verb, w.epoch, owner(w.owner), value(w.value), w.lease_ms > 0, w.heir, w.young
 
         found = []
-        for judge in self.judges:
-            kept = judge.holder.kept.get(MARK)
+        for manager in self.managers:
+            record = manager.replica.records.get(MARK)
             found.append(
-                kept
+                record
                 and (
-                    kept.epoch,
-                    owner(kept.owner),
-                    kept.heir,
-                    kept.released,
-                    kept.left(self.now) > 0,
-                    value(kept.value),
+                    record.epoch,
+                    owner(record.owner),
+                    record.by_successor,
+                    record.released,
+                    record.lease_left(self.now) > 0,
+                    value(record.value),
                 )
             )
-            found.append(judge.holder.young(self.now))
-            for txn, w in sorted(judge.wards.items()):
-                q = w.question
-                asked = q and (
-                    q.verb,
-                    q.regains,
-                    tuple(sorted((a, word(x)) for a, x in (*q.yes.items(), *q.no.items()))),
+            found.append(manager.replica.is_incomplete(self.now))
+            for txn, w in sorted(manager.leases.items()):
+                request = w.request
+                asked = request and (
+                    request.verb,
+                    request.reclaims,
+                    tuple(
+                        sorted(
+                            (a, message(x)) for a, x in (*request.accepted.items(), *request.refused.items())
+                        )
+                    ),
                 )
-                found.append((txn, w.heir, w.phase, w.epoch, w.step, w.state, w.bare, w.tries, asked))
-        live = {n for judge in self.judges for n in judge.asked}
+                found.append(
+                    (
+                        txn,
+                        w.as_successor,
+                        w.phase,
+                        w.epoch,
+                        w.step,
+                        w.state,
+                        w.unprotected_reason,
+                        w.claim_attempts,
+                        asked,
+                    )
+                )
+        live = {n for manager in self.managers for n in manager.leases_by_nonce}
         mail = Counter(
-            (s, t, word(w), w.nonce in live or w.verb in (Verb.RELEASE, Verb.DROP)) for s, t, w in self.mail
+            (s, t, message(w), w.nonce in live or w.verb in (Verb.RELEASE, Verb.DROP))
+            for s, t, w in self.mail
         )
         return hash(
             (
@@ -223,30 +240,43 @@
     return other
 
 
-def twin(judge, wards):
+def twin(manager, leases):
     """A judge that goes its own way from here."""
-    other = alike(judge)
-    other.holder, other.heirs = alike(judge.holder), alike(judge.heirs)
-    other.holder.kept = {key: copy(kept) for key, kept in judge.holder.kept.items()}
-    other.holder.by_front = defaultdict(set, {a: set(keys) for a, keys in judge.holder.by_front.items()})
-    other.heirs.holder, other.heirs.taken = other.holder, {k: copy(t) for k, t in judge.heirs.taken.items()}
-    other.heirs.let_go, other.heirs.orders, other.heirs.notes = {*judge.heirs.let_go}, [], []
-
-    def of(ward):
-        if ward not in wards:
-            wards[ward] = mine = alike(ward)
-            if q := ward.question:
-                mine.question = copy(q)
-                mine.question.yes, mine.question.no = {**q.yes}, {**q.no}
-        return wards[ward]
-
-    other.wards = {txn: of(ward) for txn, ward in judge.wards.items()}
-    other.asked = {nonce: of(ward) for nonce, ward in judge.asked.items()}
-    other.events = [(when, n, what, of(ward), nonce) for when, n, what, ward, nonce in judge.events]
-    other.catchup = alike(judge.catchup)
-    other.catchup.holder = other.holder
+    other = alike(manager)
+    other.replica, other.successor = alike(manager.replica), alike(manager.successor)
+    other.replica.records = {key: copy(record) for key, record in manager.replica.records.items()}
+    other.replica.by_front = defaultdict(set, {a: set(keys) for a, keys in manager.replica.by_front.items()})
+    other.successor.replica, other.successor.inherited = (
+        other.replica,
+        {k: copy(t) for k, t in manager.successor.inherited.items()},
+    )
+    other.successor.abandoned, other.successor.commands, other.successor.events = (
+        {*manager.successor.abandoned},
+        [],
+        [],
+    )
+
+    def of(lease):
+        if lease not in leases:
+            leases[lease] = mine = alike(lease)
+            if request := lease.request:
+                mine.request = copy(request)
+                mine.request.accepted, mine.request.refused = {**request.accepted}, {**request.refused}
+        return leases[lease]
+
+    other.leases = {txn: of(lease) for txn, lease in manager.leases.items()}
+    other.leases_by_nonce = {nonce: of(lease) for nonce, lease in manager.leases_by_nonce.items()}
+    other.timers = [(when, n, what, of(lease), nonce) for when, n, what, lease, nonce in manager.timers]
+    other.catchup = alike(manager.catchup)
+    other.catchup.replica = other.replica
     # Chance is not asked here; the order of events of one moment is that of their making.
-    other.order, other.sends, other.done, other.orders, other.notes = copy(judge.order), [], [], [], []
+    other.timer_ids, other.sends, other.results, other.commands, other.events = (
+        copy(manager.timer_ids),
+        [],
+        [],
+        [],
+        [],
+    )
     return other
 
 
@@ -276,35 +306,41 @@
 
     def init(self, *words):
         made(self, *words)
-        self.need = 1
+        self.quorum = 1
 
     lease_manager.Lease.__init__ = init
 
 
 def no_word_first():
     """What may not run twice goes out while its places are told of it."""
-    goes_out = LeaseManager.goes_out
-    LeaseManager.goes_out = lambda self, *words: goes_out(self, *words) and False
+    begin_dispatch = LeaseManager.begin_dispatch
+    LeaseManager.begin_dispatch = lambda self, *words: begin_dispatch(self, *words) and False
 
 
 def no_epoch():
     """A place takes what an earlier owner says after a later one was promised."""
     put = Replica.put
 
-    def taking(self, now, word):
-        kept = self.kept.get(word.key)
-        if kept and word.epoch < kept.epoch:
-            word = type(word)(
-                word.verb, word.nonce, word.key, kept.epoch, kept.owner, word.value, word.lease_ms
+    def taking(self, now, message):
+        record = self.records.get(message.key)
+        if record and message.epoch < record.epoch:
+            message = type(message)(
+                message.verb,
+                message.nonce,
+                message.key,
+                record.epoch,
+                record.owner,
+                message.value,
+                message.lease_ms,
             )
-        return put(self, now, word)
+        return put(self, now, message)
 
     Replica.put = taking
 
 
 def no_youth():
     """A place that was started again answers as if it had forgotten nothing."""
-    Replica.young = lambda self, now: False
+    Replica.is_incomplete = lambda self, now: False
 
 
 # Accused whatever is true, tries of each client, jumps of the clock, places that forget.
--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -61,7 +61,7 @@
         self.engine.act = self.call
         self.relay, self.case = self.owner.relays["e-0"], None
         fleet.wire.takes = self.datagram
-        self.places = Placement(tuple(f.known_as for f in fleet.fronts), 3)
+        self.placement = Placement(tuple(f.known_as for f in fleet.fronts), 3)
         self.numbers, self.marks, self.real = count(1), count(1), self.relay.carry
         self.relay.carry = self.bytes_there
 
@@ -69,7 +69,9 @@
         """One whose places are neither the owner, which comes and goes, nor the front that is asked next."""
         away = {self.owner.known_as, self.other.known_as}
         return next(
-            m for m in (f"{n:032x}" for n in self.marks) if not away & set(self.places.of(bytes.fromhex(m)))
+            m
+            for m in (f"{n:032x}" for n in self.marks)
+            if not away & set(self.placement.replicas_for(bytes.fromhex(m)))
         )
 
     def reaches(self, step):
@@ -124,17 +126,17 @@
             return False
         if case.hit.is_set():
             return False
-        for word in work.decode(body):
-            if word.key != bytes.fromhex(case.mark):
+        for message in work.decode(body):
+            if message.key != bytes.fromhex(case.mark):
                 continue
-            sends, state = sender == self.owner.place, word.value and word.value.state
-            if sends and word.verb is Verb.CLAIM and case.step.startswith("claim"):
+            sends, state = sender == self.owner.place, message.value and message.value.state
+            if sends and message.verb is Verb.CLAIM and case.step.startswith("claim"):
                 return case.step == "claim lost" and self.reaches("claim lost")
-            if sends and word.verb is Verb.PUT and state is RunState.OUT and case.step.startswith("word"):
+            if sends and message.verb is Verb.PUT and state is RunState.OUT and case.step.startswith("word"):
                 return case.step == "word lost" and self.reaches("word lost")
-            if not sends and word.verb is Verb.YES:
-                self.reaches("claim not acknowledged" if word.lease_ms else "word not acknowledged")
-            if sends and word.verb is Verb.PUT and state is RunState.RETURNED and not word.lease_ms:
+            if not sends and message.verb is Verb.YES:
+                self.reaches("claim not acknowledged" if message.lease_ms else "word not acknowledged")
+            if sends and message.verb is Verb.PUT and state is RunState.RETURNED and not message.lease_ms:
                 return self.reaches("before it is taken back")
         return False
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -35,7 +35,7 @@
 OWNER = Owner(bytes((127, 0, 0, 1, 27, 88)), 5, T1)
 
 
-def word(**facts):
+def message(**facts):
     given = {
         "verb": Verb.PUT,
         "nonce": 7,
@@ -49,18 +49,18 @@
 
 
 def test_words_come_back_as_they_went_as_many_to_a_datagram_as_fit():
-    words = [word(nonce=n) for n in range(1, 12)]
-    frames = work.encode(words, peers.tag("yard"))
-    assert all(len(frame) <= peers.LONGEST for frame in frames) and len(frames) < len(words)
+    messages = [message(nonce=n) for n in range(1, 12)]
+    frames = work.encode(messages, peers.tag("yard"))
+    assert all(len(frame) <= peers.LONGEST for frame in frames) and len(frames) < len(messages)
     opened = [peers.opened(frame, peers.tag("yard")) for frame in frames]
     assert {matter for matter, _ in opened} == {work.WORK}
-    assert [w for _, body in opened for w in work.decode(body)] == words
+    assert [m for _, body in opened for m in work.decode(body)] == messages
 
 
 def test_the_longest_word_fits_a_datagram():
     name, ms = "e" * work.MAX_ENGINE_NAME, work.MAX_DURATION_MS
     most = RunStatus(2**32 - 1, 2**32 - 1, RunState.OUT, 255, ms, name, T1, ms)
-    longest = word(
+    longest = message(
         verb=Verb.NO,
         nonce=2**32 - 1,
         epoch=2**32 - 1,
@@ -79,15 +79,15 @@
         b"",
         b"\xc1",
         work._pack([1]),
-        work._pack([word(key=b"short")]),
-        work._pack([word(nonce=-1)]),
-        work._pack([word(epoch=2**32)]),
-        work._pack([word(lease_ms=10**9)]),
-        work._pack([word(owner=Owner(b"", 1, T1))]),
-        work._pack([word(owner=Owner(OWNER.address, 1, b"x"))]),
-        work._pack([word(value=RunStatus(1, 1, RunState.OUT, 256, 1))]),
-        work._pack([word(value=RunStatus(1, 1, RunState.OUT, 1, 1, "e" * 65))]),
-        work._pack([word(value=RunStatus(1, 1, RunState.OUT, 1, 1, "e", b"xx"))]),
+        work._pack([message(key=b"short")]),
+        work._pack([message(nonce=-1)]),
+        work._pack([message(epoch=2**32)]),
+        work._pack([message(lease_ms=10**9)]),
+        work._pack([message(owner=Owner(b"", 1, T1))]),
+        work._pack([message(owner=Owner(OWNER.address, 1, b"x"))]),
+        work._pack([message(value=RunStatus(1, 1, RunState.OUT, 256, 1))]),
+        work._pack([message(value=RunStatus(1, 1, RunState.OUT, 1, 1, "e" * 65))]),
+        work._pack([message(value=RunStatus(1, 1, RunState.OUT, 1, 1, "e", b"xx"))]),
     ],
 )
 def test_a_word_out_of_form_raises_nothing_else(body):
@@ -102,197 +102,197 @@
     moved = Counter()
     for n in range(300):
         key = b"%016d" % n
-        assert one.of(key) == other.of(key) and len(set(one.of(key))) == 3
-        moved[len(set(one.of(key)) - set(more.of(key)))] += 1
+        assert one.replicas_for(key) == other.replicas_for(key) and len(set(one.replicas_for(key))) == 3
+        moved[len(set(one.replicas_for(key)) - set(more.replicas_for(key)))] += 1
     assert set(moved) == {0, 1} and moved[1] < 220
-    assert min(Counter(place for n in range(300) for place in one.of(b"%016d" % n)).values()) > 120
+    assert min(Counter(place for n in range(300) for place in one.replicas_for(b"%016d" % n)).values()) > 120
 
 
 class Tier:
     """Judges with a carrier that loses what the test says, and what each came to say."""
 
-    def __init__(self, many=5, terms=None):
-        self.terms, self.now = terms or TakeoverConfig(), 1100.0
+    def __init__(self, many=5, config=None):
+        self.config, self.now = config or TakeoverConfig(), 1100.0
         self.fronts = FRONTS[:many]
-        self.judges = {
-            f: LeaseManager(self.terms, f, 5, self.fronts, GROUPS, n, 1000.0)
+        self.managers = {
+            f: LeaseManager(self.config, f, 5, self.fronts, GROUPS, n, 1000.0)
             for n, f in enumerate(self.fronts)
         }
-        self.dead, self.lost = set(), lambda source, target, word: False
-        self.suspected, self.said, self.orders, self.notes = set(), {}, [], []
+        self.dead, self.lost = set(), lambda source, target, message: False
+        self.suspected, self.results, self.commands, self.events = set(), {}, [], []
         for f in self.fronts:
-            self.see(f)
+            self.set_liveness(f)
 
-    def see(self, front, gone=None):
+    def set_liveness(self, front, gone=None):
         """What membership of that front says; by default the truth."""
-        heirs = self.judges[front].heirs
+        successor = self.managers[front].successor
 
-        def standing(address, life):
+        def liveness(address, life):
             held = self.dead if gone is None else gone
             return (
                 Liveness.GONE
-                if address in held or life != self.judges[address].life
+                if address in held or life != self.managers[address].life
                 else (Liveness.SUSPECTED if address in self.suspected else Liveness.ALIVE)
             )
 
-        heirs.standing = standing
-        heirs.alive = lambda address: address not in (self.dead if gone is None else gone)
+        successor.liveness = liveness
+        successor.is_alive = lambda address: address not in (self.dead if gone is None else gone)
 
     def carry(self):
         moved = True
         while moved:
             moved = False
-            for front, judge in self.judges.items():
-                sends, judge.sends = judge.sends, []
+            for front, manager in self.managers.items():
+                sends, manager.sends = manager.sends, []
                 for send in sends:
                     moved = True
-                    if self.dead & {front, send.address} or self.lost(front, send.address, send.word):
+                    if self.dead & {front, send.address} or self.lost(front, send.address, send.message):
                         continue
-                    body = peers.opened(work.encode([send.word], 1)[0], 1)[1]
-                    self.judges[send.address].heard(self.now, front, work.decode(body))
-                for ward, told in judge.done:
-                    self.said[ward.owner.txn] = told
-                judge.done = []
+                    body = peers.opened(work.encode([send.message], 1)[0], 1)[1]
+                    self.managers[send.address].receive(self.now, front, work.decode(body))
+                for lease, result in manager.results:
+                    self.results[lease.owner.txn] = result
+                manager.results = []
 
     def go_on(self, seconds, step=0.02):
         till = self.now + seconds
         while self.now < till:
             self.now += step
-            for front, judge in self.judges.items():
+            for front, manager in self.managers.items():
                 if front not in self.dead:
-                    judge.turn(self.now)
-                    self.orders += [(front, order) for order in judge.orders]
-                    self.notes += [(front, note.what, note.key) for note in judge.notes]
-                    judge.orders, judge.notes = [], []
+                    manager.tick(self.now)
+                    self.commands += [(front, command) for command in manager.commands]
+                    self.events += [(front, note.name, note.key) for note in manager.events]
+                    manager.commands, manager.events = [], []
             self.carry()
 
-    def enter(self, place, txn, group=PAY, mark=MARK):
-        ward = self.judges[self.fronts[place]].enter(self.now, mark, txn, group, self.now + 4)
+    def acquire(self, place, txn, group=PAY, mark=MARK):
+        lease = self.managers[self.fronts[place]].acquire(self.now, mark, txn, group, self.now + 4)
         self.carry()
-        if txn not in self.said:
-            self.go_on(self.terms.wait + 0.05)
-        return ward, self.said.pop(txn)
+        if txn not in self.results:
+            self.go_on(self.config.quorum_timeout_s + 0.05)
+        return lease, self.results.pop(txn)
 
-    def out(self, place, ward, engine="e-1"):
+    def out(self, place, lease, engine="e-1"):
         """A dispatch that goes out; what its places said first."""
-        judge, txn = self.judges[self.fronts[place]], ward.owner.txn
-        waits = judge.goes_out(self.now, ward, engine, txn)
+        manager, txn = self.managers[self.fronts[place]], lease.owner.txn
+        waits = manager.begin_dispatch(self.now, lease, engine, txn)
         self.carry()
-        if waits and txn not in self.said:
-            self.go_on(self.terms.wait + 0.05)
-        return self.said.pop(txn) if waits else None
+        if waits and txn not in self.results:
+            self.go_on(self.config.quorum_timeout_s + 0.05)
+        return self.results.pop(txn) if waits else None
 
     def owns(self, place, txn=T1, group=PAY, mark=MARK):
         """A batch of that front's, out at e-1."""
-        ward, told = self.enter(place, txn, group, mark)
-        assert told.say is QuorumOutcome.FRESH
-        self.out(place, ward)
-        return ward
+        lease, result = self.acquire(place, txn, group, mark)
+        assert result.outcome is QuorumOutcome.FRESH
+        self.out(place, lease)
+        return lease
 
-    def confirm(self, place, ward):
-        self.judges[self.fronts[place]].confirm(self.now, ward)
+    def confirm(self, place, lease):
+        self.managers[self.fronts[place]].confirm(self.now, lease)
         self.carry()
-        if ward.owner.txn not in self.said:
-            self.go_on(self.terms.wait + 0.05)
-        return self.said.pop(ward.owner.txn)
+        if lease.owner.txn not in self.results:
+            self.go_on(self.config.quorum_timeout_s + 0.05)
+        return self.results.pop(lease.owner.txn)
 
-    def close(self, place, ward):
-        self.judges[self.fronts[place]].close(self.now, ward)
+    def close(self, place, lease):
+        self.managers[self.fronts[place]].close(self.now, lease)
         self.carry()
 
-    def what(self, *kinds):
-        return [(front, order) for front, order in self.orders if type(order) in kinds]
+    def issued(self, *kinds):
+        return [(front, command) for front, command in self.commands if type(command) in kinds]
 
     def noted(self, what):
-        return [front for front, one, _ in self.notes if one == what]
+        return [front for front, one, _ in self.events if one == what]
 
 
 def test_a_client_that_comes_again_is_led_to_the_run_that_is_on():
     tier = Tier()
-    ward = tier.owns(0)
-    _, told = tier.enter(1, T2)
-    assert told.say is QuorumOutcome.TAKEN and (told.value.engine, told.value.txn) == ("e-1", T1)
-    assert told.owner == ward.owner and ward.holds(tier.now)
+    lease = tier.owns(0)
+    _, result = tier.acquire(1, T2)
+    assert result.outcome is QuorumOutcome.TAKEN and (result.value.engine, result.value.txn) == ("e-1", T1)
+    assert result.owner == lease.owner and lease.is_held(tier.now)
 
 
 def test_a_lease_is_renewed_for_as_long_as_its_batch_is_open_and_no_longer():
     tier = Tier()
-    ward = tier.owns(0)
+    lease = tier.owns(0)
     tier.go_on(3.0)
-    assert ward.holds(tier.now) and tier.enter(1, T2)[1].say is QuorumOutcome.TAKEN
-    tier.judges[FRONTS[0]].came_back(tier.now, ward, RunEnd.RETURNED)
-    tier.close(0, ward)
-    told = tier.enter(1, T2)[1]
+    assert lease.is_held(tier.now) and tier.acquire(1, T2)[1].outcome is QuorumOutcome.TAKEN
+    tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.RETURNED)
+    tier.close(0, lease)
+    result = tier.acquire(1, T2)[1]
     # Its fate outlives it: the client that never read the answer comes back to it.
-    assert told.say is QuorumOutcome.FOUND and told.value.state is RunState.RETURNED
-    assert T1 not in tier.judges[FRONTS[0]].wards
+    assert result.outcome is QuorumOutcome.FOUND and result.value.state is RunState.RETURNED
+    assert T1 not in tier.managers[FRONTS[0]].leases
 
 
 def test_of_the_living_exactly_one_takes_over_and_asks_on_before_the_death_is_sure():
     tier = Tier()
-    ward = tier.owns(0)
+    lease = tier.owns(0)
     tier.dead.add(FRONTS[0])
     tier.suspected.add(FRONTS[0])
     for f in FRONTS[1:]:
-        tier.see(f, gone=set())
+        tier.set_liveness(f, gone=set())
     tier.go_on(0.3)
     # Who is asked for in time has not to be dead: an engine drops what nobody asks for in 2 s.
-    assert [type(order) for _, order in tier.orders] == [KeepAlive] and not tier.noted("taken over")
+    assert [type(command) for _, command in tier.commands] == [KeepAlive] and not tier.noted("taken over")
     for f in FRONTS[1:]:
-        tier.see(f)
+        tier.set_liveness(f)
     tier.go_on(2.0)
     (heir,) = tier.noted("taken over")
-    first = next(place for place in ward.places if place != FRONTS[0])
-    assert heir == first and len(tier.what(KeepAlive)) == 1
-    _, told = tier.enter(FRONTS.index(first) if first != FRONTS[1] else 2, T2)
-    assert told.say is QuorumOutcome.FOUND and told.value.txn == T1
+    first = next(place for place in lease.replicas if place != FRONTS[0])
+    assert heir == first and len(tier.issued(KeepAlive)) == 1
+    _, result = tier.acquire(FRONTS.index(first) if first != FRONTS[1] else 2, T2)
+    assert result.outcome is QuorumOutcome.FOUND and result.value.txn == T1
     tier.go_on(0.3)
-    assert [front for front, _ in tier.what(StopKeepAlive)] == [first]
+    assert [front for front, _ in tier.issued(StopKeepAlive)] == [first]
 
 
 def test_who_is_suspected_and_is_back_keeps_its_work():
     tier = Tier()
-    ward = tier.owns(0)
+    lease = tier.owns(0)
     tier.suspected.add(FRONTS[0])
     tier.go_on(0.3)
-    assert tier.what(KeepAlive)
+    assert tier.issued(KeepAlive)
     tier.suspected.clear()
     tier.go_on(0.3)
-    assert tier.what(StopKeepAlive) and not tier.noted("taken over") and ward.holds(tier.now)
+    assert tier.issued(StopKeepAlive) and not tier.noted("taken over") and lease.is_held(tier.now)
 
 
 def test_the_heir_dies_and_its_heir_too():
     tier = Tier()
-    ward = tier.owns(0)
-    for front in (FRONTS[0], *(place for place in ward.places if place != FRONTS[0])):
+    lease = tier.owns(0)
+    for front in (FRONTS[0], *(place for place in lease.replicas if place != FRONTS[0])):
         tier.dead.add(front)
         tier.go_on(1.5)
-        left = [place for place in ward.places if place not in tier.dead]
+        left = [place for place in lease.replicas if place not in tier.dead]
         if len(left) == 2:
             assert tier.noted("taken over") == left[:1]
     # With two of three places gone nobody is promised anything; who asks is told what is known.
     living = next(n for n, f in enumerate(FRONTS) if f not in tier.dead)
-    _, told = tier.enter(living, T2)
-    assert told.say is QuorumOutcome.ALONE
+    _, result = tier.acquire(living, T2)
+    assert result.outcome is QuorumOutcome.ALONE
 
 
 def test_two_survivors_that_see_different_memberships_do_not_both_own_it():
     tier = Tier()
-    ward = tier.owns(0)
+    lease = tier.owns(0)
     tier.dead.add(FRONTS[0])
-    left = [place for place in ward.places if place != FRONTS[0]]
+    left = [place for place in lease.replicas if place != FRONTS[0]]
     if len(left) == 3:
         left = left[:2]
     # Each holds the other for dead too.
-    tier.see(left[0], gone={FRONTS[0], left[1]})
-    tier.see(left[1], gone={FRONTS[0], left[0]})
+    tier.set_liveness(left[0], gone={FRONTS[0], left[1]})
+    tier.set_liveness(left[1], gone={FRONTS[0], left[0]})
     tier.go_on(2.5)
-    asked = {front for front, _ in tier.what(KeepAlive)}
+    asked = {front for front, _ in tier.issued(KeepAlive)}
     assert asked == set(left)
     claimed = [
         j
-        for j in tier.judges.values()
-        if any(w.heir and w.phase is Phase.OWNED and w.holds(tier.now) for w in j.wards.values())
+        for j in tier.managers.values()
+        if any(m.as_successor and m.phase is Phase.OWNED and m.is_held(tier.now) for m in j.leases.values())
     ]
     assert len(claimed) <= 1
 
@@ -300,249 +300,252 @@
 def test_the_old_owner_wakes_and_finds_an_heir_or_another_owner():
     for comes in (False, True):
         tier = Tier()
-        ward = tier.owns(0)
+        lease = tier.owns(0)
         tier.dead.add(FRONTS[0])
         tier.go_on(2.5)
         if comes:
-            adopter, told = tier.enter(1 if FRONTS[1] not in ward.places else 2, T2)
-            assert told.say is QuorumOutcome.FOUND
+            adopter, result = tier.acquire(1 if FRONTS[1] not in lease.replicas else 2, T2)
+            assert result.outcome is QuorumOutcome.FOUND
         tier.dead.clear()
-        assert not ward.holds(tier.now)
-        told = tier.confirm(0, ward)
+        assert not lease.is_held(tier.now)
+        result = tier.confirm(0, lease)
         assert (
-            told.say is (QuorumOutcome.LOST if comes else QuorumOutcome.SURE) and told.regained is not comes
+            result.outcome is (QuorumOutcome.LOST if comes else QuorumOutcome.SURE)
+            and result.regained is not comes
         )
-        assert ward.holds(tier.now) is not comes
+        assert lease.is_held(tier.now) is not comes
         if comes:
-            assert tier.out(0, ward) is None or tier.out(0, ward).say is QuorumOutcome.LOST
+            assert tier.out(0, lease) is None or tier.out(0, lease).outcome is QuorumOutcome.LOST
 
 
 def test_a_stopped_owner_that_was_cleared_to_go_is_not_sure_any_more():
     # The check right before the first byte: what was granted before a stop holds for the lease alone.
     tier = Tier()
-    ward, _ = tier.enter(0, T1)
-    assert tier.out(0, ward).say is QuorumOutcome.SURE and ward.holds(tier.now)
+    lease, _ = tier.acquire(0, T1)
+    assert tier.out(0, lease).outcome is QuorumOutcome.SURE and lease.is_held(tier.now)
     tier.now += 1.01
-    assert not ward.holds(tier.now)
+    assert not lease.is_held(tier.now)
 
 
 def test_once_only_work_of_unknown_fate_is_never_fresh_again():
     tier = Tier()
-    ward = tier.owns(0)
-    tier.judges[FRONTS[0]].came_back(tier.now, ward, RunEnd.UNKNOWN)
-    tier.close(0, ward)
+    lease = tier.owns(0)
+    tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.UNKNOWN)
+    tier.close(0, lease)
     for txn in (T2, T3):
-        again, told = tier.enter(1, txn)
-        assert told.say is QuorumOutcome.FOUND and told.value.state is RunState.UNKNOWN
+        again, result = tier.acquire(1, txn)
+        assert result.outcome is QuorumOutcome.FOUND and result.value.state is RunState.UNKNOWN
         tier.close(1, again)
 
 
 def test_what_surely_never_ran_is_fresh_again():
     tier = Tier()
-    ward = tier.owns(0)
-    tier.judges[FRONTS[0]].came_back(tier.now, ward, RunEnd.NEVER_RAN)
-    tier.close(0, ward)
-    assert tier.enter(1, T2)[1].say is QuorumOutcome.FRESH
+    lease = tier.owns(0)
+    tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.NEVER_RAN)
+    tier.close(0, lease)
+    assert tier.acquire(1, T2)[1].outcome is QuorumOutcome.FRESH
 
 
 @pytest.mark.parametrize("majority", [False, True])
 def test_a_record_that_clients_come_back_for_outlives_its_time(majority):
     # Risk: a client's tries that own nothing, for want of a majority, leave no value behind; past the first
     # try's time limit and keep_s the places had forgotten a run that the client still asked for.
-    tier = Tier(terms=TakeoverConfig(keep=0.5))
+    tier = Tier(config=TakeoverConfig(retention_s=0.5))
     tier.owns(0)
-    places = tier.judges[FRONTS[0]].places.of(MARK)
+    places = tier.managers[FRONTS[0]].placement.replicas_for(MARK)
     others = [n for n, front in enumerate(FRONTS) if front not in (FRONTS[0], *places)]
     tier.dead |= {FRONTS[0], *([] if majority else [p for p in places if p != FRONTS[0]][:1])}
     for number in range(20):
         txn = b"again%03d" % number
-        ward, told = tier.enter(others[number % len(others)], txn)
-        assert told.say in (
+        lease, result = tier.acquire(others[number % len(others)], txn)
+        assert result.outcome in (
             (QuorumOutcome.FOUND, QuorumOutcome.TAKEN)
             if majority
             else (QuorumOutcome.ALONE, QuorumOutcome.TAKEN)
         )
-        tier.close(others[number % len(others)], ward)
+        tier.close(others[number % len(others)], lease)
         tier.go_on(0.4)
     tier.dead = {FRONTS[0]}
     tier.go_on(0.2)
-    assert tier.enter(others[0], T2)[1].say is QuorumOutcome.FOUND
+    assert tier.acquire(others[0], T2)[1].outcome is QuorumOutcome.FOUND
 
 
 def test_with_a_place_away_two_that_have_promised_different_epochs_are_a_majority():
     # Risk: one said yes and one named a later epoch, which was neither a majority nor a refusal, for ever.
     tier = Tier()
-    places = tier.judges[FRONTS[0]].places.of(MARK)
+    places = tier.managers[FRONTS[0]].placement.replicas_for(MARK)
     by = next(n for n, front in enumerate(FRONTS) if front not in places)
     tier.dead = set(places[1:])
-    ward, told = tier.enter(by, T1)
-    tier.judges[places[0]].holder.kept[MARK].epoch = 7
-    tier.close(by, ward)
+    lease, result = tier.acquire(by, T1)
+    tier.managers[places[0]].replica.records[MARK].epoch = 7
+    tier.close(by, lease)
     tier.dead = set(places[2:])
-    assert tier.enter(by, T2)[1].say is QuorumOutcome.FRESH
+    assert tier.acquire(by, T2)[1].outcome is QuorumOutcome.FRESH
 
 
 def test_what_a_submission_heard_of_a_run_is_not_fresh_to_it_once_the_places_forgot():
     # Risk: one that was led to another front's run and waited past the end of the record ran it again.
-    tier = Tier(terms=TakeoverConfig(keep=0.5))
-    ward = tier.owns(0)
-    heard = tier.enter(1, T2)[1].value
-    tier.judges[FRONTS[0]].came_back(tier.now, ward, RunEnd.UNKNOWN)
-    tier.close(0, ward)
+    tier = Tier(config=TakeoverConfig(retention_s=0.5))
+    lease = tier.owns(0)
+    heard = tier.acquire(1, T2)[1].value
+    tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.UNKNOWN)
+    tier.close(0, lease)
     tier.go_on(10)
-    assert tier.enter(2, T3)[1].say is QuorumOutcome.FRESH
+    assert tier.acquire(2, T3)[1].outcome is QuorumOutcome.FRESH
     tier = Tier()
-    tier.judges[FRONTS[1]].enter(tier.now, MARK, T2, PAY, tier.now + 4, heard)
+    tier.managers[FRONTS[1]].acquire(tier.now, MARK, T2, PAY, tier.now + 4, heard)
     tier.carry()
-    told = tier.said.pop(T2)
-    assert told.say is QuorumOutcome.FOUND and told.value.txn == T1
+    result = tier.results.pop(T2)
+    assert result.outcome is QuorumOutcome.FOUND and result.value.txn == T1
 
 
 def test_a_run_that_may_be_is_not_forgotten_by_a_later_one_that_never_ran():
     # Risk: a referenced batch out at a second engine that was full looks as if it had never run at the first.
     tier = Tier()
-    ward = tier.owns(0, group=LOAD)
-    judge = tier.judges[FRONTS[0]]
-    judge.came_back(tier.now, ward, RunEnd.UNKNOWN)
-    tier.out(0, ward, "e-2")
-    judge.came_back(tier.now, ward, RunEnd.NEVER_RAN)
-    tier.close(0, ward)
-    told = tier.enter(1, T2, LOAD)[1]
-    assert told.say is QuorumOutcome.FOUND and told.value.engine == "e-1"
+    lease = tier.owns(0, group=LOAD)
+    manager = tier.managers[FRONTS[0]]
+    manager.end_dispatch(tier.now, lease, RunEnd.UNKNOWN)
+    tier.out(0, lease, "e-2")
+    manager.end_dispatch(tier.now, lease, RunEnd.NEVER_RAN)
+    tier.close(0, lease)
+    result = tier.acquire(1, T2, LOAD)[1]
+    assert result.outcome is QuorumOutcome.FOUND and result.value.engine == "e-1"
 
 
 def test_words_that_come_late_or_twice_change_nothing():
     tier, late = Tier(), []
-    tier.lost = lambda source, target, w: late.append((source, target, w)) or True
-    ward, told = tier.enter(0, T1)
-    tier.lost = lambda source, target, w: False
-    assert told.say is QuorumOutcome.ALONE
+    tier.lost = lambda source, target, m: late.append((source, target, m)) or True
+    lease, result = tier.acquire(0, T1)
+    tier.lost = lambda source, target, m: False
+    assert result.outcome is QuorumOutcome.ALONE
     owner = tier.owns(1, T2)
-    tier.judges[FRONTS[1]].came_back(tier.now, owner, RunEnd.RETURNED)
+    tier.managers[FRONTS[1]].end_dispatch(tier.now, owner, RunEnd.RETURNED)
     tier.close(1, owner)
-    for source, target, w in late * 2:
-        tier.judges[target].heard(tier.now, source, (w,))
+    for source, target, m in late * 2:
+        tier.managers[target].receive(tier.now, source, (m,))
     tier.carry()
-    told = tier.enter(2, T3)[1]
-    assert told.say is QuorumOutcome.FOUND and told.value.state is RunState.RETURNED
+    result = tier.acquire(2, T3)[1]
+    assert result.outcome is QuorumOutcome.FOUND and result.value.state is RunState.RETURNED
 
 
 def test_without_a_majority_nothing_is_owned_and_what_is_known_is_told():
     tier = Tier()
-    ward = tier.owns(0)
-    far = [place for place in ward.places if place != FRONTS[0]]
+    lease = tier.owns(0)
+    far = [place for place in lease.replicas if place != FRONTS[0]]
     tier.dead |= {FRONTS[0], far[0]}
     tier.now += 2
-    place = next(n for n, f in enumerate(FRONTS) if f not in tier.dead and f not in ward.places)
-    again, told = tier.enter(place, T2)
-    assert told.say is QuorumOutcome.ALONE and again.bare
+    place = next(n for n, f in enumerate(FRONTS) if f not in tier.dead and f not in lease.replicas)
+    again, result = tier.acquire(place, T2)
+    assert result.outcome is QuorumOutcome.ALONE and again.unprotected_reason
     if len(far) > 1:
-        assert told.value.state is RunState.OUT and told.value.engine == "e-1"
+        assert result.value.state is RunState.OUT and result.value.engine == "e-1"
 
 
 def test_a_place_that_was_started_again_says_that_it_would_not_know():
     tier = Tier()
-    ward = tier.owns(0)
+    lease = tier.owns(0)
     tier.dead.add(FRONTS[0])
     tier.go_on(2.0)
-    for place in ward.places:
+    for place in lease.replicas:
         if place != FRONTS[0]:
-            tier.judges[place] = LeaseManager(tier.terms, place, 6, FRONTS, GROUPS, 9, tier.now)
-            tier.see(place)
-    outside = next(n for n, f in enumerate(FRONTS) if f not in ward.places)
-    assert tier.enter(outside, T2)[1].say is QuorumOutcome.UNSURE
+            tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, 9, tier.now)
+            tier.set_liveness(place)
+    outside = next(n for n, f in enumerate(FRONTS) if f not in lease.replicas)
+    assert tier.acquire(outside, T2)[1].outcome is QuorumOutcome.UNSURE
 
 
 def test_a_place_that_was_started_again_learns_what_it_had_promised():
     tier = Tier()
-    wards = [tier.owns(0, b"txn%05d" % n, PAY, b"%016d" % n) for n in range(60)]
-    tier.lost = lambda source, target, w: tier.now % 0.06 < 0.01
+    leases = [tier.owns(0, b"txn%05d" % n, PAY, b"%016d" % n) for n in range(60)]
+    tier.lost = lambda source, target, m: tier.now % 0.06 < 0.01
     place = FRONTS[3]
-    tier.judges[place] = LeaseManager(tier.terms, place, 6, FRONTS, GROUPS, 9, tier.now)
-    tier.see(place)
-    judge = tier.judges[place]
-    judge.catchup.begin(tier.now, sorted(judge.catchup.others()))
+    tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, 9, tier.now)
+    tier.set_liveness(place)
+    manager = tier.managers[place]
+    manager.catchup.start(tier.now, sorted(manager.catchup.other_fronts()))
     tier.go_on(0.7)
-    tier.lost = lambda source, target, w: False
+    tier.lost = lambda source, target, m: False
     tier.go_on(0.5)
-    assert not judge.holder.young(tier.now)
-    mine = {w.key for w in wards if place in w.places}
-    assert mine and mine <= judge.holder.kept.keys()
+    assert not manager.replica.is_incomplete(tier.now)
+    mine = {m.key for m in leases if place in m.replicas}
+    assert mine and mine <= manager.replica.records.keys()
     for key in mine:
-        assert judge.holder.kept[key].value.state is RunState.OUT
+        assert manager.replica.records[key].value.state is RunState.OUT
 
 
-@pytest.mark.parametrize("away", ["dead", "young"])
+@pytest.mark.parametrize("away", ["dead", "is_incomplete"])
 def test_what_one_that_is_away_or_young_itself_would_have_told_is_missed(away):
     # Risk: two places of a mark are started again, and each takes the other's 'nothing' for the truth.
     tier = Tier()
     for n, place in enumerate(FRONTS[2:4]):
-        tier.judges[place] = LeaseManager(tier.terms, place, 6, FRONTS, GROUPS, n, tier.now)
-        tier.see(place)
+        tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, n, tier.now)
+        tier.set_liveness(place)
     if away == "dead":
         tier.dead.add(FRONTS[2])
-    judge = tier.judges[FRONTS[3]]
-    judge.catchup.begin(tier.now, sorted(judge.catchup.others()))
+    manager = tier.managers[FRONTS[3]]
+    manager.catchup.start(tier.now, sorted(manager.catchup.other_fronts()))
     tier.go_on(1.0)
-    assert judge.holder.young(tier.now)
+    assert manager.replica.is_incomplete(tier.now)
 
 
 def test_a_former_life_behind_the_same_address_has_other_work():
     tier = Tier()
     tier.owns(0)
-    tier.judges[FRONTS[0]] = LeaseManager(tier.terms, FRONTS[0], 6, FRONTS, GROUPS, 9, tier.now)
-    tier.see(FRONTS[0])
+    tier.managers[FRONTS[0]] = LeaseManager(tier.config, FRONTS[0], 6, FRONTS, GROUPS, 9, tier.now)
+    tier.set_liveness(FRONTS[0])
     tier.go_on(2.0)
     assert len(tier.noted("taken over")) == 1
-    _, told = tier.enter(0, T2)
-    assert told.say is QuorumOutcome.FOUND and told.value.txn == T1
+    _, result = tier.acquire(0, T2)
+    assert result.outcome is QuorumOutcome.FOUND and result.value.txn == T1
 
 
 def test_a_planned_leave_hands_over_without_a_death():
     tier = Tier()
-    ward = tier.owns(0)
-    given = tier.judges[FRONTS[0]].hand_over(tier.now)
+    lease = tier.owns(0)
+    given = tier.managers[FRONTS[0]].hand_over(tier.now)
     tier.carry()
-    assert given == [ward] and ward.phase is Phase.LOST and not ward.holds(tier.now)
+    assert given == [lease] and lease.phase is Phase.LOST and not lease.is_held(tier.now)
     # Its lease is over at once.
-    assert tier.enter(1, T2)[1].say is QuorumOutcome.FOUND
+    assert tier.acquire(1, T2)[1].outcome is QuorumOutcome.FOUND
 
 
 def test_what_nobody_can_come_back_for_is_called_off_by_one():
     tier = Tier()
-    judge = tier.judges[FRONTS[0]]
-    ward = judge.enter_lazy(tier.now, T1, LOOKUP, tier.now + 4)
-    assert not judge.goes_out(tier.now, ward, "e-1", T1)
+    manager = tier.managers[FRONTS[0]]
+    lease = manager.register_lazy(tier.now, T1, LOOKUP, tier.now + 4)
+    assert not manager.begin_dispatch(tier.now, lease, "e-1", T1)
     tier.go_on(0.2)
     tier.dead.add(FRONTS[0])
     tier.go_on(2.0)
-    assert [type(order) for _, order in tier.orders] == [CancelRun]
+    assert [type(command) for _, command in tier.commands] == [CancelRun]
     tier.go_on(2.0)
-    assert len(tier.orders) == 1
+    assert len(tier.commands) == 1
 
 
 def test_of_what_is_soon_over_nobody_is_told():
     tier, sent = Tier(), []
-    tier.lost = lambda source, target, w: sent.append(w)
-    judge = tier.judges[FRONTS[0]]
-    ward = judge.enter_lazy(tier.now, T1, LOOKUP, tier.now + 4)
-    judge.goes_out(tier.now, ward, "e-1", T1)
+    tier.lost = lambda source, target, m: sent.append(m)
+    manager = tier.managers[FRONTS[0]]
+    lease = manager.register_lazy(tier.now, T1, LOOKUP, tier.now + 4)
+    manager.begin_dispatch(tier.now, lease, "e-1", T1)
     tier.go_on(0.04)
-    judge.came_back(tier.now, ward, RunEnd.RETURNED)
-    judge.close(tier.now, ward)
+    manager.end_dispatch(tier.now, lease, RunEnd.RETURNED)
+    manager.close(tier.now, lease)
     tier.go_on(0.5)
-    assert not sent and not judge.wards
+    assert not sent and not manager.leases
 
 
 def test_past_the_bound_the_worth_most_is_kept_and_the_rest_let_go():
-    tier = Tier(terms=TakeoverConfig(most_taken=4))
+    tier = Tier(config=TakeoverConfig(max_keep_alives=4))
     for n in range(24):
         group = (LOAD, PAY)[n % 2]
         tier.owns(0, b"txn%05d" % n, group, b"%016d" % n)
     tier.dead.add(FRONTS[0])
     tier.go_on(1.8)
-    assert all(len(judge.heirs.taken) <= 4 for judge in tier.judges.values())
-    taken = Counter(t.group for judge in tier.judges.values() for t in judge.heirs.taken.values())
+    assert all(len(manager.successor.inherited) <= 4 for manager in tier.managers.values())
+    taken = Counter(
+        t.class_index for manager in tier.managers.values() for t in manager.successor.inherited.values()
+    )
     assert taken[PAY] > taken[LOAD] and tier.noted("let go")
     assert len(tier.noted("let go")) + sum(taken.values()) >= 24
 
@@ -551,39 +554,40 @@
     tier = Tier()
     tier.owns(0)
     tier.dead.add(FRONTS[0])
-    for judge in tier.judges.values():
-        judge.heirs.alone = lambda: True
+    for manager in tier.managers.values():
+        manager.successor.is_isolated = lambda: True
     tier.go_on(2.0)
-    assert not tier.orders
+    assert not tier.commands
 
 
 @pytest.mark.parametrize("failing", ["full", "failing"])
 def test_a_place_that_can_keep_nothing_says_so_and_is_passed_by(failing):
-    tier = Tier(terms=TakeoverConfig(most_kept=1 if failing == "full" else 100))
-    ward = tier.owns(0, b"txn-fill", mark=b"x" * 16)
+    tier = Tier(config=TakeoverConfig(max_records=1 if failing == "full" else 100))
+    lease = tier.owns(0, b"txn-fill", mark=b"x" * 16)
     for place in FRONTS:
         if failing == "failing":
-            tier.judges[place].holder.failing = "no space"
+            tier.managers[place].replica.failure = "no space"
     marks = [b"%016d" % n for n in range(40)]
     mark = next(
         m
         for m in marks
-        if failing == "failing" or not (set(tier.judges[FRONTS[0]].places.of(m)) - set(ward.places))
+        if failing == "failing"
+        or not (set(tier.managers[FRONTS[0]].placement.replicas_for(m)) - set(lease.replicas))
     )
-    again, told = tier.enter(1, T1, mark=mark)
-    assert told.say is QuorumOutcome.ALONE and again.bare == "the places refuse"
+    again, result = tier.acquire(1, T1, mark=mark)
+    assert result.outcome is QuorumOutcome.ALONE and again.unprotected_reason == "the places refuse"
 
 
 def test_loss_is_outlasted_within_what_a_batch_waits():
     tier, sent = Tier(), Counter()
 
-    def lost(source, target, w):
+    def lost(source, target, m):
         # Of each kind between each pair the first; an answer's comes after that of its question.
-        sent[source, target, w.verb] += 1
-        return sent[source, target, w.verb] <= 1
+        sent[source, target, m.verb] += 1
+        return sent[source, target, m.verb] <= 1
 
     tier.lost = lost
-    assert tier.enter(0, T1)[1].say is QuorumOutcome.FRESH
+    assert tier.acquire(0, T1)[1].outcome is QuorumOutcome.FRESH
 
 
 def test_every_interleaving_of_the_small_world_has_one_run():
@@ -605,9 +609,9 @@
 def test_each_guard_taken_out_shows_its_fault(guard, facts, monkeypatch):
     for owner, name in (
         (model.lease_manager.Lease, "__init__"),
-        (LeaseManager, "goes_out"),
+        (LeaseManager, "begin_dispatch"),
         (model.Replica, "put"),
-        (model.Replica, "young"),
+        (model.Replica, "is_incomplete"),
     ):
         monkeypatch.setattr(owner, name, getattr(owner, name))
     model.GUARDS[guard]()
@@ -634,9 +638,9 @@
 
     @invariant()
     def promises_never_go_back(self):
-        for judge in self.world.judges if hasattr(self, "world") else ():
-            kept = judge.holder.kept.get(model.MARK)
-            before = getattr(self, "before", {}).get(id(judge), 0)
+        for manager in self.world.managers if hasattr(self, "world") else ():
+            kept = manager.replica.records.get(model.MARK)
+            before = getattr(self, "before", {}).get(id(manager), 0)
             assert kept is None or kept.epoch >= before
 
 
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -49,12 +49,12 @@
 
     def __init__(self, wards: Wards, batch: Batch, ward: Lease) -> None:
         self.wards, self.batch, self.ward = wards, batch, ward
-        self.group = wards.judge.groups[ward.group]
+        self.group = wards.judge.query_classes[ward.class_index]
 
     def sure(self) -> bool:
         """Without waiting, right before a first byte. What may run twice needs no more than that nobody is
         known to have it."""
-        return self.ward.holds(clock.now()) or self.group.repeatable and not self.wards.lost(self.ward)
+        return self.ward.is_held(clock.now()) or self.group.idempotent and not self.wards.lost(self.ward)
 
     async def out(self, number: int, engine: it.EngineId) -> bool:
         """A dispatch is about to go there; whether it may. Risk: its front dies between its first byte and
@@ -62,31 +62,31 @@
         name, wards, ward = self.batch.name(number), self.wards, self.ward
         if wards.lost(ward):
             return False
-        if not wards.judge.goes_out(
+        if not wards.judge.begin_dispatch(
             clock.now(), ward, engine.decode("latin-1"), bytes.fromhex(name.txn), name.number
         ):
             if wards.judge.sends:
                 wards.soon()
             return True
         told = await wards.answer(ward)
-        if told.say is QuorumOutcome.ALONE and not self.group.demands:
+        if told.outcome is QuorumOutcome.ALONE and not self.group.requires_protection:
             # It can't be known, and what then is done is what a lone front does.
             wards.tally.add("takeover: dispatched unprotected")
-            ward.bare = "no majority for its dispatch"
+            ward.unprotected_reason = "no majority for its dispatch"
             return True
-        return told.say is QuorumOutcome.SURE
+        return told.outcome is QuorumOutcome.SURE
 
     async def holds(self) -> QuorumOutcome:
         """Whether it still is this front's; asked where that is not sure by itself."""
         wards, ward = self.wards, self.ward
         if wards.lost(ward):
             return QuorumOutcome.LOST
-        if ward.holds(clock.now()):
+        if ward.is_held(clock.now()):
             return QuorumOutcome.SURE
         wards.judge.confirm(clock.now(), ward)
         told = await wards.answer(ward, ward.limit_at)
-        wards.tally.add(f"takeover: asked whether still its own: {told.say.value}")
-        return told.say
+        wards.tally.add(f"takeover: asked whether still its own: {told.outcome.value}")
+        return told.outcome
 
     async def settled(self, told):
         """The final answer as it may be given. Risk: one that was told harmless runs at another front."""
@@ -94,7 +94,7 @@
         if (
             say is QuorumOutcome.SURE
             or say is QuorumOutcome.ALONE
-            and (type(told) is not it.PushBack or self.group.repeatable)
+            and (type(told) is not it.PushBack or self.group.idempotent)
         ):
             return told
         self.wards.tally.add("takeover: answers left to another")
@@ -111,7 +111,7 @@
             if end.fate in NEVER_RAN
             else (RunEnd.RETURNED if end.fate is it.Fate.RETURNED else RunEnd.UNKNOWN)
         )
-        self.wards.judge.came_back(clock.now(), self.ward, run)
+        self.wards.judge.end_dispatch(clock.now(), self.ward, run)
 
     def close(self) -> None:
         self.wards.judge.close(clock.now(), self.ward)
@@ -159,7 +159,7 @@
     def enter_lazy(self, batch: Batch) -> None:
         """One that no client can come back for; nothing is waited for."""
         group, _ = self.tariffs[batch.lane]
-        ward = self.judge.enter_lazy(clock.now(), bytes.fromhex(batch.asked.txn), group, batch.limit_at)
+        ward = self.judge.register_lazy(clock.now(), bytes.fromhex(batch.asked.txn), group, batch.limit_at)
         batch.ward = Guard(self, batch, ward)
 
     async def enter(self, batch: Batch) -> End | it.PushBack | it.Error | None:
@@ -170,7 +170,7 @@
         mark, txn = bytes.fromhex(batch.asked.reference), bytes.fromhex(batch.asked.txn)
         heard = None
         while True:
-            ward = self.judge.enter(clock.now(), mark, txn, group, batch.limit_at, heard)
+            ward = self.judge.acquire(clock.now(), mark, txn, group, batch.limit_at, heard)
             try:
                 told = await self.answer(ward)
             except asyncio.CancelledError:
@@ -178,7 +178,7 @@
                 self.judge.close(clock.now(), ward)
                 self.soon()
                 raise
-            if told.say is not QuorumOutcome.TAKEN:
+            if told.outcome is not QuorumOutcome.TAKEN:
                 answer = self.goes_on(batch, ward, told, tariff)
                 if answer:
                     self.judge.close(clock.now(), ward)
@@ -189,32 +189,32 @@
             end = await self.read(batch, told.value) if may_have_run(told.value) else None
             if end:
                 return end
-            await asyncio.sleep(LOOK_AGAIN * (1 + self.judge.chance() / 2))
+            await asyncio.sleep(LOOK_AGAIN * (1 + self.judge.random_fraction() / 2))
 
     def goes_on(
         self, batch: Batch, ward: Lease, told: QuorumResult, tariff: it.Tariff
     ) -> it.PushBack | it.Error | None:
         """What a claim's answer means for the batch, where no other front has it."""
         once_only = tariff.repeat is it.Repeat.ONCE_ONLY
-        demands = self.judge.groups[ward.group].demands
+        demands = self.judge.query_classes[ward.class_index].requires_protection
         # Where what can't be protected goes out all the same, that nothing is known says nothing.
-        unknown = told.say in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
-            told.say is QuorumOutcome.FRESH and told.value is None and not demands
+        unknown = told.outcome in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
+            told.outcome is QuorumOutcome.FRESH and told.value is None and not demands
         )
-        self.tally.add(f"takeover: {told.say.value}")
+        self.tally.add(f"takeover: {told.outcome.value}")
         if may_have_run(told.value):
             # Without a majority too: what is known to have begun is not begun anew.
             if not self.adopts(batch, told.value, tariff):
                 return self.not_known(batch, told, "its engine is gone")
         elif unknown and once_only and batch.asked.repeat:
             # It may have run at a front that nobody can be asked about.
-            return self.not_known(batch, told, ward.bare or "nobody would know")
+            return self.not_known(batch, told, ward.unprotected_reason or "nobody would know")
         elif unknown and demands:
             # Risk: a first try that lay unread while its front was stopped comes after its own retry, and
             # where a place has forgotten that one, nothing is known is no proof.
             self.tally.add("takeover: refused unprotected")
             return it.PushBack(batch.number, 0.0)
-        self.tally.add("takeover: unprotected" if ward.bare else "takeover: protected")
+        self.tally.add("takeover: unprotected" if ward.unprotected_reason else "takeover: protected")
         batch.ward = Guard(self, batch, ward)
         self.guards[ward.owner.txn] = batch.ward
         return None
@@ -222,7 +222,11 @@
     def not_known(self, batch: Batch, told: QuorumResult, why: str) -> it.Error:
         self.tally.add("takeover: told that it is not known")
         self.log(
-            "work not known", batch=batch.asked.txn, mark=batch.asked.reference, say=told.say.value, why=why
+            "work not known",
+            batch=batch.asked.txn,
+            mark=batch.asked.reference,
+            say=told.outcome.value,
+            why=why,
         )
         return it.Error(batch.number)
 
@@ -301,12 +305,12 @@
             task.cancel()
 
     def heard(self, source: Address, body: bytes) -> None:
-        self.judge.heard(clock.now(), source, wire.decode(body))
+        self.judge.receive(clock.now(), source, wire.decode(body))
         self.soon()
 
     def turn(self) -> None:
         self.timer = None
-        self.judge.turn(clock.now())
+        self.judge.tick(clock.now())
         self.settle()
 
     def soon(self) -> None:
@@ -318,7 +322,7 @@
     def plan(self, now: float) -> None:
         """The next turn when something is due, and none anew for what is due no sooner than the one
         planned."""
-        at = max(min(self.judge.due(), min(self.leaves_at.values(), default=now + 1.0)), now + 0.001)
+        at = max(min(self.judge.next_due(), min(self.leaves_at.values(), default=now + 1.0)), now + 0.001)
         when = clock.on_loop(at)
         if self.timer is None or when < self.timer.when():
             if self.timer:
@@ -328,25 +332,25 @@
     def settle(self) -> None:
         """Carry out what the judge has to say."""
         self.pending, judge = False, self.judge
-        for ward, told in judge.done:
+        for ward, told in judge.results:
             waiter = self.waiters.get(ward.owner.txn)
             if waiter and not waiter.done():
                 waiter.set_result(told)
-            elif told.say is QuorumOutcome.LOST:
+            elif told.outcome is QuorumOutcome.LOST:
                 self.tell_lost(ward)
-        for note in judge.notes:
-            self.tally.add(f"work {note.what}")
-            self.log(f"work {note.what}", key=note.key.hex(), **note.facts)
-        for order in judge.orders:
+        for note in judge.events:
+            self.tally.add(f"work {note.name}")
+            self.log(f"work {note.name}", key=note.key.hex(), **note.fields)
+        for order in judge.commands:
             self.carry(order)
         now, words = clock.now(), self.words
         for send in judge.sends:
-            urgent = send.word.nonce or send.word.verb not in (wire.Verb.PUT, wire.Verb.DROP)
-            words.setdefault(send.address, []).append(send.word)
+            urgent = send.message.nonce or send.message.verb not in (wire.Verb.PUT, wire.Verb.DROP)
+            words.setdefault(send.address, []).append(send.message)
             self.leaves_at[send.address] = min(
                 self.leaves_at.get(send.address, now + LAST_WORD), now if urgent else now + LAST_WORD
             )
-        judge.done, judge.notes, judge.orders, judge.sends = [], [], [], []
+        judge.results, judge.events, judge.commands, judge.sends = [], [], [], []
         for address in [a for a, at in self.leaves_at.items() if at <= now]:
             del self.leaves_at[address]
             for data in wire.encode(words.pop(address), self.peers.tier):
@@ -384,9 +388,9 @@
             name = Name(order.txn.hex(), order.number)
             said = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
             self.tally.add(f"takeover: asked on: {said}")
-            self.judge.heirs.asked(order.key, said)
+            self.judge.successor.on_engine_status(order.key, said)
             self.soon()
-            await asyncio.sleep(self.judge.terms.ask)
+            await asyncio.sleep(self.judge.config.keep_alive_interval_s)
 
     async def call_off(self, order: CancelRun) -> None:
         if entry := self.roll.entries.get(order.engine.encode("latin-1")):
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -43,18 +43,18 @@
         papers = parts.papers
         sound(section, papers)
         self.parts, self.members = parts, membership.members.judge
-        terms = TakeoverConfig(
-            places=section.places,
-            lease=section.lease_s,
-            renew=section.lease_s * 0.4,
-            wait=section.wait_s,
-            keep=section.keep_s,
-            most_kept=section.most_kept,
-            most_taken=section.most_taken,
+        takeover_config = TakeoverConfig(
+            replicas=section.places,
+            lease_s=section.lease_s,
+            renew_interval_s=section.lease_s * 0.4,
+            quorum_timeout_s=section.wait_s,
+            retention_s=section.keep_s,
+            max_records=section.most_kept,
+            max_keep_alives=section.most_taken,
         )
         me = self.members.me
-        self.judge = LeaseManager(
-            terms,
+        self.manager = LeaseManager(
+            takeover_config,
             me.address,
             me.life,
             papers.peers,
@@ -62,10 +62,11 @@
             papers.seed,
             clock.now(),
         )
-        heirs = self.judge.heirs
-        heirs.standing, heirs.alive, heirs.alone = self.standing, self.alive, self.alone
+        successor = self.manager.successor
+        successor.liveness, successor.is_alive = self.liveness, self.is_alive
+        successor.is_isolated = self.is_isolated
         self.wards = parts.courses.wards = Wards(
-            self.judge,
+            self.manager,
             membership.peers,
             papers.manifest,
             parts.roll,
@@ -74,7 +75,7 @@
             parts.log,
         )
 
-    def standing(self, address: Address, life: int) -> Liveness:
+    def liveness(self, address: Address, life: int) -> Liveness:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
         if address == self.members.me.address:
             return Liveness.ALIVE if life == self.members.me.life else Liveness.GONE
@@ -83,31 +84,32 @@
             return Liveness.GONE
         return Liveness.SUSPECTED if member.state is State.SUSPECTED else Liveness.ALIVE
 
-    def alive(self, address: Address) -> bool:
+    def is_alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
         return member is not None and member.lives
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         return bool(self.members.alone(clock.now()))
 
     async def open(self) -> dict:
-        others = sorted(self.judge.catchup.others())
-        self.judge.catchup.begin(clock.now(), others)
+        others = sorted(self.manager.catchup.other_fronts())
+        self.manager.catchup.start(clock.now(), others)
         self.wards.open()
-        return {"takeover": len(self.judge.places.fronts)}
+        return {"takeover": len(self.manager.placement.fronts)}
 
     def renew(self, operator: Operator, papers: Papers) -> None:
-        self.judge.places.renew((*papers.peers, self.members.me.address))
+        self.manager.placement.set_fronts((*papers.peers, self.members.me.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
-            "inhand.show": lambda: views.show(self.judge, clock.now()) | {"waits_ms": self.wards.waits_ms()},
-            "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
+            "inhand.show": lambda: views.show(self.manager, clock.now())
+            | {"waits_ms": self.wards.waits_ms()},
+            "inhand.explain": lambda batch: views.explain(self.manager, batch, clock.now()),
         }
 
     def failing(self, why: str) -> None:
         """This front's store keeps nothing, or does again: as a place it says so and is passed by."""
-        self.judge.holder.failing = why
+        self.manager.replica.failure = why
 
     def stopping(self) -> None:
         at = clock.on_loop(self.parts.intake.stop_at) - HAND_OVER
@@ -115,6 +117,6 @@
 
     async def close(self, grace: float) -> None:
         # What was handed over last may not have been heard yet; nothing is waited for longer than that.
-        if self.judge.asked:
-            await asyncio.sleep(min(grace, self.judge.terms.wait))
+        if self.manager.leases_by_nonce:
+            await asyncio.sleep(min(grace, self.manager.config.quorum_timeout_s))
         self.wards.close()
--- a/thistlelever/takeover/catchup.py
+++ b/thistlelever/takeover/catchup.py
@@ -22,104 +22,106 @@
 class CatchUp:
     """Both sides of it in one front."""
 
-    def __init__(self, me: Owner, holder: Replica, places: Placement) -> None:
-        self.me, self.holder, self.places = me, holder, places
+    def __init__(self, local_owner: Owner, replica: Replica, placement: Placement) -> None:
+        self.local_owner, self.replica, self.placement = local_owner, replica, placement
         # Of whom it is asked: from which record on, when again; and of that piece what has come.
-        self.asked: dict[Address, list] = {}
-        self.came: dict[Address, dict[bytes, Message]] = {}
-        self.begun, self.told_all = False, set()
+        self.pending: dict[Address, list] = {}
+        self.received: dict[Address, dict[bytes, Message]] = {}
+        self.started, self.complete_sources = False, set()
         # Lists that are being told, by who asks.
-        self.lists: dict[Address, tuple[float, list[bytes]]] = {}
+        self.listings: dict[Address, tuple[float, list[bytes]]] = {}
 
-    def begin(self, now: float, others: list[Address]) -> None:
+    def start(self, now: float, other_fronts: list[Address]) -> None:
         """Ask all others, once, at the start of a life."""
-        self.begun = True
-        self.asked = {address: [0, now] for address in others}
+        self.started = True
+        self.pending = {address: [0, now] for address in other_fronts}
 
-    def turn(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[Send]:
         """What is due by now."""
-        self.lists = {a: told for a, told in self.lists.items() if now - told[0] < LISTING_TTL_S}
-        if not self.holder.young(now):
-            self.asked, self.came = {}, {}
+        self.listings = {
+            a: records for a, records in self.listings.items() if now - records[0] < LISTING_TTL_S
+        }
+        if not self.replica.is_incomplete(now):
+            self.pending, self.received = {}, {}
             return []
         sends = []
-        for address, state in self.asked.items():
-            if now >= state[1]:
-                state[1] = now + RETRY_INTERVAL_S
-                self.came[address] = {}
-                sends.append(Send(address, Message(Verb.CATCH, state[0], ALL_KEYS, 0, self.me)))
+        for address, cursor in self.pending.items():
+            if now >= cursor[1]:
+                cursor[1] = now + RETRY_INTERVAL_S
+                self.received[address] = {}
+                sends.append(Send(address, Message(Verb.CATCH, cursor[0], ALL_KEYS, 0, self.local_owner)))
         return sends
 
-    def due(self) -> float:
-        return min((state[1] for state in self.asked.values()), default=float("inf"))
+    def next_due(self) -> float:
+        return min((cursor[1] for cursor in self.pending.values()), default=float("inf"))
 
-    def answer(self, now: float, source: Address, word: Message) -> list[Message]:
+    def answer_request(self, now: float, source: Address, message: Message) -> list[Message]:
         """A piece of what this front keeps for another: records, and an end that counts them and says from
         where to go on, or that it is all."""
-        if word.nonce == 0 or source not in self.lists:
+        if message.nonce == 0 or source not in self.listings:
             keys = [
                 key
-                for key, kept in self.holder.kept.items()
-                if not kept.lazy and source in self.places.of(key)
+                for key, record in self.replica.records.items()
+                if not record.is_lazy and source in self.placement.replicas_for(key)
             ]
-            self.lists[source] = now, keys
-        _, keys = self.lists[source]
-        piece = [
-            self.holder.kept[key]
-            for key in keys[word.nonce : word.nonce + PAGE_SIZE]
-            if key in self.holder.kept
+            self.listings[source] = now, keys
+        _, keys = self.listings[source]
+        page = [
+            self.replica.records[key]
+            for key in keys[message.nonce : message.nonce + PAGE_SIZE]
+            if key in self.replica.records
         ]
-        told = [
+        records = [
             Message(
                 Verb.KEPT,
-                word.nonce,
-                kept.key,
-                kept.epoch,
-                kept.owner,
-                self.holder.aged(now, kept, kept.value),
-                round(kept.left(now) * 1e3),
-                kept.heir,
+                message.nonce,
+                record.key,
+                record.epoch,
+                record.owner,
+                self.replica.current_value(now, record, record.value),
+                round(record.lease_left(now) * 1e3),
+                record.by_successor,
             )
-            for kept in piece
-            if kept.owner
+            for record in page
+            if record.owner
         ]
-        after = word.nonce + PAGE_SIZE
+        next_index = message.nonce + PAGE_SIZE
         end = Message(
             Verb.END,
-            word.nonce,
+            message.nonce,
             ALL_KEYS,
-            0 if after >= len(keys) else after,
-            self.me,
+            0 if next_index >= len(keys) else next_index,
+            self.local_owner,
             None,
-            len(told),
-            young=self.holder.young(now),
+            len(records),
+            young=self.replica.is_incomplete(now),
         )
-        return [*told, end]
+        return [*records, end]
 
-    def heard(self, now: float, source: Address, word: Message) -> None:
+    def receive(self, now: float, source: Address, message: Message) -> None:
         """A record, or the end of a piece."""
-        state = self.asked.get(source)
-        if state is None or word.nonce != state[0]:
+        cursor = self.pending.get(source)
+        if cursor is None or message.nonce != cursor[0]:
             return
-        came = self.came.setdefault(source, {})
-        if word.verb is Verb.KEPT:
-            came[word.key] = word
+        received = self.received.setdefault(source, {})
+        if message.verb is Verb.KEPT:
+            received[message.key] = message
             return
-        if len(came) < word.lease_ms:
+        if len(received) < message.lease_ms:
             # Some of it was lost, or is late: all of the piece is asked for again.
-            state[1] = min(state[1], now + RETRY_INTERVAL_S / 4)
+            cursor[1] = min(cursor[1], now + RETRY_INTERVAL_S / 4)
             return
-        for one in came.values():
-            self.holder.restore(now, one)
-        self.came[source] = {}
-        if word.epoch:
-            state[0], state[1] = word.epoch, now
+        for record in received.values():
+            self.replica.restore(now, record)
+        self.received[source] = {}
+        if message.epoch:
+            cursor[0], cursor[1] = message.epoch, now
             return
-        del self.asked[source]
-        if not word.young:
-            self.told_all.add(source)
-        if not self.asked and self.begun and self.told_all >= self.others():
-            self.holder.born = -self.holder.horizon
+        del self.pending[source]
+        if not message.young:
+            self.complete_sources.add(source)
+        if not self.pending and self.started and self.complete_sources >= self.other_fronts():
+            self.replica.started_at = -self.replica.horizon
 
-    def others(self) -> set[Address]:
-        return {address for _, address in self.places.fronts} - {self.places.me}
+    def other_fronts(self) -> set[Address]:
+        return {address for _, address in self.placement.fronts} - {self.placement.local_address}
--- a/thistlelever/takeover/facts.py
+++ b/thistlelever/takeover/facts.py
@@ -14,22 +14,22 @@
     """Times in seconds; `docs/takeover.md` says how they follow from each other."""
 
     # How many fronts keep the record of a batch that somebody can come back for.
-    places: int = 3
+    replicas: int = 3
     # How long an owner may answer and call off unasked after a majority last confirmed it, and when it asks
     # for that again.
-    lease: float = 1.0
-    renew: float = 0.4
+    lease_s: float = 1.0
+    renew_interval_s: float = 0.4
     # How long a batch's path waits for a majority at most, and when a word without an answer is sent again.
-    wait: float = 0.06
-    again: float = 0.015
+    quorum_timeout_s: float = 0.06
+    resend_interval_s: float = 0.015
     # How long the record of what is over is kept, and how often an heir asks an engine for what it took over.
-    keep: float = 5.0
-    ask: float = 0.5
+    retention_s: float = 5.0
+    keep_alive_interval_s: float = 0.5
     # A batch that nobody can come back for is told of only once it has been out for so long.
-    lazy: float = 0.05
+    lazy_report_delay_s: float = 0.05
     # The most records that are kept for others, and batches that are asked on for at once.
-    most_kept: int = 20_000
-    most_taken: int = 256
+    max_records: int = 20_000
+    max_keep_alives: int = 256
 
 
 class Liveness(IntEnum):
@@ -44,12 +44,12 @@
     """What matters here of a service group."""
 
     name: str
-    utility: float
-    repeatable: bool
-    referenced: bool
+    value: float
+    idempotent: bool
+    deduplicated: bool
     time_limit: float
     # Whether a batch of it that can't be protected is refused.
-    demands: bool
+    requires_protection: bool
 
 
 class QuorumOutcome(Enum):
@@ -71,7 +71,7 @@
     """The answer to one question. `value` is what is known of the batch, `owner` who has it where it is
     another's, `regained` whether it had been an heir's meanwhile."""
 
-    say: QuorumOutcome
+    outcome: QuorumOutcome
     value: RunStatus | None = None
     owner: Owner | None = None
     regained: bool = False
@@ -79,7 +79,7 @@
 
 class Send(NamedTuple):
     address: Address
-    word: Message
+    message: Message
 
 
 class KeepAlive(NamedTuple):
@@ -110,9 +110,9 @@
 class LeaseEvent(NamedTuple):
     """Something that befell a batch, for log and counters."""
 
-    what: str
+    name: str
     key: bytes
-    facts: dict
+    fields: dict
 
 
 def may_have_run(value: RunStatus | None) -> bool:
--- a/thistlelever/takeover/lease.py
+++ b/thistlelever/takeover/lease.py
@@ -29,17 +29,34 @@
 class PendingRequest:
     """A claim or a put, from its first sending to a majority's answer or its end."""
 
-    __slots__ = ("verb", "nonce", "word", "at", "due", "pause", "waited", "regains", "yes", "no")
+    __slots__ = (
+        "verb",
+        "nonce",
+        "message",
+        "sent_at",
+        "deadline",
+        "resend_interval",
+        "awaited",
+        "reclaims",
+        "accepted",
+        "refused",
+    )
 
     def __init__(
-        self, word: Message, now: float, due: float, pause: float, waited: bool, regains: bool
+        self,
+        message: Message,
+        now: float,
+        deadline: float,
+        resend_interval: float,
+        awaited: bool,
+        reclaims: bool,
     ) -> None:
-        self.verb, self.nonce, self.word = word.verb, word.nonce, word
-        self.at, self.due, self.pause = now, due, pause
+        self.verb, self.nonce, self.message = message.verb, message.nonce, message
+        self.sent_at, self.deadline, self.resend_interval = now, deadline, resend_interval
         # Whether the batch's path waits for the answer; whether it wins back what an heir has.
-        self.waited, self.regains = waited, regains
-        self.yes: dict[Address, Message] = {}
-        self.no: dict[Address, Message] = {}
+        self.awaited, self.reclaims = awaited, reclaims
+        self.accepted: dict[Address, Message] = {}
+        self.refused: dict[Address, Message] = {}
 
 
 class Lease:
@@ -47,64 +64,83 @@
     front's. `marked`: a client can come back for it."""
 
     def __init__(
-        self, key: bytes, owner: Owner, group: int, limit_at: float, places: tuple[Address, ...], marked: bool
+        self,
+        key: bytes,
+        owner: Owner,
+        class_index: int,
+        limit_at: float,
+        replicas: tuple[Address, ...],
+        recoverable: bool,
     ) -> None:
-        self.key, self.owner, self.group, self.limit_at = key, owner, group, limit_at
-        self.places, self.marked = places, marked
-        self.need = len(places) // 2 + 1 if marked else 1
+        self.key, self.owner, self.class_index, self.limit_at = key, owner, class_index, limit_at
+        self.replicas, self.recoverable = replicas, recoverable
+        self.quorum = len(replicas) // 2 + 1 if recoverable else 1
         self.phase, self.epoch, self.step = Phase.ASKING, 0, 0
-        self.state, self.engine, self.txn, self.number, self.ran_at = RunState.HELD, "", b"", 0, 0.0
+        self.state, self.engine, self.txn, self.number, self.started_at = RunState.HELD, "", b"", 0, 0.0
         # The first dispatch that may have run: engine, id and number there, when. What comes after it hangs
         # on it.
-        self.first: tuple[str, bytes, int, float] | None = None
-        self.lease_till, self.sure_at, self.told = 0.0, 0.0, False
+        self.first_run: tuple[str, bytes, int, float] | None = None
+        self.expires_at, self.confirmed_at, self.reported = 0.0, 0.0, False
         # Why it is not protected, or empty; whether it is an heir's.
-        self.bare, self.heir = "", False
-        self.question: PendingRequest | None = None
-        self.tries = 0
+        self.unprotected_reason, self.as_successor = "", False
+        self.request: PendingRequest | None = None
+        self.claim_attempts = 0
         # What an earlier question of the same submission brought.
-        self.heard: RunStatus | None = None
+        self.prior_value: RunStatus | None = None
 
-    def value(self, now: float) -> RunStatus:
+    def next_value(self, now: float) -> RunStatus:
         self.step += 1
-        left = max(round((self.limit_at - now) * 1e3), 0)
-        ran = max(round((now - self.ran_at) * 1e3), 0) if self.state is not RunState.HELD else 0
+        left_ms = max(round((self.limit_at - now) * 1e3), 0)
+        ran_ms = max(round((now - self.started_at) * 1e3), 0) if self.state is not RunState.HELD else 0
         return RunStatus(
-            self.epoch, self.step, self.state, self.group, left, self.engine, self.txn, ran, self.number
+            self.epoch,
+            self.step,
+            self.state,
+            self.class_index,
+            left_ms,
+            self.engine,
+            self.txn,
+            ran_ms,
+            self.number,
         )
 
-    def found(self, now: float, value: RunStatus) -> None:
+    def adopt(self, now: float, value: RunStatus) -> None:
         """What another front had begun is this one's from now on."""
         self.state, self.engine, self.txn, self.number = value.state, value.engine, value.txn, value.number
-        self.ran_at = now - value.ran_ms / 1e3
-        self.first = value.engine, value.txn, value.number, self.ran_at
+        self.started_at = now - value.ran_ms / 1e3
+        self.first_run = value.engine, value.txn, value.number, self.started_at
 
-    def goes_out(self, now: float, engine: str, txn: bytes, number: int) -> None:
+    def begin_dispatch(self, now: float, engine: str, txn: bytes, number: int) -> None:
         """A dispatch is about to go there."""
-        if self.first is None:
-            self.ran_at = now
+        if self.first_run is None:
+            self.started_at = now
         self.state, self.engine, self.txn, self.number = RunState.OUT, engine, txn, number
 
-    def came_back(self, run: RunEnd) -> None:
+    def end_dispatch(self, run: RunEnd) -> None:
         """That dispatch has ended."""
         if run is RunEnd.NEVER_RAN:
-            if self.first:
-                self.engine, self.txn, self.number, self.ran_at = self.first
+            if self.first_run:
+                self.engine, self.txn, self.number, self.started_at = self.first_run
                 self.state = RunState.UNKNOWN
             else:
                 self.state, self.engine, self.txn, self.number = RunState.HELD, "", b"", 0
             return
-        self.first = self.first or (self.engine, self.txn, self.number, self.ran_at)
+        self.first_run = self.first_run or (self.engine, self.txn, self.number, self.started_at)
         self.state = RunState.RETURNED if run is RunEnd.RETURNED else RunState.UNKNOWN
 
-    def holds(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Whether it surely is this front's at this moment, without asking."""
-        return bool(self.bare) or not self.marked or self.phase is Phase.OWNED and now < self.lease_till
+        return (
+            bool(self.unprotected_reason)
+            or not self.recoverable
+            or self.phase is Phase.OWNED
+            and now < self.expires_at
+        )
 
 
-def asked(
-    ward: Lease, verb: Verb, nonce: int, value: RunStatus | None, terms: TakeoverConfig, lease: bool = True
+def make_request(
+    lease: Lease, verb: Verb, nonce: int, value: RunStatus | None, config: TakeoverConfig, extend: bool = True
 ) -> Message:
     """The question as it goes to each place."""
-    ms = round(terms.lease * 1e3) if lease else 0
-    return Message(verb, nonce, ward.key, ward.epoch, ward.owner, value, ms, ward.heir)
+    ms = round(config.lease_s * 1e3) if extend else 0
+    return Message(verb, nonce, lease.key, lease.epoch, lease.owner, value, ms, lease.as_successor)
--- a/thistlelever/takeover/lease_manager.py
+++ b/thistlelever/takeover/lease_manager.py
@@ -33,7 +33,7 @@
     TakeoverConfig,
     may_have_run,
 )
-from thistlelever.takeover.lease import Lease, PendingRequest, Phase, RunEnd, asked
+from thistlelever.takeover.lease import Lease, PendingRequest, Phase, RunEnd, make_request
 from thistlelever.takeover.placement import Placement
 from thistlelever.takeover.replica import Replica
 from thistlelever.takeover.successors import Successor
@@ -57,388 +57,448 @@
 
     def __init__(
         self,
-        terms: TakeoverConfig,
-        me: Address,
+        config: TakeoverConfig,
+        local_address: Address,
         life: int,
         fronts: tuple[Address, ...],
-        groups: tuple[QueryClassPolicy, ...],
+        query_classes: tuple[QueryClassPolicy, ...],
         seed: int,
         now: float,
     ) -> None:
-        self.terms, self.me, self.life, self.groups, self.seed = terms, me, life, groups, seed
-        self.places = Placement((*fronts, me), terms.places, me)
-        horizon = MAX_TIME_LIMITS * max((g.time_limit for g in groups), default=0.0) + terms.keep
-        self.holder = Replica(terms, horizon, now)
-        self.heirs = Successor(terms, me, self.holder, self.places, groups)
-        self.catchup = CatchUp(Owner(address_bytes(me), life, b"\0" * 8), self.holder, self.places)
-        self.wards: dict[bytes, Lease] = {}
-        self.asked: dict[int, Lease] = {}
-        self.events: list[tuple[float, int, str, Lease, int]] = []
-        self.order, self.nonces, self.draws, self.swept_at = count(), 0, 0, now
+        self.config, self.local_address, self.life, self.query_classes, self.seed = (
+            config,
+            local_address,
+            life,
+            query_classes,
+            seed,
+        )
+        self.placement = Placement((*fronts, local_address), config.replicas, local_address)
+        horizon = (
+            MAX_TIME_LIMITS * max((g.time_limit for g in query_classes), default=0.0) + config.retention_s
+        )
+        self.replica = Replica(config, horizon, now)
+        self.successor = Successor(config, local_address, self.replica, self.placement, query_classes)
+        self.catchup = CatchUp(
+            Owner(address_bytes(local_address), life, b"\0" * 8), self.replica, self.placement
+        )
+        self.leases: dict[bytes, Lease] = {}
+        self.leases_by_nonce: dict[int, Lease] = {}
+        self.timers: list[tuple[float, int, str, Lease, int]] = []
+        self.timer_ids, self.nonce_count, self.draw_count, self.swept_at = count(), 0, 0, now
         self.sends: list[Send] = []
-        self.done: list[tuple[Lease, QuorumResult]] = []
-        self.orders: list[KeepAlive | CancelRun | StopKeepAlive] = []
-        self.notes: list[LeaseEvent] = []
+        self.results: list[tuple[Lease, QuorumResult]] = []
+        self.commands: list[KeepAlive | CancelRun | StopKeepAlive] = []
+        self.events: list[LeaseEvent] = []
 
     # A batch of this front's, from its taking to its end.
 
-    def enter(
+    def acquire(
         self,
         now: float,
         mark: bytes,
         txn: bytes,
-        group: int,
+        class_index: int,
         limit_at: float,
-        heard: RunStatus | None = None,
+        prior_value: RunStatus | None = None,
     ) -> Lease:
         """A batch that its client can come back for: `done` says whether it is this front's. `heard` is what
         an earlier question of the same submission brought."""
-        ward = self.ward(mark, txn, group, limit_at, self.places.of(mark), True)
-        ward.heard = heard
-        if len(ward.places) < 2:
-            ward.bare = "no other front"
-            self.finish(ward, QuorumResult(QuorumOutcome.ALONE))
+        lease = self.create_lease(mark, txn, class_index, limit_at, self.placement.replicas_for(mark), True)
+        lease.prior_value = prior_value
+        if len(lease.replicas) < 2:
+            lease.unprotected_reason = "no other front"
+            self.report_result(lease, QuorumResult(QuorumOutcome.ALONE))
         else:
-            ward.epoch = 1
-            self.ask(now, ward, Verb.CLAIM, True)
-        return ward
+            lease.epoch = 1
+            self.send_request(now, lease, Verb.CLAIM, True)
+        return lease
 
-    def enter_lazy(self, now: float, txn: bytes, group: int, limit_at: float) -> Lease:
+    def register_lazy(self, now: float, txn: bytes, class_index: int, limit_at: float) -> Lease:
         """A batch that nobody can come back for: one other is told of it, if it is out for long."""
         # Most are over before anybody is told: where they would be told of is looked up only then.
-        return self.ward(txn, txn, group, limit_at, (), False)
+        return self.create_lease(txn, txn, class_index, limit_at, (), False)
 
-    def ward(
-        self, key: bytes, txn: bytes, group: int, limit_at: float, places: tuple[Address, ...], marked: bool
+    def create_lease(
+        self,
+        key: bytes,
+        txn: bytes,
+        class_index: int,
+        limit_at: float,
+        replicas: tuple[Address, ...],
+        recoverable: bool,
     ) -> Lease:
-        owner = Owner(address_bytes(self.me), self.life, txn)
-        ward = self.wards[txn] = Lease(key, owner, group, limit_at, places, marked)
-        return ward
+        owner = Owner(address_bytes(self.local_address), self.life, txn)
+        lease = self.leases[txn] = Lease(key, owner, class_index, limit_at, replicas, recoverable)
+        return lease
 
-    def goes_out(self, now: float, ward: Lease, engine: str, txn: bytes, number: int = 0) -> bool:
+    def begin_dispatch(self, now: float, lease: Lease, engine: str, txn: bytes, number: int = 0) -> bool:
         """A dispatch is about to go there; whether its first byte has to wait for `done`. Of what may run
         twice nobody need know first."""
-        ward.goes_out(now, engine, txn, number)
-        if not ward.marked:
-            if not ward.told:
-                self.at(now + self.terms.lazy, "lazy", ward)
+        lease.begin_dispatch(now, engine, txn, number)
+        if not lease.recoverable:
+            if not lease.reported:
+                self.schedule(now + self.config.lazy_report_delay_s, "lazy", lease)
             return False
-        if ward.bare:
+        if lease.unprotected_reason:
             return False
-        waits = not self.groups[ward.group].repeatable
-        self.ask(now, ward, Verb.PUT, waits)
-        return waits
+        must_wait = not self.query_classes[lease.class_index].idempotent
+        self.send_request(now, lease, Verb.PUT, must_wait)
+        return must_wait
 
-    def came_back(self, now: float, ward: Lease, run: RunEnd) -> None:
+    def end_dispatch(self, now: float, lease: Lease, run: RunEnd) -> None:
         """That dispatch has ended; another may follow, or the end. Places hear of it with that, or when the
         lease is renewed: till then they have it for out, which is the safer error."""
-        ward.came_back(run)
+        lease.end_dispatch(run)
 
-    def confirm(self, now: float, ward: Lease) -> None:
+    def confirm(self, now: float, lease: Lease) -> None:
         """Ask whether it is this front's still; `done` says."""
-        self.ask(now, ward, Verb.PUT, True)
+        self.send_request(now, lease, Verb.PUT, True)
 
-    def close(self, now: float, ward: Lease) -> None:
+    def close(self, now: float, lease: Lease) -> None:
         """Its one final answer is given, and nothing of it is out. What is known of it stays with the places,
         and is free for whoever comes."""
-        self.wards.pop(ward.owner.txn, None)
-        owned, ward.phase = ward.phase is Phase.OWNED, Phase.CLOSED
-        if not ward.marked:
-            if ward.told:
-                for place in ward.places:
-                    self.sends.append(Send(place, asked(ward, Verb.DROP, 0, None, self.terms)))
-            self.forget(ward)
-        elif owned and not ward.bare:
+        self.leases.pop(lease.owner.txn, None)
+        owned, lease.phase = lease.phase is Phase.OWNED, Phase.CLOSED
+        if not lease.recoverable:
+            if lease.reported:
+                for replica in lease.replicas:
+                    self.sends.append(Send(replica, make_request(lease, Verb.DROP, 0, None, self.config)))
+            self.discard(lease)
+        elif owned and not lease.unprotected_reason:
             # Nobody waits for it, and what is lost is told again by whoever goes on from 'out'.
-            self.end(ward)
-            word = asked(ward, Verb.PUT, 0, ward.value(now), self.terms, False)
-            for place in ward.places:
-                self.put_to(now, place, word)
+            self.clear_request(lease)
+            message = make_request(lease, Verb.PUT, 0, lease.next_value(now), self.config, False)
+            for replica in lease.replicas:
+                self.send_to(now, replica, message)
         else:
-            if ward.question and ward.question.verb is Verb.CLAIM:
+            if lease.request and lease.request.verb is Verb.CLAIM:
                 # Risk: claimed for nobody, it keeps all others out for a lease.
-                self.release(ward, ward.places)
-            self.forget(ward)
+                self.release(lease, lease.replicas)
+            self.discard(lease)
 
     def hand_over(self, now: float) -> list[Lease]:
         """This front ends: what is out and can be come back for is left to whoever is asked next. Nothing
         more may be done for it here."""
         given = [
             w
-            for w in self.wards.values()
-            if w.marked and not w.bare and w.phase is Phase.OWNED and w.state is RunState.OUT
+            for w in self.leases.values()
+            if w.recoverable
+            and not w.unprotected_reason
+            and w.phase is Phase.OWNED
+            and w.state is RunState.OUT
         ]
-        for ward in given:
-            self.ask(now, ward, Verb.PUT, False, lease=False)
-            ward.phase = Phase.LOST
-            self.note("handed over", ward.key, txn=ward.owner.txn.hex(), engine=ward.engine)
+        for lease in given:
+            self.send_request(now, lease, Verb.PUT, False, extend=False)
+            lease.phase = Phase.LOST
+            self.record_event("handed over", lease.key, txn=lease.owner.txn.hex(), engine=lease.engine)
         return given
 
     # Questions to the places.
 
-    def ask(
-        self, now: float, ward: Lease, verb: Verb, waited: bool, lease: bool = True, regains: bool = False
+    def send_request(
+        self, now: float, lease: Lease, verb: Verb, awaited: bool, extend: bool = True, reclaims: bool = False
     ) -> None:
         """Put a question in place of the one that is out: a later value says all that an earlier one did."""
-        before = ward.question
-        if before:
-            self.asked.pop(before.nonce, None)
-            waited = waited or before.waited
-        self.nonces += 1
-        nonce = crc32(b"%d work %d" % (self.seed, self.nonces)) or 1
-        word = asked(ward, verb, nonce, ward.value(now) if verb is Verb.PUT else None, self.terms, lease)
-        due = now + (self.terms.wait if waited else UNAWAITED_TIMEOUT_S)
-        q = ward.question = PendingRequest(word, now, due, self.terms.again, waited, regains)
-        self.asked[nonce] = ward
-        self.at(now + q.pause, "again", ward, nonce)
-        for place in ward.places:
-            self.put_to(now, place, word)
-
-    def put_to(self, now: float, place: Address, word: Message) -> None:
-        if place != self.me:
-            self.sends.append(Send(place, word))
-        elif answer := self.holder.answer(now, word):
-            self.answered(now, self.me, answer)
-
-    def heard(self, now: float, source: Address, words: tuple[Message, ...]) -> None:
+        previous = lease.request
+        if previous:
+            self.leases_by_nonce.pop(previous.nonce, None)
+            awaited = awaited or previous.awaited
+        self.nonce_count += 1
+        nonce = crc32(b"%d work %d" % (self.seed, self.nonce_count)) or 1
+        message = make_request(
+            lease, verb, nonce, lease.next_value(now) if verb is Verb.PUT else None, self.config, extend
+        )
+        deadline = now + (self.config.quorum_timeout_s if awaited else UNAWAITED_TIMEOUT_S)
+        request = lease.request = PendingRequest(
+            message, now, deadline, self.config.resend_interval_s, awaited, reclaims
+        )
+        self.leases_by_nonce[nonce] = lease
+        self.schedule(now + request.resend_interval, "again", lease, nonce)
+        for replica in lease.replicas:
+            self.send_to(now, replica, message)
+
+    def send_to(self, now: float, replica: Address, message: Message) -> None:
+        if replica != self.local_address:
+            self.sends.append(Send(replica, message))
+        elif reply := self.replica.handle(now, message):
+            self.on_reply(now, self.local_address, reply)
+
+    def receive(self, now: float, source: Address, messages: tuple[Message, ...]) -> None:
         """What came in one datagram."""
-        for word in words:
-            if word.verb in (Verb.YES, Verb.NO):
-                self.answered(now, source, word)
-            elif word.verb is Verb.CATCH:
-                self.sends += [Send(source, told) for told in self.catchup.answer(now, source, word)]
-            elif word.verb in (Verb.KEPT, Verb.END):
-                self.catchup.heard(now, source, word)
-            elif answer := self.holder.answer(now, word):
-                self.sends.append(Send(source, answer))
-
-    def answered(self, now: float, source: Address, word: Message) -> None:
-        ward = self.asked.get(word.nonce)
-        q = ward.question if ward else None
-        if q is None or q.nonce != word.nonce:
-            late = word.verb is Verb.YES and word.lease_ms and word.owner.txn not in self.wards
-            if late and source != self.me:
+        for message in messages:
+            if message.verb in (Verb.YES, Verb.NO):
+                self.on_reply(now, source, message)
+            elif message.verb is Verb.CATCH:
+                self.sends += [
+                    Send(source, reply) for reply in self.catchup.answer_request(now, source, message)
+                ]
+            elif message.verb in (Verb.KEPT, Verb.END):
+                self.catchup.receive(now, source, message)
+            elif reply := self.replica.handle(now, message):
+                self.sends.append(Send(source, reply))
+
+    def on_reply(self, now: float, source: Address, message: Message) -> None:
+        lease = self.leases_by_nonce.get(message.nonce)
+        request = lease.request if lease else None
+        if request is None or request.nonce != message.nonce:
+            late = message.verb is Verb.YES and message.lease_ms and message.owner.txn not in self.leases
+            if late and source != self.local_address:
                 # Risk: a claim that was given up and comes through late keeps all others out for a lease.
-                self.sends.append(Send(source, Message(Verb.RELEASE, 0, word.key, word.epoch, word.owner)))
+                self.sends.append(
+                    Send(source, Message(Verb.RELEASE, 0, message.key, message.epoch, message.owner))
+                )
             return
-        if source not in ward.places or source in q.yes or source in q.no:
+        if source not in lease.replicas or source in request.accepted or source in request.refused:
             return
-        (q.yes if word.verb is Verb.YES else q.no)[source] = word
-        if len(q.yes) >= ward.need and not (q.verb is Verb.CLAIM and self.waits_for_more(ward, q)):
-            self.granted(now, ward, q)
-        elif len(ward.places) - len(q.no) < ward.need or q.verb is Verb.CLAIM and self.is_final(ward, word):
-            self.refused(now, ward, q)
-
-    def is_final(self, ward: Lease, word: Message) -> bool:
+        (request.accepted if message.verb is Verb.YES else request.refused)[source] = message
+        if len(request.accepted) >= lease.quorum and not (
+            request.verb is Verb.CLAIM and self.needs_more_replies(lease, request)
+        ):
+            self.on_granted(now, lease, request)
+        elif (
+            len(lease.replicas) - len(request.refused) < lease.quorum
+            or request.verb is Verb.CLAIM
+            and self.is_decisive(lease, message)
+        ):
+            self.on_refused(now, lease, request)
+
+    def is_decisive(self, lease: Lease, message: Message) -> bool:
         """Whether one place's answer to a claim ends it: another has the batch, or the epoch is too low.
         Risk: with one place away, one that says yes and one that has promised a later epoch are no majority
         either way, however often the claim is made."""
-        behind = word.verb is Verb.NO and word.epoch >= ward.epoch and ward.tries < MAX_CLAIM_ATTEMPTS
-        return held(ward, word) or behind
+        behind = (
+            message.verb is Verb.NO
+            and message.epoch >= lease.epoch
+            and lease.claim_attempts < MAX_CLAIM_ATTEMPTS
+        )
+        return held_by_other(lease, message) or behind
 
-    def waits_for_more(self, ward: Lease, q: PendingRequest) -> bool:
+    def needs_more_replies(self, lease: Lease, request: PendingRequest) -> bool:
         """A majority is here that knows of nothing because it has forgotten: one more may tell."""
-        best = latest(q.yes.values())
-        return not may_have_run(best) and known(q) < ward.need and (len(q.yes) + len(q.no) < len(ward.places))
-
-    def granted(self, now: float, ward: Lease, q: PendingRequest) -> None:
-        self.end(ward)
-        ward.phase = Phase.OWNED if ward.phase is Phase.ASKING else ward.phase
-        ward.lease_till, ward.sure_at, ward.told = q.at + self.terms.lease, now, True
-        if ward.phase is Phase.CLOSED:
+        value = latest_value(request.accepted.values())
+        return (
+            not may_have_run(value)
+            and count_informed(request) < lease.quorum
+            and (len(request.accepted) + len(request.refused) < len(lease.replicas))
+        )
+
+    def on_granted(self, now: float, lease: Lease, request: PendingRequest) -> None:
+        self.clear_request(lease)
+        lease.phase = Phase.OWNED if lease.phase is Phase.ASKING else lease.phase
+        lease.expires_at, lease.confirmed_at, lease.reported = (
+            request.sent_at + self.config.lease_s,
+            now,
+            True,
+        )
+        if lease.phase is Phase.CLOSED:
             return
-        self.at(now + self.terms.renew, "renew", ward)
-        if q.verb is Verb.PUT:
-            self.finish(ward, QuorumResult(QuorumOutcome.SURE), q)
+        self.schedule(now + self.config.renew_interval_s, "renew", lease)
+        if request.verb is Verb.PUT:
+            self.report_result(lease, QuorumResult(QuorumOutcome.SURE), request)
             return
-        best = latest(q.yes.values())
-        if best is None and not q.regains:
+        value = latest_value(request.accepted.values())
+        if value is None and not request.reclaims:
             # Risk: the places have forgotten a run that this submission was led to and waited for.
-            best = ward.heard
-        if q.regains:
+            value = lease.prior_value
+        if request.reclaims:
             # An heir never dispatches: what it had is as this front left it, or somebody else has been there.
-            mine = best is None or best.state is RunState.HELD or best.txn == ward.txn
-            ward.phase = Phase.OWNED if mine else Phase.LOST
-            self.note("handed back" if mine else "lost", ward.key, txn=ward.owner.txn.hex())
-            self.finish(
-                ward,
+            still_own = value is None or value.state is RunState.HELD or value.txn == lease.txn
+            lease.phase = Phase.OWNED if still_own else Phase.LOST
+            self.record_event("handed back" if still_own else "lost", lease.key, txn=lease.owner.txn.hex())
+            self.report_result(
+                lease,
                 QuorumResult(QuorumOutcome.SURE, regained=True)
-                if mine
-                else QuorumResult(QuorumOutcome.LOST, best),
-                q,
+                if still_own
+                else QuorumResult(QuorumOutcome.LOST, value),
+                request,
             )
             return
-        if best is not None and may_have_run(best):
-            ward.found(now, best)
-            self.finish(ward, QuorumResult(QuorumOutcome.FOUND, best), q)
+        if value is not None and may_have_run(value):
+            lease.adopt(now, value)
+            self.report_result(lease, QuorumResult(QuorumOutcome.FOUND, value), request)
             return
-        self.finish(
-            ward,
-            QuorumResult(QuorumOutcome.FRESH if known(q) >= ward.need else QuorumOutcome.UNSURE, best),
-            q,
+        self.report_result(
+            lease,
+            QuorumResult(
+                QuorumOutcome.FRESH if count_informed(request) >= lease.quorum else QuorumOutcome.UNSURE,
+                value,
+            ),
+            request,
         )
 
-    def refused(self, now: float, ward: Lease, q: PendingRequest) -> None:
-        self.end(ward)
-        said = [*q.yes.values(), *q.no.values()]
-        others = [w for w in q.no.values() if w.owner != ward.owner]
-        best, epoch = latest(said), max(w.epoch for w in said)
-        if q.verb is Verb.CLAIM:
-            holds = [w for w in others if held(ward, w)]
-            if not holds and epoch >= ward.epoch and ward.tries < MAX_CLAIM_ATTEMPTS:
+    def on_refused(self, now: float, lease: Lease, request: PendingRequest) -> None:
+        self.clear_request(lease)
+        replies = [*request.accepted.values(), *request.refused.values()]
+        others = [w for w in request.refused.values() if w.owner != lease.owner]
+        value, epoch = latest_value(replies), max(w.epoch for w in replies)
+        if request.verb is Verb.CLAIM:
+            holders = [w for w in others if held_by_other(lease, w)]
+            if not holders and epoch >= lease.epoch and lease.claim_attempts < MAX_CLAIM_ATTEMPTS:
                 # The promise that stands in the way is over: only the epoch was too low.
-                ward.tries, ward.epoch = ward.tries + 1, epoch + 1
-                self.ask(now, ward, Verb.CLAIM, q.waited, regains=q.regains)
+                lease.claim_attempts, lease.epoch = lease.claim_attempts + 1, epoch + 1
+                self.send_request(now, lease, Verb.CLAIM, request.awaited, reclaims=request.reclaims)
                 return
-            self.release(ward, tuple(q.yes))
-            owner = max(holds, key=lambda w: (w.epoch, w.lease_ms)).owner if holds else None
-            if q.regains:
-                self.lose(ward, best, owner, q)
+            self.release(lease, tuple(request.accepted))
+            owner = max(holders, key=lambda w: (w.epoch, w.lease_ms)).owner if holders else None
+            if request.reclaims:
+                self.mark_lost(lease, value, owner, request)
             elif owner:
-                self.finish(ward, QuorumResult(QuorumOutcome.TAKEN, best, owner), q)
+                self.report_result(lease, QuorumResult(QuorumOutcome.TAKEN, value, owner), request)
             else:
-                ward.bare = "the places refuse"
-                self.finish(ward, QuorumResult(QuorumOutcome.ALONE, best), q)
+                lease.unprotected_reason = "the places refuse"
+                self.report_result(lease, QuorumResult(QuorumOutcome.ALONE, value), request)
         elif not others:
             # Places that can keep nothing any more are as good as away.
-            self.finish(ward, QuorumResult(QuorumOutcome.ALONE), q)
-        elif ward.phase is Phase.CLOSED or ward.heir:
-            self.forget(ward)
-        elif ward.phase is Phase.OWNED and all(w.heir or not w.lease_ms for w in others):
-            ward.epoch, ward.tries = epoch + 1, 0
-            self.ask(now, ward, Verb.CLAIM, q.waited, regains=True)
+            self.report_result(lease, QuorumResult(QuorumOutcome.ALONE), request)
+        elif lease.phase is Phase.CLOSED or lease.as_successor:
+            self.discard(lease)
+        elif lease.phase is Phase.OWNED and all(w.heir or not w.lease_ms for w in others):
+            lease.epoch, lease.claim_attempts = epoch + 1, 0
+            self.send_request(now, lease, Verb.CLAIM, request.awaited, reclaims=True)
         else:
-            self.lose(ward, best, max(others, key=lambda w: w.epoch).owner, q)
+            self.mark_lost(lease, value, max(others, key=lambda w: w.epoch).owner, request)
 
-    def lose(self, ward: Lease, best: RunStatus | None, owner: Owner | None, q: PendingRequest) -> None:
-        if ward.phase is not Phase.LOST:
-            self.note("lost", ward.key, txn=ward.owner.txn.hex())
-        ward.phase = Phase.LOST
-        self.finish(ward, QuorumResult(QuorumOutcome.LOST, best, owner), q)
+    def mark_lost(
+        self, lease: Lease, value: RunStatus | None, owner: Owner | None, request: PendingRequest
+    ) -> None:
+        if lease.phase is not Phase.LOST:
+            self.record_event("lost", lease.key, txn=lease.owner.txn.hex())
+        lease.phase = Phase.LOST
+        self.report_result(lease, QuorumResult(QuorumOutcome.LOST, value, owner), request)
 
-    def release(self, ward: Lease, places: tuple[Address, ...]) -> None:
+    def release(self, lease: Lease, replicas: tuple[Address, ...]) -> None:
         """Whoever said yes to a claim that came to nothing must not keep others out for its lease."""
-        word = Message(Verb.RELEASE, 0, ward.key, ward.epoch, ward.owner)
-        for place in places:
-            if place == self.me:
-                self.holder.release(word)
+        message = Message(Verb.RELEASE, 0, lease.key, lease.epoch, lease.owner)
+        for replica in replicas:
+            if replica == self.local_address:
+                self.replica.release(message)
             else:
-                self.sends.append(Send(place, word))
+                self.sends.append(Send(replica, message))
 
-    def end(self, ward: Lease) -> None:
-        if ward.question:
-            self.asked.pop(ward.question.nonce, None)
-            ward.question = None
+    def clear_request(self, lease: Lease) -> None:
+        if lease.request:
+            self.leases_by_nonce.pop(lease.request.nonce, None)
+            lease.request = None
 
-    def finish(self, ward: Lease, told: QuorumResult, q: PendingRequest | None = None) -> None:
-        if ward.heir:
-            self.heirs.claimed(ward, told)
-        elif q is None or q.waited or told.say is QuorumOutcome.LOST:
-            self.done.append((ward, told))
+    def report_result(
+        self, lease: Lease, result: QuorumResult, request: PendingRequest | None = None
+    ) -> None:
+        if lease.as_successor:
+            self.successor.on_claim_result(lease, result)
+        elif request is None or request.awaited or result.outcome is QuorumOutcome.LOST:
+            self.results.append((lease, result))
 
-    def forget(self, ward: Lease) -> None:
-        self.end(ward)
-        self.wards.pop(ward.owner.txn, None)
+    def discard(self, lease: Lease) -> None:
+        self.clear_request(lease)
+        self.leases.pop(lease.owner.txn, None)
 
     # What is due.
 
-    def at(self, when: float, what: str, ward: Lease, nonce: int = 0) -> None:
+    def schedule(self, when: float, what: str, lease: Lease, nonce: int = 0) -> None:
         """Risk: a wake-up for each of hundreds of batches a second costs more than what they come to. What
         is due at like times is due at one."""
         grid = TIMER_GRID_S[what]
-        heappush(self.events, (ceil(when / grid) * grid, next(self.order), what, ward, nonce))
+        heappush(self.timers, (ceil(when / grid) * grid, next(self.timer_ids), what, lease, nonce))
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When the next turn is."""
-        first = self.events[0][0] if self.events else self.swept_at + SWEEP_INTERVAL_S
-        return min(first, self.swept_at + SWEEP_INTERVAL_S, self.catchup.due())
-
-    def turn(self, now: float) -> None:
-        while self.events and self.events[0][0] <= now:
-            _, _, what, ward, nonce = heappop(self.events)
-            getattr(self, "due_" + what)(now, ward, nonce)
-        self.sends += self.catchup.turn(now)
+        first = self.timers[0][0] if self.timers else self.swept_at + SWEEP_INTERVAL_S
+        return min(first, self.swept_at + SWEEP_INTERVAL_S, self.catchup.next_due())
+
+    def tick(self, now: float) -> None:
+        while self.timers and self.timers[0][0] <= now:
+            _, _, what, lease, nonce = heappop(self.timers)
+            getattr(self, "due_" + what)(now, lease, nonce)
+        self.sends += self.catchup.tick(now)
         if now - self.swept_at >= SWEEP_INTERVAL_S:
             self.swept_at = now
-            self.holder.sweep(now)
-            for heir in self.heirs.look(now):
+            self.replica.sweep(now)
+            for claim in self.successor.review(now):
                 # Exactly one survivor: whoever a majority promises itself to.
-                places = self.places.of(heir.key)
-                ward = self.ward(heir.key, heir.txn, heir.group, now + heir.left, places, True)
-                ward.heir, ward.epoch = True, heir.epoch + 1
-                self.ask(now, ward, Verb.CLAIM, False)
-        self.orders += self.heirs.orders
-        self.notes += self.heirs.notes
-        self.heirs.orders, self.heirs.notes = [], []
-
-    def due_again(self, now: float, ward: Lease, nonce: int) -> None:
-        q = ward.question
-        if q is None or q.nonce != nonce:
+                replicas = self.placement.replicas_for(claim.key)
+                lease = self.create_lease(
+                    claim.key, claim.txn, claim.class_index, now + claim.remaining_s, replicas, True
+                )
+                lease.as_successor, lease.epoch = True, claim.epoch + 1
+                self.send_request(now, lease, Verb.CLAIM, False)
+        self.commands += self.successor.commands
+        self.events += self.successor.events
+        self.successor.commands, self.successor.events = [], []
+
+    def due_again(self, now: float, lease: Lease, nonce: int) -> None:
+        request = lease.request
+        if request is None or request.nonce != nonce:
             return
-        if now < q.due:
-            for place in ward.places:
-                if place not in q.yes and place not in q.no and place != self.me:
-                    self.sends.append(Send(place, q.word))
-            q.pause *= 1 if q.waited else 2
-            self.at(min(now + q.pause, q.due), "again", ward, nonce)
+        if now < request.deadline:
+            for replica in lease.replicas:
+                if (
+                    replica not in request.accepted
+                    and replica not in request.refused
+                    and replica != self.local_address
+                ):
+                    self.sends.append(Send(replica, request.message))
+            request.resend_interval *= 1 if request.awaited else 2
+            self.schedule(min(now + request.resend_interval, request.deadline), "again", lease, nonce)
             return
-        if q.verb is Verb.CLAIM and len(q.yes) >= ward.need:
-            self.granted(now, ward, q)
+        if request.verb is Verb.CLAIM and len(request.accepted) >= lease.quorum:
+            self.on_granted(now, lease, request)
             return
-        self.end(ward)
-        if q.verb is Verb.CLAIM and not q.regains:
-            self.release(ward, ward.places)
-            if not ward.heir:
-                ward.bare = "no majority in time"
-        if ward.phase is Phase.CLOSED:
-            self.forget(ward)
+        self.clear_request(lease)
+        if request.verb is Verb.CLAIM and not request.reclaims:
+            self.release(lease, lease.replicas)
+            if not lease.as_successor:
+                lease.unprotected_reason = "no majority in time"
+        if lease.phase is Phase.CLOSED:
+            self.discard(lease)
         else:
-            best = latest((*q.yes.values(), *q.no.values())) or ward.heard
-            self.finish(ward, QuorumResult(QuorumOutcome.ALONE, best), q)
-            if ward.heir and ward.phase is Phase.ASKING:
-                self.forget(ward)
+            value = latest_value((*request.accepted.values(), *request.refused.values())) or lease.prior_value
+            self.report_result(lease, QuorumResult(QuorumOutcome.ALONE, value), request)
+            if lease.as_successor and lease.phase is Phase.ASKING:
+                self.discard(lease)
 
-    def due_renew(self, now: float, ward: Lease, nonce: int) -> None:
-        if ward.phase is not Phase.OWNED or ward.owner.txn not in self.wards or ward.bare:
+    def due_renew(self, now: float, lease: Lease, nonce: int) -> None:
+        if lease.phase is not Phase.OWNED or lease.owner.txn not in self.leases or lease.unprotected_reason:
             return
-        if now - ward.sure_at < self.terms.renew - 0.01:
+        if now - lease.confirmed_at < self.config.renew_interval_s - 0.01:
             return
-        if ward.heir and not self.heirs.has(ward.key):
-            self.forget(ward)
+        if lease.as_successor and not self.successor.has(lease.key):
+            self.discard(lease)
             return
-        if not ward.question:
-            self.ask(now, ward, Verb.PUT if not ward.heir else Verb.CLAIM, False)
+        if not lease.request:
+            self.send_request(now, lease, Verb.PUT if not lease.as_successor else Verb.CLAIM, False)
         # Where it fails, it is tried again until the batch is over.
-        self.at(now + self.terms.renew, "renew", ward)
-
-    def due_lazy(self, now: float, ward: Lease, nonce: int) -> None:
-        if ward.state is RunState.OUT and ward.phase is not Phase.CLOSED and not ward.told:
-            others = [place for place in self.places.of(ward.key) if place != self.me]
-            ward.places, ward.told, ward.epoch = tuple(others[:1]), True, 1
+        self.schedule(now + self.config.renew_interval_s, "renew", lease)
+
+    def due_lazy(self, now: float, lease: Lease, nonce: int) -> None:
+        if lease.state is RunState.OUT and lease.phase is not Phase.CLOSED and not lease.reported:
+            others = [
+                replica for replica in self.placement.replicas_for(lease.key) if replica != self.local_address
+            ]
+            lease.replicas, lease.reported, lease.epoch = tuple(others[:1]), True, 1
             if others:
-                self.ask(now, ward, Verb.PUT, False)
+                self.send_request(now, lease, Verb.PUT, False)
 
-    def chance(self) -> float:
+    def random_fraction(self) -> float:
         """From 0 up to 1, by the seed and a counter."""
-        self.draws += 1
-        return crc32(b"%d %d" % (self.seed, self.draws)) / 2**32
+        self.draw_count += 1
+        return crc32(b"%d %d" % (self.seed, self.draw_count)) / 2**32
 
-    def note(self, what: str, key: bytes, **facts) -> None:
-        self.notes.append(LeaseEvent(what, key, facts))
+    def record_event(self, name: str, key: bytes, **fields) -> None:
+        self.events.append(LeaseEvent(name, key, fields))
 
 
-def held(ward: Lease, word: Message) -> bool:
+def held_by_other(lease: Lease, message: Message) -> bool:
     """Whether a place says that another has the batch, which does not give way."""
-    stays = word.verb is Verb.NO and word.owner != ward.owner and word.lease_ms > 0
-    return stays and (ward.heir or not word.heir)
+    stays = message.verb is Verb.NO and message.owner != lease.owner and message.lease_ms > 0
+    return stays and (lease.as_successor or not message.heir)
 
 
-def known(q: PendingRequest) -> int:
+def count_informed(request: PendingRequest) -> int:
     """How many of those that say yes would know. Risk: a place that was started again has forgotten what it
     promised."""
-    return sum(not (word.young and word.value is None) for word in q.yes.values())
+    return sum(not (message.young and message.value is None) for message in request.accepted.values())
 
 
-def latest(words) -> RunStatus | None:
+def latest_value(messages) -> RunStatus | None:
     """Of what the places keep the value that outweighs the others."""
-    return max((w.value for w in words if w.value is not None), key=lambda v: v.order, default=None)
+    return max((w.value for w in messages if w.value is not None), key=lambda v: v.order, default=None)
--- a/thistlelever/takeover/placement.py
+++ b/thistlelever/takeover/placement.py
@@ -14,15 +14,19 @@
 class Placement:
     """The fronts of the tier by their addresses as others know them, this one among them."""
 
-    def __init__(self, fronts: tuple[Address, ...], many: int, me: Address | None = None) -> None:
-        self.renew(fronts)
-        self.many, self.me = many, me
+    def __init__(
+        self, fronts: tuple[Address, ...], replica_count: int, local_address: Address | None = None
+    ) -> None:
+        self.set_fronts(fronts)
+        self.replica_count, self.local_address = replica_count, local_address
 
-    def renew(self, fronts: tuple[Address, ...]) -> None:
+    def set_fronts(self, fronts: tuple[Address, ...]) -> None:
         self.fronts = [(f"{host}:{port}|".encode(), (host, port)) for host, port in sorted(set(fronts))]
 
-    def of(self, key: bytes) -> tuple[Address, ...]:
+    def replicas_for(self, key: bytes) -> tuple[Address, ...]:
         """The places of a key, the first before the next: a front that is added or leaves moves only the keys
         that it gains or had."""
-        best = nlargest(self.many, self.fronts, key=lambda front: xxh3_64_intdigest(front[0] + key))
-        return tuple(address for _, address in best)
+        nearest = nlargest(
+            self.replica_count, self.fronts, key=lambda front: xxh3_64_intdigest(front[0] + key)
+        )
+        return tuple(address for _, address in nearest)
--- a/thistlelever/takeover/replica.py
+++ b/thistlelever/takeover/replica.py
@@ -21,12 +21,12 @@
         "key",
         "epoch",
         "owner",
-        "whose",
-        "heir",
+        "value_owner",
+        "by_successor",
         "released",
-        "lease_till",
+        "lease_expires_at",
         "value",
-        "valued_at",
+        "value_set_at",
         "heard_at",
         "forget_at",
     )
@@ -35,200 +35,209 @@
         self.key, self.epoch = key, 0
         # To whom it is promised, and who said the value.
         self.owner: Owner | None = None
-        self.whose: Owner | None = None
+        self.value_owner: Owner | None = None
         self.value: RunStatus | None = None
-        self.heir, self.released, self.lease_till, self.forget_at = False, False, 0.0, 0.0
+        self.by_successor, self.released, self.lease_expires_at, self.forget_at = False, False, 0.0, 0.0
         # When the value came, and any word of its owner's.
-        self.valued_at, self.heard_at = 0.0, 0.0
+        self.value_set_at, self.heard_at = 0.0, 0.0
 
     @property
-    def lazy(self) -> bool:
+    def is_lazy(self) -> bool:
         """Of a batch that nobody can come back for."""
         return len(self.key) == 8
 
     @property
-    def behind(self) -> Owner | None:
+    def responsible_owner(self) -> Owner | None:
         """Whose loss would leave it to an heir."""
-        return self.whose or self.owner if self.released else self.owner
+        return self.value_owner or self.owner if self.released else self.owner
 
-    def left(self, now: float) -> float:
-        return max(self.lease_till - now, 0.0)
+    def lease_left(self, now: float) -> float:
+        return max(self.lease_expires_at - now, 0.0)
 
 
 class Replica:
     """The records of one place. `horizon` is how long a record may matter: a life younger than that may have
     forgotten some, and says so."""
 
-    def __init__(self, terms: TakeoverConfig, horizon: float, now: float) -> None:
-        self.terms, self.horizon, self.born = terms, horizon, now
-        self.kept: dict[bytes, Record] = {}
+    def __init__(self, config: TakeoverConfig, horizon: float, now: float) -> None:
+        self.config, self.horizon, self.started_at = config, horizon, now
+        self.records: dict[bytes, Record] = {}
         self.by_front: dict[Address, set[bytes]] = defaultdict(set)
         # Whether it can promise anything: a place that fails says so and is passed by.
-        self.failing = ""
-        self.full = 0
+        self.failure = ""
+        self.rejected_count = 0
 
-    def young(self, now: float) -> bool:
-        return now - self.born < self.horizon
+    def is_incomplete(self, now: float) -> bool:
+        return now - self.started_at < self.horizon
 
-    def answer(self, now: float, word: Message) -> Message | None:
+    def handle(self, now: float, message: Message) -> Message | None:
         """What this place says to a claim, a put, a release or a drop."""
-        match word.verb:
+        match message.verb:
             case Verb.CLAIM:
-                return self.claim(now, word)
+                return self.claim(now, message)
             case Verb.PUT:
-                return self.put(now, word)
+                return self.put(now, message)
             case Verb.RELEASE:
-                self.release(word)
+                self.release(message)
             case Verb.DROP:
-                kept = self.kept.get(word.key)
-                if kept and kept.owner == word.owner:
-                    self.drop(kept)
+                record = self.records.get(message.key)
+                if record and record.owner == message.owner:
+                    self.drop(record)
         return None
 
-    def claim(self, now: float, word: Message) -> Message:
-        kept = self.kept.get(word.key)
-        if kept is None:
-            kept = self.room(word.key)
-            if kept is None:
-                return self.no(now, word, None)
-        self.asked_for(now, kept, word)
-        mine = kept.owner == word.owner and kept.epoch == word.epoch
+    def claim(self, now: float, message: Message) -> Message:
+        record = self.records.get(message.key)
+        if record is None:
+            record = self.create_record(message.key)
+            if record is None:
+                return self.refuse_reply(now, message, None)
+        self.extend_retention(now, record, message)
+        already_promised = record.owner == message.owner and record.epoch == message.epoch
         # An owner whose epoch was too low at another place asks again with a later one.
-        free = kept.left(now) == 0 or kept.owner == word.owner or kept.heir and not word.heir
-        if not mine and not (word.epoch > kept.epoch and free):
-            return self.no(now, word, kept)
-        self.promise(now, kept, word)
-        return self.yes(now, word, kept)
+        free = (
+            record.lease_left(now) == 0
+            or record.owner == message.owner
+            or record.by_successor
+            and not message.heir
+        )
+        if not already_promised and not (message.epoch > record.epoch and free):
+            return self.refuse_reply(now, message, record)
+        self.promise(now, record, message)
+        return self.accept_reply(now, message, record)
 
-    def put(self, now: float, word: Message) -> Message | None:
+    def put(self, now: float, message: Message) -> Message | None:
         """An owner's word on its batch. A later epoch had a majority's promise, this place among them or not:
         its lease is not asked for again."""
-        kept = self.kept.get(word.key)
-        if kept is None:
-            kept = self.room(word.key)
-            if kept is None or word.value is None:
-                return self.no(now, word, kept) if word.nonce else None
-        if word.epoch < kept.epoch or word.epoch == kept.epoch and kept.owner != word.owner:
-            return self.no(now, word, kept) if word.nonce else None
-        if self.outweighs(now, kept, word):
-            self.promise(now, kept, word)
+        record = self.records.get(message.key)
+        if record is None:
+            record = self.create_record(message.key)
+            if record is None or message.value is None:
+                return self.refuse_reply(now, message, record) if message.nonce else None
+        if message.epoch < record.epoch or message.epoch == record.epoch and record.owner != message.owner:
+            return self.refuse_reply(now, message, record) if message.nonce else None
+        if self.update_value(now, record, message):
+            self.promise(now, record, message)
         # Nobody waits for an answer to the last word of a batch.
-        return self.yes(now, word, kept) if word.nonce else None
+        return self.accept_reply(now, message, record) if message.nonce else None
 
-    def restore(self, now: float, word: Message) -> None:
+    def restore(self, now: float, message: Message) -> None:
         """What another place keeps of a batch whose record this one had in a former life."""
-        kept = self.kept.get(word.key) or self.room(word.key)
-        if kept is None:
+        record = self.records.get(message.key) or self.create_record(message.key)
+        if record is None:
             return
-        self.outweighs(now, kept, word)
-        if word.epoch > kept.epoch:
-            self.promise(now, kept, word)
+        self.update_value(now, record, message)
+        if message.epoch > record.epoch:
+            self.promise(now, record, message)
 
-    def outweighs(self, now: float, kept: Record, word: Message) -> bool:
+    def update_value(self, now: float, record: Record, message: Message) -> bool:
         """Whether a word's value is later than the one that is kept; then it is kept."""
-        if word.value is None or kept.value is not None and word.value.order <= kept.value.order:
+        if message.value is None or record.value is not None and message.value.order <= record.value.order:
             return False
-        self.unlisted(kept)
-        kept.value, kept.whose, kept.valued_at = word.value, word.owner, now
+        self.unindex_record(record)
+        record.value, record.value_owner, record.value_set_at = message.value, message.owner, now
         # Risk: a record that is under nobody's name is no heir's.
-        self.listed(kept)
+        self.index_record(record)
         return True
 
-    def promise(self, now: float, kept: Record, word: Message) -> None:
-        self.unlisted(kept)
-        kept.owner, kept.epoch, kept.released = word.owner, word.epoch, False
-        kept.heir, kept.heard_at = word.heir, now
-        self.listed(kept)
-        kept.lease_till = now + word.lease_ms / 1e3
-        over = kept.valued_at + kept.value.left_ms / 1e3 if kept.value else now + self.terms.lease
-        kept.forget_at = max(kept.forget_at, over + self.terms.keep)
+    def promise(self, now: float, record: Record, message: Message) -> None:
+        self.unindex_record(record)
+        record.owner, record.epoch, record.released = message.owner, message.epoch, False
+        record.by_successor, record.heard_at = message.heir, now
+        self.index_record(record)
+        record.lease_expires_at = now + message.lease_ms / 1e3
+        deadline = (
+            record.value_set_at + record.value.left_ms / 1e3 if record.value else now + self.config.lease_s
+        )
+        record.forget_at = max(record.forget_at, deadline + self.config.retention_s)
 
-    def asked_for(self, now: float, kept: Record, word: Message) -> None:
+    def extend_retention(self, now: float, record: Record, message: Message) -> None:
         """Keep what a client comes back for for as long as clients may come after it. Risk: tries that own
         nothing, for want of a majority, leave no value, and a run is forgotten that is still asked for."""
-        if not word.heir:
-            kept.forget_at = max(kept.forget_at, now + word.lease_ms / 1e3 + self.terms.keep)
+        if not message.heir:
+            record.forget_at = max(record.forget_at, now + message.lease_ms / 1e3 + self.config.retention_s)
 
-    def release(self, word: Message) -> None:
+    def release(self, message: Message) -> None:
         """The lease is over, the promise stands. Risk: a place that forgets whom it promised an epoch to
         promises it to another, and two have a majority for the same one."""
-        kept = self.kept.get(word.key)
-        if kept and kept.owner == word.owner and kept.epoch == word.epoch:
-            self.unlisted(kept)
-            kept.lease_till, kept.released = 0.0, True
-            self.listed(kept)
-
-    def listed(self, kept: Record) -> None:
-        if kept.behind:
-            self.by_front[address_of(kept.behind.address)].add(kept.key)
-
-    def unlisted(self, kept: Record) -> None:
-        if kept.behind and (keys := self.by_front.get(address_of(kept.behind.address))):
-            keys.discard(kept.key)
+        record = self.records.get(message.key)
+        if record and record.owner == message.owner and record.epoch == message.epoch:
+            self.unindex_record(record)
+            record.lease_expires_at, record.released = 0.0, True
+            self.index_record(record)
+
+    def index_record(self, record: Record) -> None:
+        if record.responsible_owner:
+            self.by_front[address_of(record.responsible_owner.address)].add(record.key)
+
+    def unindex_record(self, record: Record) -> None:
+        if record.responsible_owner and (
+            keys := self.by_front.get(address_of(record.responsible_owner.address))
+        ):
+            keys.discard(record.key)
             if not keys:
-                del self.by_front[address_of(kept.behind.address)]
+                del self.by_front[address_of(record.responsible_owner.address)]
 
-    def room(self, key: bytes) -> Record | None:
-        if self.failing or len(self.kept) >= self.terms.most_kept:
-            self.full += 1
+    def create_record(self, key: bytes) -> Record | None:
+        if self.failure or len(self.records) >= self.config.max_records:
+            self.rejected_count += 1
             return None
-        kept = self.kept[key] = Record(key)
-        return kept
+        record = self.records[key] = Record(key)
+        return record
 
-    def drop(self, kept: Record) -> None:
-        self.unlisted(kept)
-        del self.kept[kept.key]
+    def drop(self, record: Record) -> None:
+        self.unindex_record(record)
+        del self.records[record.key]
 
     def sweep(self, now: float) -> None:
-        for kept in [k for k in self.kept.values() if now >= k.forget_at]:
-            self.drop(kept)
+        for record in [k for k in self.records.values() if now >= k.forget_at]:
+            self.drop(record)
 
-    def yes(self, now: float, word: Message, kept: Record) -> Message:
+    def accept_reply(self, now: float, message: Message, record: Record) -> Message:
         # What was put need not come back.
-        claim = word.verb is Verb.CLAIM
-        value = self.aged(now, kept, kept.value) if claim else None
+        claim = message.verb is Verb.CLAIM
+        value = self.current_value(now, record, record.value) if claim else None
         return Message(
             Verb.YES,
-            word.nonce,
-            word.key,
-            kept.epoch,
-            word.owner,
+            message.nonce,
+            message.key,
+            record.epoch,
+            message.owner,
             value,
-            word.lease_ms if claim else 0,
-            young=self.young(now),
+            message.lease_ms if claim else 0,
+            young=self.is_incomplete(now),
         )
 
-    def no(self, now: float, word: Message, kept: Record | None) -> Message:
+    def refuse_reply(self, now: float, message: Message, record: Record | None) -> Message:
         """Where nothing can be promised at all, the answer names the asker itself, with nothing behind it."""
-        if kept is None:
-            return Message(Verb.NO, word.nonce, word.key, 0, word.owner)
-        owner = kept.owner or word.owner
+        if record is None:
+            return Message(Verb.NO, message.nonce, message.key, 0, message.owner)
+        owner = record.owner or message.owner
         return Message(
             Verb.NO,
-            word.nonce,
-            word.key,
-            kept.epoch,
+            message.nonce,
+            message.key,
+            record.epoch,
             owner,
-            self.aged(now, kept, kept.value),
-            round(kept.left(now) * 1e3),
-            kept.heir,
-            self.young(now),
+            self.current_value(now, record, record.value),
+            round(record.lease_left(now) * 1e3),
+            record.by_successor,
+            self.is_incomplete(now),
         )
 
-    def aged(self, now: float, kept: Record, value: RunStatus | None) -> RunStatus | None:
+    def current_value(self, now: float, record: Record, value: RunStatus | None) -> RunStatus | None:
         """The value with its times as they are now."""
         if value is None:
             return None
-        past = max(round((now - kept.valued_at) * 1e3), 0)
-        ran = value.ran_ms + past if value.state is not RunState.HELD else 0
+        elapsed_ms = max(round((now - record.value_set_at) * 1e3), 0)
+        ran_ms = value.ran_ms + elapsed_ms if value.state is not RunState.HELD else 0
         return RunStatus(
             value.epoch,
             value.step,
             value.state,
             value.group,
-            max(value.left_ms - past, 0),
+            max(value.left_ms - elapsed_ms, 0),
             value.engine,
             value.txn,
-            ran,
+            ran_ms,
             value.number,
         )
--- a/thistlelever/takeover/successors.py
+++ b/thistlelever/takeover/successors.py
@@ -29,22 +29,32 @@
 
     key: bytes
     txn: bytes
-    group: int
+    class_index: int
     epoch: int
-    left: float
+    remaining_s: float
 
 
 class InheritedRun:
     """One batch that is asked on for."""
 
-    __slots__ = ("key", "engine", "txn", "group", "owner", "since", "till", "claimed", "word")
-
-    def __init__(self, kept: Record, now: float, till: float) -> None:
-        value = kept.value
-        self.key, self.engine, self.txn, self.group = kept.key, value.engine, value.txn, value.group
-        self.owner, self.since, self.till = kept.behind, now, till
+    __slots__ = (
+        "key",
+        "engine",
+        "txn",
+        "class_index",
+        "owner",
+        "since",
+        "until",
+        "claim_status",
+        "engine_status",
+    )
+
+    def __init__(self, record: Record, now: float, until: float) -> None:
+        value = record.value
+        self.key, self.engine, self.txn, self.class_index = record.key, value.engine, value.txn, value.group
+        self.owner, self.since, self.until = record.responsible_owner, now, until
         # Whether a majority has promised it to this front, or was asked; what its engine last said.
-        self.claimed, self.word = "", ""
+        self.claim_status, self.engine_status = "", ""
 
 
 class Successor:
@@ -53,162 +63,172 @@
 
     def __init__(
         self,
-        terms: TakeoverConfig,
-        me: Address,
-        holder: Replica,
-        places: Placement,
-        groups: tuple[QueryClassPolicy, ...],
+        config: TakeoverConfig,
+        local_address: Address,
+        replica: Replica,
+        placement: Placement,
+        query_classes: tuple[QueryClassPolicy, ...],
     ) -> None:
-        self.terms, self.me, self.holder, self.places, self.groups = terms, me, holder, places, groups
-        self.standing: Callable[[Address, int], Liveness] = lambda address, life: Liveness.ALIVE
-        self.alone: Callable[[], bool] = lambda: False
+        self.config, self.local_address, self.replica, self.placement, self.query_classes = (
+            config,
+            local_address,
+            replica,
+            placement,
+            query_classes,
+        )
+        self.liveness: Callable[[Address, int], Liveness] = lambda address, life: Liveness.ALIVE
+        self.is_isolated: Callable[[], bool] = lambda: False
         # Who of the places is taken to be alive; what matters of a place is its address.
-        self.alive: Callable[[Address], bool] = lambda address: True
-        self.taken: dict[bytes, InheritedRun] = {}
-        self.let_go: set[bytes] = set()
-        self.orders: list[KeepAlive | CancelRun | StopKeepAlive] = []
-        self.notes: list[LeaseEvent] = []
+        self.is_alive: Callable[[Address], bool] = lambda address: True
+        self.inherited: dict[bytes, InheritedRun] = {}
+        self.abandoned: set[bytes] = set()
+        self.commands: list[KeepAlive | CancelRun | StopKeepAlive] = []
+        self.events: list[LeaseEvent] = []
 
     def has(self, key: bytes) -> bool:
-        return key in self.taken
+        return key in self.inherited
 
-    def look(self, now: float) -> list[PendingClaim]:
+    def review(self, now: float) -> list[PendingClaim]:
         """What has to be done by now, into `orders`; what is to be claimed."""
-        for taken in list(self.taken.values()):
-            self.look_again(now, taken)
-        self.let_go &= self.holder.kept.keys()
-        if self.alone():
+        for run in list(self.inherited.values()):
+            self.review_run(now, run)
+        self.abandoned &= self.replica.records.keys()
+        if self.is_isolated():
             # Risk: cut off, it would take over from all who live, and call off what they run.
             return []
         claims = []
-        for address in list(self.holder.by_front):
-            keys = self.holder.by_front.get(address, ())
+        for address in list(self.replica.by_front):
+            keys = self.replica.by_front.get(address, ())
             # A front's other life, behind the same address, has other work.
-            lives = {}
-            for key in sorted(keys, key=self.worth):
-                kept = self.holder.kept[key]
-                life = kept.behind.life
-                if life not in lives:
-                    lives[life] = self.standing(address, life)
-                if lives[life] is not Liveness.ALIVE and not kept.heir:
-                    claims += self.inherit(now, kept, lives[life])
+            liveness_by_life = {}
+            for key in sorted(keys, key=self.priority):
+                record = self.replica.records[key]
+                life = record.responsible_owner.life
+                if life not in liveness_by_life:
+                    liveness_by_life[life] = self.liveness(address, life)
+                if liveness_by_life[life] is not Liveness.ALIVE and not record.by_successor:
+                    claims += self.inherit(now, record, liveness_by_life[life])
         return claims
 
-    def worth(self, key: bytes) -> tuple[float, bytes]:
+    def priority(self, key: bytes) -> tuple[float, bytes]:
         """What is worth most comes first."""
-        value = self.holder.kept[key].value
-        return (-self.groups[value.group].utility if value and value.group < len(self.groups) else 0.0), key
-
-    def inherit(self, now: float, kept: Record, standing: Liveness) -> list[PendingClaim]:
-        value = kept.value
-        if value is None or value.state is not RunState.OUT or value.group >= len(self.groups):
+        value = self.replica.records[key].value
+        return (
+            -self.query_classes[value.group].value if value and value.group < len(self.query_classes) else 0.0
+        ), key
+
+    def inherit(self, now: float, record: Record, liveness: Liveness) -> list[PendingClaim]:
+        value = record.value
+        if value is None or value.state is not RunState.OUT or value.group >= len(self.query_classes):
             return []
-        if not self.is_heir(kept):
+        if not self.is_successor(record):
             return []
-        over = standing is Liveness.GONE and kept.left(now) == 0
-        if kept.lazy and self.groups[value.group].repeatable:
-            if over:
-                self.orders.append(CancelRun(kept.key, value.engine, value.txn, value.number))
-                self.note("called off", kept.key, value.txn, engine=value.engine)
-                self.holder.drop(kept)
+        expired = liveness is Liveness.GONE and record.lease_left(now) == 0
+        if record.is_lazy and self.query_classes[value.group].idempotent:
+            if expired:
+                self.commands.append(CancelRun(record.key, value.engine, value.txn, value.number))
+                self.record_event("called off", record.key, value.txn, engine=value.engine)
+                self.replica.drop(record)
             return []
-        taken = self.taken.get(kept.key)
-        if taken is None and not (taken := self.take(now, kept)):
+        run = self.inherited.get(record.key)
+        if run is None and not (run := self.start_keep_alive(now, record)):
             return []
-        if over and not taken.claimed and not kept.lazy:
-            taken.claimed = "asked"
-            left = max(kept.forget_at - now, 0.0)
-            return [PendingClaim(kept.key, value.txn, value.group, kept.epoch, left)]
+        if expired and not run.claim_status and not record.is_lazy:
+            run.claim_status = "asked"
+            remaining_s = max(record.forget_at - now, 0.0)
+            return [PendingClaim(record.key, value.txn, value.group, record.epoch, remaining_s)]
         return []
 
-    def is_heir(self, kept: Record) -> bool:
+    def is_successor(self, record: Record) -> bool:
         """The first of the places that lives, other than the lost one; two that see it differently both ask
         on, which no engine minds, and one of them is promised it."""
-        if kept.lazy:
+        if record.is_lazy:
             return True
-        gone = address_of(kept.behind.address)
-        for place in self.places.of(kept.key):
-            if place != gone and (place == self.me or self.alive(place)):
-                return place == self.me
+        lost_address = address_of(record.responsible_owner.address)
+        for address in self.placement.replicas_for(record.key):
+            if address != lost_address and (address == self.local_address or self.is_alive(address)):
+                return address == self.local_address
         return False
 
-    def take(self, now: float, kept: Record) -> InheritedRun | None:
+    def start_keep_alive(self, now: float, record: Record) -> InheritedRun | None:
         """Ask on for it, unless so much is taken already that is worth no less."""
-        if len(self.taken) >= self.terms.most_taken:
-            least = min(self.taken.values(), key=lambda t: (self.groups[t.group].utility, -t.since))
-            if self.groups[least.group].utility >= self.groups[kept.value.group].utility:
-                self.lets_go(kept.key, kept.value.txn)
+        if len(self.inherited) >= self.config.max_keep_alives:
+            least = min(
+                self.inherited.values(), key=lambda t: (self.query_classes[t.class_index].value, -t.since)
+            )
+            if self.query_classes[least.class_index].value >= self.query_classes[record.value.group].value:
+                self.abandon(record.key, record.value.txn)
                 return None
-            self.stop(least)
-            self.lets_go(least.key, least.txn)
-        taken = self.taken[kept.key] = InheritedRun(kept, now, kept.forget_at)
-        self.orders.append(KeepAlive(taken.key, taken.engine, taken.txn, kept.value.number))
-        owner = "{}:{}".format(*address_of(kept.behind.address))
-        self.note(
+            self.stop_keep_alive(least)
+            self.abandon(least.key, least.txn)
+        run = self.inherited[record.key] = InheritedRun(record, now, record.forget_at)
+        self.commands.append(KeepAlive(run.key, run.engine, run.txn, record.value.number))
+        owner = "{}:{}".format(*address_of(record.responsible_owner.address))
+        self.record_event(
             "asked on for",
-            taken.key,
-            taken.txn,
-            engine=taken.engine,
+            run.key,
+            run.txn,
+            engine=run.engine,
             owner=owner,
-            after=round(now - kept.heard_at, 3),
+            after=round(now - record.heard_at, 3),
         )
-        return taken
+        return run
 
-    def lets_go(self, key: bytes, txn: bytes) -> None:
-        if key not in self.let_go:
-            self.let_go.add(key)
-            self.note("let go", key, txn)
+    def abandon(self, key: bytes, txn: bytes) -> None:
+        if key not in self.abandoned:
+            self.abandoned.add(key)
+            self.record_event("let go", key, txn)
 
-    def look_again(self, now: float, taken: InheritedRun) -> None:
+    def review_run(self, now: float, run: InheritedRun) -> None:
         """Whether what is asked on for still is this front's to ask."""
-        kept = self.holder.kept.get(taken.key)
+        record = self.replica.records.get(run.key)
         if (
-            kept is None
-            or now >= taken.till
-            or kept.value is None
-            or kept.value.txn != taken.txn
-            or (kept.value.state is not RunState.OUT)
+            record is None
+            or now >= run.until
+            or record.value is None
+            or record.value.txn != run.txn
+            or (record.value.state is not RunState.OUT)
         ):
-            self.stop(taken)
+            self.stop_keep_alive(run)
             return
-        mine = kept.heir and address_of(kept.behind.address) == self.me
-        if not mine and kept.behind != taken.owner:
+        own_claim = record.by_successor and address_of(record.responsible_owner.address) == self.local_address
+        if not own_claim and record.responsible_owner != run.owner:
             # Whoever comes for it with a client, the old owner among them, asks itself.
-            self.stop(taken)
+            self.stop_keep_alive(run)
         elif (
-            not taken.claimed
-            and self.standing(address_of(taken.owner.address), taken.owner.life) is Liveness.ALIVE
+            not run.claim_status
+            and self.liveness(address_of(run.owner.address), run.owner.life) is Liveness.ALIVE
         ):
-            self.stop(taken)
+            self.stop_keep_alive(run)
 
-    def claimed(self, ward, told: QuorumResult) -> None:
+    def on_claim_result(self, lease, result: QuorumResult) -> None:
         """What became of a claim."""
-        taken = self.taken.get(ward.key)
-        if taken is None:
+        run = self.inherited.get(lease.key)
+        if run is None:
             return
-        good = told.say in (QuorumOutcome.FRESH, QuorumOutcome.FOUND, QuorumOutcome.UNSURE)
-        if good and taken.claimed != "yes":
-            self.note("taken over", ward.key, taken.txn, engine=taken.engine)
+        granted = result.outcome in (QuorumOutcome.FRESH, QuorumOutcome.FOUND, QuorumOutcome.UNSURE)
+        if granted and run.claim_status != "yes":
+            self.record_event("taken over", lease.key, run.txn, engine=run.engine)
         # Without a majority it is asked on for all the same, and claimed again.
-        taken.claimed = "yes" if good else "no" if told.say is QuorumOutcome.TAKEN else ""
-        if told.say is QuorumOutcome.TAKEN:
-            self.stop(taken)
+        run.claim_status = "yes" if granted else "no" if result.outcome is QuorumOutcome.TAKEN else ""
+        if result.outcome is QuorumOutcome.TAKEN:
+            self.stop_keep_alive(run)
 
-    def asked(self, key: bytes, word: str) -> None:
+    def on_engine_status(self, key: bytes, status: str) -> None:
         """What its engine said: running, over, unknown, or silent. One that does not know it will not
         later."""
-        taken = self.taken.get(key)
-        if taken is None:
+        run = self.inherited.get(key)
+        if run is None:
             return
-        taken.word = word
-        if word == "unknown":
-            self.note("gone at its engine", key, taken.txn, engine=taken.engine)
-            self.stop(taken)
-            self.let_go.add(key)
-
-    def note(self, what: str, key: bytes, txn: bytes, **facts) -> None:
-        self.notes.append(LeaseEvent(what, key, {"txn": txn.hex(), **facts}))
-
-    def stop(self, taken: InheritedRun) -> None:
-        self.taken.pop(taken.key, None)
-        self.orders.append(StopKeepAlive(taken.key))
+        run.engine_status = status
+        if status == "unknown":
+            self.record_event("gone at its engine", key, run.txn, engine=run.engine)
+            self.stop_keep_alive(run)
+            self.abandoned.add(key)
+
+    def record_event(self, name: str, key: bytes, txn: bytes, **fields) -> None:
+        self.events.append(LeaseEvent(name, key, {"txn": txn.hex(), **fields}))
+
+    def stop_keep_alive(self, run: InheritedRun) -> None:
+        self.inherited.pop(run.key, None)
+        self.commands.append(StopKeepAlive(run.key))
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -94,49 +94,49 @@
 _decode_messages = msgspec.msgpack.Decoder(tuple[Message, ...]).decode
 
 
-def encode(words: list[Message], tier: int) -> list[bytes]:
+def encode(messages: list[Message], tier: int) -> list[bytes]:
     """As few datagrams as hold the words, in their order. Each word is packed once: a list of up to fifteen
     of them is a byte that counts them, and they."""
-    found: list[bytes] = []
-    some, room = b"", ROOM
+    datagrams: list[bytes] = []
+    body, room = b"", ROOM
     count = 0
-    for word in words:
-        raw = _pack(word)
+    for message in messages:
+        raw = _pack(message)
         if count and (len(raw) > room or count == 15):
-            found.append(frame(WORK, tier, bytes((0x90 | count,)) + some))
-            some, room, count = b"", ROOM, 0
-        some += raw
+            datagrams.append(frame(WORK, tier, bytes((0x90 | count,)) + body))
+            body, room, count = b"", ROOM, 0
+        body += raw
         room -= len(raw)
         count += 1
     if count:
-        found.append(frame(WORK, tier, bytes((0x90 | count,)) + some))
-    return found
+        datagrams.append(frame(WORK, tier, bytes((0x90 | count,)) + body))
+    return datagrams
 
 
 def decode(body: bytes) -> tuple[Message, ...]:
     """The words of one datagram; `Unfit` where they are out of form."""
     try:
-        words = _decode_messages(body)
+        messages = _decode_messages(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
         raise Unfit("out of form") from why
-    if not all(sound(word) for word in words):
+    if not all(is_valid(message) for message in messages):
         raise Unfit("out of form")
-    return words
+    return messages
 
 
-def sound(word: Message) -> bool:
+def is_valid(message: Message) -> bool:
     """Risk: a figure without measure is kept for ever, or can never be outbid."""
-    owner, value = word.owner, word.value
-    good = (
-        len(word.key) in (8, 16)
+    owner, value = message.owner, message.value
+    header_ok = (
+        len(message.key) in (8, 16)
         and len(owner.address) == 6
         and len(owner.txn) == 8
         and 0 <= owner.life < COUNTER_LIMIT
-        and 0 <= word.nonce < COUNTER_LIMIT
-        and 0 <= word.epoch < COUNTER_LIMIT
-        and 0 <= word.lease_ms <= MAX_DURATION_MS
+        and 0 <= message.nonce < COUNTER_LIMIT
+        and 0 <= message.epoch < COUNTER_LIMIT
+        and 0 <= message.lease_ms <= MAX_DURATION_MS
     )
-    return good and (
+    return header_ok and (
         value is None
         or (
             0 <= value.epoch < COUNTER_LIMIT
