--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -4,7 +4,7 @@
 import os
 
 from thistlelever.__main__ import main
-from thistlelever.carrier.wards import Wards
+from thistlelever.carrier.leases import LeaseService
 from thistlelever.membership.judge import Judge
 from thistlelever.membership.local_health import LocalHealth
 from thistlelever.membership.merge import Merger
@@ -53,7 +53,7 @@
 
 def fate():
     """What another front has begun is begun anew where its client comes back."""
-    Wards.adopts = lambda self, batch, value, query_class: True
+    LeaseService.adopt_run = lambda self, batch, value, query_class: True
 
 
 GUARDS = {"health": health, "detour": detour, "incarnation": incarnation}
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -73,7 +73,7 @@
         "extra = ('grpc', 'pyarrow', 'google', 'msgspec', 'itsdangerous', 'thistlelever.flight', "
         "'thistlelever.state', 'thistlelever.standins', 'thistlelever.membership', "
         "'thistlelever.carrier.peers', 'thistlelever.wire.peers', 'thistlelever.lifecycle.parts', "
-        "'thistlelever.takeover', 'thistlelever.wire.work', 'thistlelever.carrier.wards', 'xxhash', "
+        "'thistlelever.takeover', 'thistlelever.wire.work', 'thistlelever.carrier.leases', 'xxhash', "
         "'thistlelever.recovery', 'thistlelever.ledger', 'thistlelever.carrier.recollection', 'apsw')\n"
         "print([m for m in sys.modules if m.startswith(extra)])"
     )
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from thistlelever.carrier.gate import Gate
     from thistlelever.carrier.recollection import Recollection
-    from thistlelever.carrier.wards import Wards
+    from thistlelever.carrier.leases import LeaseService
 
 # What a batch's task is told beside the actions and the ends of its dispatches.
 LEFT, OVERDUE = "left", "overdue"
@@ -41,7 +41,7 @@
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
         self.gate: Gate | None = None
-        self.wards: Wards | None = None
+        self.leases: LeaseService | None = None
         # Where state is kept, what a former life has said of a batch.
         self.memory: Recollection | None = None
         self.desk, self.dispatcher, self.batches = desk, dispatcher, batches
@@ -72,8 +72,8 @@
         finally:
             if self.gate:
                 self.gate.ended(batch, batch.true_work)
-            if batch.ward:
-                batch.ward.close()
+            if batch.lease_guard:
+                batch.lease_guard.close()
             batch.backstop.cancel()
             self.batches.drop(batch)
 
@@ -98,7 +98,7 @@
             self.gate.stop(at)
 
     async def life(self, batch: Batch, answer: Answer) -> None:
-        if self.wards and not await self.led(batch, answer):
+        if self.leases and not await self.led(batch, answer):
             return
         if self.memory and (told := self.memory.enter(batch)):
             self.final(batch, answer, told)
@@ -136,8 +136,8 @@
                 case End():
                     del batch.out[told.number]
                     batch.true_work += told.true_work
-                    if batch.ward:
-                        batch.ward.came_back(told)
+                    if batch.lease_guard:
+                        batch.lease_guard.end_dispatch(told)
                     if self.memory:
                         self.memory.came_back(batch, told)
                     if told.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
@@ -169,10 +169,10 @@
         """Find out whose the batch is before anything is done for it; whether it is this front's to go on
         with, and its client still there."""
         if not batch.asked.reference:
-            self.wards.enter_lazy(batch)
+            self.leases.register_lazy(batch)
             return True
         loop = asyncio.get_running_loop()
-        leading, hearing = loop.create_task(self.wards.enter(batch)), loop.create_task(batch.inbox.get())
+        leading, hearing = loop.create_task(self.leases.acquire(batch)), loop.create_task(batch.inbox.get())
         await asyncio.wait((leading, hearing), return_when=asyncio.FIRST_COMPLETED)
         if hearing.done() and not leading.done():
             leading.cancel()
@@ -200,8 +200,8 @@
 
     async def settle(self, batch: Batch, answer: Answer, told: it.Action | End) -> None:
         """The final answer, once it is sure that the batch still is this front's to answer."""
-        if batch.ward:
-            told = await batch.ward.settled(told)
+        if batch.lease_guard:
+            told = await batch.lease_guard.confirm_answer(told)
         self.final(batch, answer, told)
 
     async def admitted(self, batch: Batch, answer: Answer) -> bool:
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -168,7 +168,7 @@
             return "engine draining or gone"
         if clock.now() >= order.begin_by:
             return "too late to begin"
-        if batch.ward and not batch.ward.sure():
+        if batch.lease_guard and not batch.lease_guard.is_held():
             return "not surely this front's"
         return ""
 
@@ -230,7 +230,7 @@
         )
 
     async def sending(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        if batch.ward and not await batch.ward.out(end.number, end.engine):
+        if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
             raise Ended(self.unsent(batch, end.number))
         if end.number in batch.under:
             await self.speech(entry).resume(batch, entry, end, sent, till)
@@ -243,7 +243,7 @@
 
     async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
-        if not batch.ward or await batch.ward.may_call_off():
+        if not batch.lease_guard or await batch.lease_guard.may_cancel():
             await self.speech(entry).give_up(batch, entry, sent)
 
     def reprioritise(self, batch: Batch) -> None:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.wards import Wards, groups
+from thistlelever.carrier.leases import LeaseService, query_class_policies
 from thistlelever.ground import clock
 from thistlelever.ground.manifest import Unreadable
 from thistlelever.ground.operator import Operator, Takeover
@@ -58,14 +58,14 @@
             me.address,
             me.life,
             papers.peers,
-            groups(papers.manifest, section.demand),
+            query_class_policies(papers.manifest, section.demand),
             papers.seed,
             clock.now(),
         )
         successor = self.manager.successor
         successor.liveness, successor.is_alive = self.liveness, self.is_alive
         successor.is_isolated = self.is_isolated
-        self.wards = parts.courses.wards = Wards(
+        self.leases = parts.courses.leases = LeaseService(
             self.manager,
             membership.peers,
             papers.manifest,
@@ -94,7 +94,7 @@
     async def open(self) -> dict:
         others = sorted(self.manager.catchup.other_fronts())
         self.manager.catchup.start(clock.now(), others)
-        self.wards.open()
+        self.leases.open()
         return {"takeover": len(self.manager.placement.fronts)}
 
     def renew(self, operator: Operator, papers: Papers) -> None:
@@ -103,7 +103,7 @@
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
             "inhand.show": lambda: views.show(self.manager, clock.now())
-            | {"waits_ms": self.wards.waits_ms()},
+            | {"waits_ms": self.leases.waits_ms()},
             "inhand.explain": lambda batch: views.explain(self.manager, batch, clock.now()),
         }
 
@@ -113,10 +113,10 @@
 
     def stopping(self) -> None:
         at = clock.on_loop(self.parts.intake.stop_at) - HAND_OVER
-        asyncio.get_running_loop().call_at(at, self.wards.hand_over)
+        asyncio.get_running_loop().call_at(at, self.leases.hand_over)
 
     async def close(self, grace: float) -> None:
         # What was handed over last may not have been heard yet; nothing is waited for longer than that.
         if self.manager.leases_by_nonce:
             await asyncio.sleep(min(grace, self.manager.config.quorum_timeout_s))
-        self.wards.close()
+        self.leases.close()
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -43,9 +43,9 @@
     update: bool = False
     # The result that has begun to go on, of type `carrier.flow.Flow`.
     flow: Any = None
-    # Where takeover is on: the batch's hold on itself, of type `carrier.wards.Guard`; and the ids at their
-    # engines of dispatches that another front has begun.
-    ward: Any = None
+    # With takeover on: the check on the batch's lease, of type `carrier.leases.LeaseGuard`; and the ids at
+    # their engines of dispatches that another front has begun.
+    lease_guard: Any = None
     under: dict[int, Name] = field(default_factory=dict)
     backstop: asyncio.TimerHandle | None = None
 
