--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -1,5 +1,6 @@
-"""Where takeover is on: hands words, turns and facts to its judge and carries out what it says. A batch's
-task asks here whether the batch is its front's to dispatch, to answer and to call off."""
+"""Runs the lease manager on the event loop when takeover is on: passes messages and time to it and carries
+out its output. The task of a batch asks here whether this front may dispatch, answer or cancel the
+batch."""
 
 from __future__ import annotations
 
@@ -34,33 +35,37 @@
 from thistlelever.wire import work as wire
 from thistlelever.wire.work import Message, RunState, RunStatus
 
-# A batch that another front has is looked at again after this, and half as long by chance.
+# Delay before a batch that another front owns is claimed again, in seconds; up to half of it is added at
+# random.
 RECHECK_DELAY_S = 0.06
-# A question's answer is waited for no longer than this past the time limit: the answer still counts.
+# How long past its time limit a batch waits for the result of a request, in seconds: its answer still
+# counts then.
 LIMIT_GRACE_S = 0.02
-# The last word of a batch waits so long for others that go to the same place.
+# How long the last message of a batch is held back, in seconds, to share a datagram with others to the same
+# front.
 FINAL_MESSAGE_DELAY_S = 0.02
-# How a dispatch is numbered that reads what another front's brings, and is none of this one's.
+# The number under which the result of another front's dispatch is read; no dispatch of this front has it.
 READ_DISPATCH_NUMBER = -1
 
 
 class LeaseGuard:
-    """One batch's hold on itself, asked before anything of it goes out."""
+    """The lease of one batch, checked before the batch is dispatched, answered or cancelled."""
 
     def __init__(self, service: LeaseService, batch: Batch, lease: Lease) -> None:
+        """`lease` is that of `batch` at the lease manager of `service`."""
         self.service, self.batch, self.lease = service, batch, lease
         self.policy = service.manager.query_classes[lease.class_index]
 
     def is_held(self) -> bool:
-        """Without waiting, right before a first byte. What may run twice needs no more than that nobody is
-        known to have it."""
+        """Whether a dispatch may send its first byte now, without waiting. An idempotent query class needs
+        only that no other front is known to own the batch."""
         return (
             self.lease.is_held(clock.now()) or self.policy.idempotent and not self.service.is_lost(self.lease)
         )
 
     async def begin_dispatch(self, number: int, engine: it.EngineId) -> bool:
-        """A dispatch is about to go there; whether it may. Risk: its front dies between its first byte and
-        the word of it, and whoever comes after takes it for one that never ran."""
+        """Record a dispatch to an engine before it is sent; whether it may be sent. If a front died between
+        the first byte and the record of it, the next owner would take the batch for one that never ran."""
         name, service, lease = self.batch.name(number), self.service, self.lease
         if service.is_lost(lease):
             return False
@@ -72,14 +77,14 @@
             return True
         result = await service.wait_for_result(lease)
         if result.outcome is QuorumOutcome.ALONE and not self.policy.requires_protection:
-            # It can't be known, and what then is done is what a lone front does.
+            # No majority answers: do as a front without peers does.
             service.tally.add("takeover: dispatched unprotected")
             lease.unprotected_reason = "no majority for its dispatch"
             return True
         return result.outcome is QuorumOutcome.SURE
 
     async def check_held(self) -> QuorumOutcome:
-        """Whether it still is this front's; asked where that is not sure by itself."""
+        """Whether this front still owns the batch; asks the replicas when the lease has expired."""
         service, lease = self.service, self.lease
         if service.is_lost(lease):
             return QuorumOutcome.LOST
@@ -91,7 +96,8 @@
         return result.outcome
 
     async def confirm_answer(self, result):
-        """The final answer as it may be given. Risk: one that was told harmless runs at another front."""
+        """The final answer of the batch, or an error if this front may not give it: a batch must not be
+        reported as not run while it runs at another front."""
         outcome = await self.check_held()
         if (
             outcome is QuorumOutcome.SURE
@@ -103,11 +109,11 @@
         return it.Error(self.batch.number)
 
     async def may_cancel(self) -> bool:
-        """Whether what is out may be given up. Where it can't be known it is left to end by itself."""
+        """Whether a running dispatch may be cancelled. Without certainty it is left to end by itself."""
         return self.lease.phase is Phase.CLOSED or await self.check_held() is QuorumOutcome.SURE
 
     def end_dispatch(self, end: End) -> None:
-        """That dispatch has ended."""
+        """Record how a dispatch ended."""
         run = (
             RunEnd.NEVER_RAN
             if end.outcome in NEVER_RAN
@@ -116,16 +122,18 @@
         self.service.manager.end_dispatch(clock.now(), self.lease, run)
 
     def close(self) -> None:
+        """End the lease of the batch."""
         self.service.manager.close(clock.now(), self.lease)
         self.service.guards.pop(self.lease.owner.txn, None)
-        # Risk: a batch and its guard that hold each other are left to the collector, hundreds a second.
+        # Breaks the reference cycle of batch and guard: hundreds of them a second would be left to the
+        # garbage collector.
         self.batch = None
         if self.service.manager.sends:
             self.service.schedule_processing()
 
 
 class LeaseService:
-    """One judge on the loop's clock."""
+    """The lease manager on the event loop's clock, with the tasks that keep runs of lost fronts alive."""
 
     def __init__(
         self,
@@ -137,6 +145,7 @@
         tally: Tally,
         log: Log,
     ) -> None:
+        """Receives datagrams through `peers`; `speech` gives the protocol of an engine."""
         self.manager, self.peers, self.roll, self.speech = manager, peers, roll, speech
         self.tally, self.log = tally, log
         self.query_classes = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
@@ -144,22 +153,23 @@
         self.guards: dict[bytes, LeaseGuard] = {}
         self.keep_alive_tasks: dict[bytes, asyncio.Task] = {}
         self.cancel_tasks: set[asyncio.Task] = set()
-        # Words that have not left yet, and when they do at the latest.
+        # Messages that are not sent yet, and when they are sent at the latest, by the address of the front.
         self.queued: dict[Address, list[Message]] = {}
         self.flush_at: dict[Address, float] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.processing_scheduled = False
-        # How long batches' paths waited for their places, of the last ones.
+        # How long the last batches waited for their replicas, in seconds.
         self.wait_times: deque[float] = deque(maxlen=1_000)
         peers.matters[wire.WORK] = self.receive
 
-    # A batch's path.
+    # The course of a batch.
 
     def is_lost(self, lease: Lease) -> bool:
+        """Whether this front may do nothing more for the batch."""
         return lease.phase in (Phase.LOST, Phase.CLOSED)
 
     def register_lazy(self, batch: Batch) -> None:
-        """One that no client can come back for; nothing is waited for."""
+        """Register a batch without an idempotency key; nothing is waited for."""
         class_index, _ = self.query_classes[batch.lane]
         lease = self.manager.register_lazy(
             clock.now(), bytes.fromhex(batch.asked.txn), class_index, batch.limit_at
@@ -167,9 +177,9 @@
         batch.lease_guard = LeaseGuard(self, batch, lease)
 
     async def acquire(self, batch: Batch) -> End | it.PushBack | it.Error | None:
-        """Find out whose a batch is that its client can come back for: the answer where it is not this
-        front's to go on with, None where it is. It waits for another's run for as long as its client
-        waits."""
+        """Claim a batch with an idempotency key. None when this front owns it and continues with it, else
+        the answer to its client. While another front runs it, waits for that run until the time limit of
+        the batch."""
         class_index, query_class = self.query_classes[batch.lane]
         key, txn = bytes.fromhex(batch.asked.reference), bytes.fromhex(batch.asked.txn)
         prior_value = None
@@ -178,7 +188,7 @@
             try:
                 result = await self.wait_for_result(lease)
             except asyncio.CancelledError:
-                # Its client has left, or its time is up.
+                # The client has disconnected, or the time limit has passed.
                 self.manager.close(clock.now(), lease)
                 self.schedule_processing()
                 raise
@@ -198,24 +208,26 @@
     def resolve_claim(
         self, batch: Batch, lease: Lease, result: QuorumResult, query_class: it.QueryClass
     ) -> it.PushBack | it.Error | None:
-        """What a claim's answer means for the batch, where no other front has it."""
+        """Decide what the result of a claim means for the batch when no other front owns it: an answer, or
+        None when it continues here."""
         once_only = query_class.repeat is it.Idempotency.NON_IDEMPOTENT
         requires_protection = self.manager.query_classes[lease.class_index].requires_protection
-        # Where what can't be protected goes out all the same, that nothing is known says nothing.
+        # Where unprotected batches are dispatched all the same, the absence of a record proves nothing.
         unknown = result.outcome in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
             result.outcome is QuorumOutcome.FRESH and result.value is None and not requires_protection
         )
         self.tally.add(f"takeover: {result.outcome.value}")
         if may_have_run(result.value):
-            # Without a majority too: what is known to have begun is not begun anew.
+            # Also without a majority: a batch that is known to have started is not started again.
             if not self.adopt_run(batch, result.value, query_class):
                 return self.unknown_outcome(batch, result, "its engine is gone")
         elif unknown and once_only and batch.asked.repeat:
-            # It may have run at a front that nobody can be asked about.
+            # It may have run at a front whose records cannot be reached.
             return self.unknown_outcome(batch, result, lease.unprotected_reason or "nobody would know")
         elif unknown and requires_protection:
-            # Risk: a first try that lay unread while its front was stopped comes after its own retry, and
-            # where a place has forgotten that one, nothing is known is no proof.
+            # A first submission that lay unread while its front was stopped can be read after its own
+            # retry. If a replica has forgotten that retry, the absence of a record does not prove that the
+            # batch never ran.
             self.tally.add("takeover: refused unprotected")
             return it.PushBack(batch.number, 0.0)
         self.tally.add("takeover: unprotected" if lease.unprotected_reason else "takeover: protected")
@@ -224,6 +236,7 @@
         return None
 
     def unknown_outcome(self, batch: Batch, result: QuorumResult, why: str) -> it.Error:
+        """The answer that it is not known whether the batch ran."""
         self.tally.add("takeover: told that it is not known")
         self.log(
             "work not known",
@@ -235,7 +248,7 @@
         return it.Error(batch.number)
 
     def adopt_run(self, batch: Batch, value: RunStatus, query_class: it.QueryClass) -> bool:
-        """Another front's run becomes this one's first dispatch: whether the batch can go on from there."""
+        """Take over another front's run as the first dispatch; whether the batch can continue from there."""
         if value.state is RunState.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
@@ -253,7 +266,7 @@
         return can_continue
 
     async def read_result(self, batch: Batch, value: RunStatus) -> End | None:
-        """The result of a run that another front has out, read at its engine; None where there is none."""
+        """Read the result of another front's run at its engine; None when there is no result."""
         entry = self.roll.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
@@ -272,7 +285,7 @@
         return end
 
     async def wait_for_result(self, lease: Lease, limit_at: float = float("inf")) -> QuorumResult:
-        """What the places say to the question that is out."""
+        """Wait for the result of the pending request; ALONE when none comes within the time limit."""
         waiter = self.waiters[lease.owner.txn] = asyncio.get_running_loop().create_future()
         began = clock.now()
         self.process_output()
@@ -285,10 +298,10 @@
             self.waiters.pop(lease.owner.txn, None)
             self.wait_times.append(clock.now() - began)
 
-    # The judge's clock and its words.
+    # Time and messages of the lease manager.
 
     def waits_ms(self) -> dict[str, float]:
-        """What batches' paths waited for their places lately."""
+        """How long the last batches waited for their replicas: median and 99th percentile in milliseconds."""
         taken = sorted(self.wait_times)
         return (
             {
@@ -300,32 +313,35 @@
         )
 
     def open(self) -> None:
+        """Start the timers."""
         self.tick()
 
     def close(self) -> None:
+        """Stop the timers and tasks."""
         if self.timer:
             self.timer.cancel()
         for task in (*self.keep_alive_tasks.values(), *self.cancel_tasks):
             task.cancel()
 
     def receive(self, source: Address, body: bytes) -> None:
+        """Take a datagram of a peer; raises `Unfit` when it is malformed."""
         self.manager.receive(clock.now(), source, wire.decode(body))
         self.schedule_processing()
 
     def tick(self) -> None:
+        """Carry out what is due now."""
         self.timer = None
         self.manager.tick(clock.now())
         self.process_output()
 
     def schedule_processing(self) -> None:
-        """What comes in one turn of the loop goes out together."""
+        """Process the output once in this iteration of the event loop: its messages are sent together."""
         if not self.processing_scheduled:
             self.processing_scheduled = True
             asyncio.get_running_loop().call_soon(self.process_output)
 
     def schedule_tick(self, now: float) -> None:
-        """The next turn when something is due, and none anew for what is due no sooner than the one
-        planned."""
+        """Set the timer for the next tick, unless one is set that fires no later."""
         at = max(min(self.manager.next_due(), min(self.flush_at.values(), default=now + 1.0)), now + 0.001)
         when = clock.on_loop(at)
         if self.timer is None or when < self.timer.when():
@@ -334,7 +350,7 @@
             self.timer = asyncio.get_running_loop().call_at(when, self.tick)
 
     def process_output(self) -> None:
-        """Carry out what the judge has to say."""
+        """Carry out the output of the lease manager: results, events, commands and messages."""
         self.processing_scheduled, manager = False, self.manager
         for lease, result in manager.results:
             waiter = self.waiters.get(lease.owner.txn)
@@ -363,18 +379,20 @@
         self.schedule_tick(now)
 
     def notify_lost(self, lease: Lease) -> None:
+        """Tell the task of a batch that another front has taken the batch over."""
         if guard := self.guards.get(lease.owner.txn):
             guard.batch.inbox.put_nowait(TakenOver(guard.batch.number))
 
     def hand_over(self) -> None:
-        """The front ends before this work does."""
+        """Give up the running batches because this front stops before they end."""
         for lease in self.manager.hand_over(clock.now()):
             self.notify_lost(lease)
         self.process_output()
 
-    # What is done for the lost.
+    # Commands for batches of lost fronts.
 
     def execute(self, command: KeepAlive | CancelRun | StopKeepAlive) -> None:
+        """Carry out a command; it replaces the one before for the same batch."""
         task = self.keep_alive_tasks.pop(command.key, None)
         if task:
             task.cancel()
@@ -387,7 +405,7 @@
             task.add_done_callback(self.cancel_tasks.discard)
 
     async def run_keep_alive(self, command: KeepAlive) -> None:
-        """Until the judge says that it is enough."""
+        """Poll the engine for a run until the lease manager stops it."""
         while True:
             entry = self.roll.entries.get(command.engine.encode("latin-1"))
             name = Name(command.txn.hex(), command.number)
@@ -398,6 +416,7 @@
             await asyncio.sleep(self.manager.config.keep_alive_interval_s)
 
     async def cancel_run(self, command: CancelRun) -> None:
+        """Cancel a run at its engine, if the engine is still known."""
         if entry := self.roll.entries.get(command.engine.encode("latin-1")):
             await self.speech(entry).call_off(entry, Name(command.txn.hex(), command.number))
 
@@ -405,8 +424,8 @@
 def query_class_policies(
     manifest: it.Settings, demand: tuple[str, ...] | None
 ) -> tuple[QueryClassPolicy, ...]:
-    """The service groups as the judgement knows them; where nothing is said once-only ones demand
-    protection."""
+    """The query classes as the lease manager needs them. `demand` names those whose batches are refused
+    when no majority can protect them; None stands for all that are `NON_IDEMPOTENT`."""
 
     def one(t: it.QueryClass) -> QueryClassPolicy:
         requires_protection = (
--- a/thistlelever/takeover/__init__.py
+++ b/thistlelever/takeover/__init__.py
@@ -1,6 +1,7 @@
-"""Who owns which work, and who takes it over when its front is lost.
+"""Decides which front owns a batch, and which front takes it over when its owner is lost.
 
-For: records of batches in hand, kept by a few other fronts; who may dispatch, answer and call off at every
-moment; what an heir does with the work of the dead. Uses: the words of `wire.work`, which fronts are alive,
-time and seed handed in. Never: I/O, a clock, a dispatch; which engine a batch goes to is decided as ever.
+Provides: replicated records of open batches, kept by a few other fronts; who may dispatch, answer and
+cancel a batch at any moment; what the successor of a lost front does with its batches. Depends on: the
+messages of `wire.work`; the liveness of fronts, the time and the random seed are arguments. Does no I/O,
+reads no clock and sends no dispatch; the choice of the engine is that of `admission`.
 """
--- a/thistlelever/takeover/catchup.py
+++ b/thistlelever/takeover/catchup.py
@@ -1,8 +1,9 @@
-"""How a place that was started again learns what it had promised: from every other front, record by record.
+"""Catch-up of a replica after a restart: it fetches the records that it should hold from every other front.
 
-Each majority that its former life was part of has another place in it. Once all others have told all that
-they keep for it, and none of them was started a moment ago itself, it knows whatever may still matter, and
-need not call itself young any longer. Where one is away it stays young for as long as a record may live.
+Each majority that the replica belonged to before the restart includes another replica. Once all other
+fronts have sent all records that they share with it, and none of them was still catching up, its records
+are complete. While a front is unreachable, the replica reports itself incomplete for as long as an old
+record may matter.
 """
 
 from __future__ import annotations
@@ -12,32 +13,34 @@
 from thistlelever.takeover.replica import Replica
 from thistlelever.wire.work import Message, Owner, Verb
 
-# So many records are told at a time; what did not come whole is asked for again after this.
+# Records in one page, and the delay before an incomplete page is requested again.
 PAGE_SIZE, RETRY_INTERVAL_S = 12, 0.08
-# A list that is being told is kept so long for who asks on.
+# How long a listing is kept for further pages.
 LISTING_TTL_S = 2.0
 ALL_KEYS = b"\0" * 16
 
 
 class CatchUp:
-    """Both sides of it in one front."""
+    """Both sides of the catch-up: fetching records for this front, and serving those of other fronts."""
 
     def __init__(self, local_owner: Owner, replica: Replica, placement: Placement) -> None:
+        """`local_owner` names this front and its process; both ends use its `replica` and the `placement`."""
         self.local_owner, self.replica, self.placement = local_owner, replica, placement
-        # Of whom it is asked: from which record on, when again; and of that piece what has come.
+        # For each front that still has records to send: the index of the page requested and the time of the
+        # next request; and the records of that page received so far.
         self.pending: dict[Address, list] = {}
         self.received: dict[Address, dict[bytes, Message]] = {}
         self.started, self.complete_sources = False, set()
-        # Lists that are being told, by who asks.
+        # Listings being served, by the front that asked: when it was made, and the keys.
         self.listings: dict[Address, tuple[float, list[bytes]]] = {}
 
     def start(self, now: float, other_fronts: list[Address]) -> None:
-        """Ask all others, once, at the start of a life."""
+        """Begin fetching from all other fronts, once, when this front starts."""
         self.started = True
         self.pending = {address: [0, now] for address in other_fronts}
 
     def tick(self, now: float) -> list[Send]:
-        """What is due by now."""
+        """The page requests that are due."""
         self.listings = {
             a: records for a, records in self.listings.items() if now - records[0] < LISTING_TTL_S
         }
@@ -53,11 +56,12 @@
         return sends
 
     def next_due(self) -> float:
+        """The time of the next page request; infinite when there is none."""
         return min((cursor[1] for cursor in self.pending.values()), default=float("inf"))
 
     def answer_request(self, now: float, source: Address, message: Message) -> list[Message]:
-        """A piece of what this front keeps for another: records, and an end that counts them and says from
-        where to go on, or that it is all."""
+        """One page of the records that this front shares with another: the records, then an END message with
+        their count and the index of the next page, 0 after the last."""
         if message.nonce == 0 or source not in self.listings:
             keys = [
                 key
@@ -99,7 +103,7 @@
         return [*records, end]
 
     def receive(self, now: float, source: Address, message: Message) -> None:
-        """A record, or the end of a piece."""
+        """Take a record, or the end of a page."""
         cursor = self.pending.get(source)
         if cursor is None or message.nonce != cursor[0]:
             return
@@ -108,7 +112,7 @@
             received[message.key] = message
             return
         if len(received) < message.lease_ms:
-            # Some of it was lost, or is late: all of the piece is asked for again.
+            # Records of the page were lost or are late: the whole page is requested again.
             cursor[1] = min(cursor[1], now + RETRY_INTERVAL_S / 4)
             return
         for record in received.values():
@@ -124,4 +128,5 @@
             self.replica.started_at = -self.replica.horizon
 
     def other_fronts(self) -> set[Address]:
+        """The addresses of all other fronts of the tier."""
         return {address for _, address in self.placement.fronts} - {self.placement.local_address}
--- a/thistlelever/takeover/facts.py
+++ b/thistlelever/takeover/facts.py
@@ -1,4 +1,4 @@
-"""What passes between the judgement of takeover and whatever carries it."""
+"""Settings, commands and results that pass between the lease manager and the code that runs it."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 
 
 class TakeoverConfig(NamedTuple):
-    """Times in seconds; `docs/takeover.md` says how they follow from each other."""
+    """Settings of one front. Times are in seconds; `docs/takeover.md` derives them from each other."""
 
-    # How many fronts keep the record of a batch that somebody can come back for.
+    # Fronts that keep the record of a batch with an idempotency key.
     replicas: int = 3
-    # How long an owner may answer and call off unasked after a majority last confirmed it, and when it asks
-    # for that again.
+    # How long an owner may answer and cancel without asking after a majority last confirmed its lease, and
+    # how often it renews the lease.
     lease_s: float = 1.0
     renew_interval_s: float = 0.4
-    # How long a batch's path waits for a majority at most, and when a word without an answer is sent again.
+    # The longest that a batch waits for a majority, and the delay before an unanswered message is sent again.
     quorum_timeout_s: float = 0.06
     resend_interval_s: float = 0.015
-    # How long the record of what is over is kept, and how often an heir asks an engine for what it took over.
+    # How long the record of a finished batch is kept, and how often a successor polls an engine for a run
+    # that it keeps alive.
     retention_s: float = 5.0
     keep_alive_interval_s: float = 0.5
-    # A batch that nobody can come back for is told of only once it has been out for so long.
+    # A batch without an idempotency key is reported to a replica once a dispatch has run for this long.
     lazy_report_delay_s: float = 0.05
-    # The most records that are kept for others, and batches that are asked on for at once.
+    # The most records kept for other fronts, and the most runs kept alive at once.
     max_records: int = 20_000
     max_keep_alives: int = 256
 
 
 class Liveness(IntEnum):
-    """What membership holds a front for."""
+    """The state of a front according to membership."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -41,35 +42,36 @@
 
 
 class QueryClassPolicy(NamedTuple):
-    """What matters here of a service group."""
+    """The properties of a query class that takeover needs; `time_limit` is in seconds."""
 
     name: str
     value: float
     idempotent: bool
     deduplicated: bool
     time_limit: float
-    # Whether a batch of it that can't be protected is refused.
+    # Whether a batch is refused when no majority of replicas can record it.
     requires_protection: bool
 
 
 class QuorumOutcome(Enum):
-    """How a question to the places ended."""
+    """How a request to the replicas of a batch ended."""
 
-    # Of a claim: nothing of it ever ran; it ran or may be running, and is now this front's; another owns it;
-    # nothing is known, and those asked are too young for that to mean anything; no majority answered.
+    # For a claim: the batch never ran; it ran or may be running and now belongs to this front; another front
+    # owns it; no record was found, but the replicas restarted too recently for that to prove anything; no
+    # majority answered.
     FRESH = "fresh"
     FOUND = "found"
     TAKEN = "taken"
     UNSURE = "unsure"
     ALONE = "alone"
-    # Of what was put: a majority has it; another has taken the batch over.
+    # For a put: a majority has stored it; another front has taken the batch over.
     SURE = "sure"
     LOST = "lost"
 
 
 class QuorumResult(NamedTuple):
-    """The answer to one question. `value` is what is known of the batch, `owner` who has it where it is
-    another's, `regained` whether it had been an heir's meanwhile."""
+    """The result of one request. `value` is the latest known status of the batch, `owner` its present owner
+    if that is another front, `regained` whether a successor had held it in between."""
 
     outcome: QuorumOutcome
     value: RunStatus | None = None
@@ -78,13 +80,15 @@
 
 
 class Send(NamedTuple):
+    """A message to be sent to another front."""
+
     address: Address
     message: Message
 
 
 class KeepAlive(NamedTuple):
-    """Go on asking the engine for a batch whose front is lost, so that it goes on running, and its result on
-    lying there."""
+    """Command to poll the engine for a batch whose front is lost: an engine stops a run and drops a result
+    that nobody asks for."""
 
     key: bytes
     engine: str
@@ -93,7 +97,7 @@
 
 
 class CancelRun(NamedTuple):
-    """Nobody can come back for it: the engine is to be free at once."""
+    """Command to cancel a run that no client can ask for again, so that its engine is free at once."""
 
     key: bytes
     engine: str
@@ -102,13 +106,13 @@
 
 
 class StopKeepAlive(NamedTuple):
-    """Ask on no longer."""
+    """Command to stop polling for a batch."""
 
     key: bytes
 
 
 class LeaseEvent(NamedTuple):
-    """Something that befell a batch, for log and counters."""
+    """An event of a batch, for the log and the counters; `name` and the keys of `fields` are written out."""
 
     name: str
     key: bytes
@@ -116,4 +120,5 @@
 
 
 def may_have_run(value: RunStatus | None) -> bool:
+    """Whether a known status says that a dispatch was sent, so that the batch may have run."""
     return value is not None and value.state is not RunState.HELD
--- a/thistlelever/takeover/lease.py
+++ b/thistlelever/takeover/lease.py
@@ -1,4 +1,4 @@
-"""One batch in hand as its owner knows it, and one question about it that is out to its places."""
+"""The lease on one open batch as its owner knows it, and the pending request to its replicas."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Phase(Enum):
-    """Whose the batch is."""
+    """Ownership of the batch as this front knows it."""
 
     ASKING = "asking"
     OWNED = "owned"
-    # Another has taken it over, or it was handed over; nothing more may be done for it here.
+    # Another front has taken it over, or it was handed over: this front may do nothing more for it.
     LOST = "lost"
     CLOSED = "closed"
 
 
 class RunEnd(Enum):
-    """How one dispatch ended, as far as it matters here."""
+    """How one dispatch ended, as far as the record of the batch needs it."""
 
     NEVER_RAN = "never ran"
     RETURNED = "returned"
@@ -27,7 +27,10 @@
 
 
 class PendingRequest:
-    """A claim or a put, from its first sending to a majority's answer or its end."""
+    """A claim or a put that was sent to the replicas and has no majority yet.
+
+    Replies are kept by the address of the replica. Times are seconds of the front's clock.
+    """
 
     __slots__ = (
         "verb",
@@ -51,17 +54,23 @@
         awaited: bool,
         reclaims: bool,
     ) -> None:
+        """Sent at `now`, and again every `resend_interval` seconds until `deadline`."""
         self.verb, self.nonce, self.message = message.verb, message.nonce, message
         self.sent_at, self.deadline, self.resend_interval = now, deadline, resend_interval
-        # Whether the batch's path waits for the answer; whether it wins back what an heir has.
+        # Whether the batch waits for the result; whether the claim takes the batch back from a successor.
         self.awaited, self.reclaims = awaited, reclaims
         self.accepted: dict[Address, Message] = {}
         self.refused: dict[Address, Message] = {}
 
 
 class Lease:
-    """One submission that is open at this front: what its places know of it, and until when it is surely this
-    front's. `marked`: a client can come back for it."""
+    """One submission that is open at this front: what its replicas know of it, and until when this front
+    certainly owns it.
+
+    `key` is the idempotency key (16 bytes), or the id of the batch (8 bytes) without one. `recoverable`: it
+    has an idempotency key, so that its client can ask for it again. `class_index` is the position of its
+    query class. Times are seconds of the front's clock.
+    """
 
     def __init__(
         self,
@@ -72,23 +81,25 @@
         replicas: tuple[Address, ...],
         recoverable: bool,
     ) -> None:
+        """A lease that no replica has promised yet."""
         self.key, self.owner, self.class_index, self.limit_at = key, owner, class_index, limit_at
         self.replicas, self.recoverable = replicas, recoverable
         self.quorum = len(replicas) // 2 + 1 if recoverable else 1
         self.phase, self.epoch, self.step = Phase.ASKING, 0, 0
         self.state, self.engine, self.txn, self.number, self.started_at = RunState.HELD, "", b"", 0, 0.0
-        # The first dispatch that may have run: engine, id and number there, when. What comes after it hangs
-        # on it.
+        # The first dispatch that may have run: engine, id and number at the engine, start. The outcome of the
+        # batch depends on it whatever later dispatches do.
         self.first_run: tuple[str, bytes, int, float] | None = None
         self.expires_at, self.confirmed_at, self.reported = 0.0, 0.0, False
-        # Why it is not protected, or empty; whether it is an heir's.
+        # Why no majority protects it, or empty; whether this front holds it as the successor of a lost owner.
         self.unprotected_reason, self.as_successor = "", False
         self.request: PendingRequest | None = None
         self.claim_attempts = 0
-        # What an earlier question of the same submission brought.
+        # The status that an earlier request of the same submission found.
         self.prior_value: RunStatus | None = None
 
     def next_value(self, now: float) -> RunStatus:
+        """The present status, to be put to the replicas; each call numbers it one step later."""
         self.step += 1
         left_ms = max(round((self.limit_at - now) * 1e3), 0)
         ran_ms = max(round((now - self.started_at) * 1e3), 0) if self.state is not RunState.HELD else 0
@@ -105,19 +116,19 @@
         )
 
     def adopt(self, now: float, value: RunStatus) -> None:
-        """What another front had begun is this one's from now on."""
+        """Continue from the run that another front had started, as the first run of this batch."""
         self.state, self.engine, self.txn, self.number = value.state, value.engine, value.txn, value.number
         self.started_at = now - value.ran_ms / 1e3
         self.first_run = value.engine, value.txn, value.number, self.started_at
 
     def begin_dispatch(self, now: float, engine: str, txn: bytes, number: int) -> None:
-        """A dispatch is about to go there."""
+        """Note that a dispatch is about to be sent to the engine."""
         if self.first_run is None:
             self.started_at = now
         self.state, self.engine, self.txn, self.number = RunState.OUT, engine, txn, number
 
     def end_dispatch(self, run: RunEnd) -> None:
-        """That dispatch has ended."""
+        """Note how the dispatch ended. One that never ran leaves the status of the first run in place."""
         if run is RunEnd.NEVER_RAN:
             if self.first_run:
                 self.engine, self.txn, self.number, self.started_at = self.first_run
@@ -129,7 +140,7 @@
         self.state = RunState.RETURNED if run is RunEnd.RETURNED else RunState.UNKNOWN
 
     def is_held(self, now: float) -> bool:
-        """Whether it surely is this front's at this moment, without asking."""
+        """Whether this front certainly owns the batch now, without asking the replicas."""
         return (
             bool(self.unprotected_reason)
             or not self.recoverable
@@ -141,6 +152,6 @@
 def make_request(
     lease: Lease, verb: Verb, nonce: int, value: RunStatus | None, config: TakeoverConfig, extend: bool = True
 ) -> Message:
-    """The question as it goes to each place."""
+    """The message of a request, the same for each replica; `extend` asks for another term of the lease."""
     ms = round(config.lease_s * 1e3) if extend else 0
     return Message(verb, nonce, lease.key, lease.epoch, lease.owner, value, ms, lease.as_successor)
--- a/thistlelever/takeover/lease_manager.py
+++ b/thistlelever/takeover/lease_manager.py
@@ -1,15 +1,15 @@
-"""Who owns which batch: this front's own batches and their places, and what it keeps for others.
-
-    judge = Judge(terms, me, life, fronts, groups, seed, now)
-    ward = judge.enter(now, mark, txn, group, limit_at)     # a batch that somebody can come back for
-    judge.goes_out(now, ward, engine, txn)                  # before a dispatch's first byte
-    judge.heard(now, source, words); judge.turn(now)
-    judge.sends, judge.done, judge.orders, judge.notes      # what came of it, taken by the carrier
-
-Each mark is a register at three fronts. To own it a front needs a majority's promise, to dispatch what may
-not run twice a majority's word that the dispatch is known: so that whoever comes after knows of it, however
-messages are lost and whatever fronts believe of each other. Times are seconds of a clock that never goes
-back.
+"""Ownership of batches: the leases of this front, and the records that it keeps for others.
+
+    manager = LeaseManager(config, local_address, life, fronts, query_classes, seed, now)
+    lease = manager.acquire(now, key, txn, class_index, limit_at)   # a batch with an idempotency key
+    manager.begin_dispatch(now, lease, engine, txn)                 # before the first byte of a dispatch
+    manager.receive(now, source, messages); manager.tick(now)
+    manager.sends, manager.results, manager.commands, manager.events    # output, taken by the caller
+
+Each idempotency key is a register that is replicated at three fronts. To own it a front needs the promise
+of a majority; to dispatch a batch that must not run twice it needs the acknowledgement of a majority that
+the dispatch is recorded. Whichever front comes next then knows of the dispatch, however many messages are
+lost and whatever the fronts believe of each other. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 from thistlelever.wire.peers import address_bytes
 from thistlelever.wire.work import Message, Owner, RunState, RunStatus, Verb
 
-# A claim whose epoch was too low is put again with a higher one, so often.
+# How often a claim is repeated with a higher epoch when its epoch was too low.
 MAX_CLAIM_ATTEMPTS = 4
-# A batch may wait for so many time limits of its group at most (`carrier.intake`), and its record lives as
-# long.
+# The longest that a batch may wait, in time limits of its query class (`carrier.intake`); its record lives
+# as long.
 MAX_TIME_LIMITS = 2
-# What nobody waits for is sent again for so long.
+# How long a request that no batch waits for is sent again, in seconds.
 UNAWAITED_TIMEOUT_S = 0.5
 SWEEP_INTERVAL_S = 0.1
-# Events of a kind fall on multiples of so many seconds.
+# Timers of a kind fire at multiples of this many seconds. A kind is handled by the method `due_` + its name.
 TIMER_GRID_S = {"again": 0.005, "renew": 0.05, "lazy": 0.05}
 
 
 class LeaseManager:
-    """Owner, place and heir in one front."""
+    """One front as owner, replica and successor. `life` tells the processes behind one address apart."""
 
     def __init__(
         self,
@@ -65,13 +65,9 @@
         seed: int,
         now: float,
     ) -> None:
-        self.config, self.local_address, self.life, self.query_classes, self.seed = (
-            config,
-            local_address,
-            life,
-            query_classes,
-            seed,
-        )
+        """`fronts` are the addresses of the tier; `seed` decides nonces and delays, `now` the start."""
+        self.config, self.local_address, self.life = config, local_address, life
+        self.query_classes, self.seed = query_classes, seed
         self.placement = Placement((*fronts, local_address), config.replicas, local_address)
         horizon = (
             MAX_TIME_LIMITS * max((g.time_limit for g in query_classes), default=0.0) + config.retention_s
@@ -90,20 +86,20 @@
         self.commands: list[KeepAlive | CancelRun | StopKeepAlive] = []
         self.events: list[LeaseEvent] = []
 
-    # A batch of this front's, from its taking to its end.
+    # A batch of this front, from its submission to its end.
 
     def acquire(
         self,
         now: float,
-        mark: bytes,
+        key: bytes,
         txn: bytes,
         class_index: int,
         limit_at: float,
         prior_value: RunStatus | None = None,
     ) -> Lease:
-        """A batch that its client can come back for: `done` says whether it is this front's. `heard` is what
-        an earlier question of the same submission brought."""
-        lease = self.create_lease(mark, txn, class_index, limit_at, self.placement.replicas_for(mark), True)
+        """Claim a batch with the idempotency key `key`; `results` receives whether this front owns it.
+        `prior_value` is the status that an earlier claim of the same submission found."""
+        lease = self.create_lease(key, txn, class_index, limit_at, self.placement.replicas_for(key), True)
         lease.prior_value = prior_value
         if len(lease.replicas) < 2:
             lease.unprotected_reason = "no other front"
@@ -114,8 +110,8 @@
         return lease
 
     def register_lazy(self, now: float, txn: bytes, class_index: int, limit_at: float) -> Lease:
-        """A batch that nobody can come back for: one other is told of it, if it is out for long."""
-        # Most are over before anybody is told: where they would be told of is looked up only then.
+        """Register a batch without an idempotency key; one replica learns of it if a dispatch runs long."""
+        # Most end before they are reported, so the replica is looked up only then.
         return self.create_lease(txn, txn, class_index, limit_at, (), False)
 
     def create_lease(
@@ -127,13 +123,14 @@
         replicas: tuple[Address, ...],
         recoverable: bool,
     ) -> Lease:
+        """A new lease of this front, under the id of its submission."""
         owner = Owner(address_bytes(self.local_address), self.life, txn)
         lease = self.leases[txn] = Lease(key, owner, class_index, limit_at, replicas, recoverable)
         return lease
 
     def begin_dispatch(self, now: float, lease: Lease, engine: str, txn: bytes, number: int = 0) -> bool:
-        """A dispatch is about to go there; whether its first byte has to wait for `done`. Of what may run
-        twice nobody need know first."""
+        """Record that a dispatch is about to be sent; whether its first byte must wait for a result. A
+        dispatch of an idempotent query class need not wait."""
         lease.begin_dispatch(now, engine, txn, number)
         if not lease.recoverable:
             if not lease.reported:
@@ -146,17 +143,17 @@
         return must_wait
 
     def end_dispatch(self, now: float, lease: Lease, run: RunEnd) -> None:
-        """That dispatch has ended; another may follow, or the end. Places hear of it with that, or when the
-        lease is renewed: till then they have it for out, which is the safer error."""
+        """Record the end of a dispatch. The replicas learn of it with the next dispatch, the end of the
+        batch or the renewal of the lease; until then they hold it for running, which is the safe error."""
         lease.end_dispatch(run)
 
     def confirm(self, now: float, lease: Lease) -> None:
-        """Ask whether it is this front's still; `done` says."""
+        """Ask the replicas whether this front still owns the batch; `results` receives the answer."""
         self.send_request(now, lease, Verb.PUT, True)
 
     def close(self, now: float, lease: Lease) -> None:
-        """Its one final answer is given, and nothing of it is out. What is known of it stays with the places,
-        and is free for whoever comes."""
+        """End a lease: the batch has its final answer and no dispatch runs. The replicas keep its status,
+        and any front may claim it."""
         self.leases.pop(lease.owner.txn, None)
         owned, lease.phase = lease.phase is Phase.OWNED, Phase.CLOSED
         if not lease.recoverable:
@@ -165,20 +162,22 @@
                     self.sends.append(Send(replica, make_request(lease, Verb.DROP, 0, None, self.config)))
             self.discard(lease)
         elif owned and not lease.unprotected_reason:
-            # Nobody waits for it, and what is lost is told again by whoever goes on from 'out'.
+            # Nobody waits for this put. If it is lost, the record still says OUT, and the front that
+            # continues from there reports the outcome again.
             self.clear_request(lease)
             message = make_request(lease, Verb.PUT, 0, lease.next_value(now), self.config, False)
             for replica in lease.replicas:
                 self.send_to(now, replica, message)
         else:
             if lease.request and lease.request.verb is Verb.CLAIM:
-                # Risk: claimed for nobody, it keeps all others out for a lease.
+                # The claim of an abandoned batch would keep other fronts out for the length of a lease.
                 self.release(lease, lease.replicas)
             self.discard(lease)
 
     def hand_over(self, now: float) -> list[Lease]:
-        """This front ends: what is out and can be come back for is left to whoever is asked next. Nothing
-        more may be done for it here."""
+        """Give up the running batches with an idempotency key because this front stops: the front that
+        their client asks next may claim them at once. The leases that were given up; nothing more may be
+        done for them here."""
         given = [
             w
             for w in self.leases.values()
@@ -193,12 +192,12 @@
             self.record_event("handed over", lease.key, txn=lease.owner.txn.hex(), engine=lease.engine)
         return given
 
-    # Questions to the places.
+    # Requests to the replicas.
 
     def send_request(
         self, now: float, lease: Lease, verb: Verb, awaited: bool, extend: bool = True, reclaims: bool = False
     ) -> None:
-        """Put a question in place of the one that is out: a later value says all that an earlier one did."""
+        """Send a request, in place of the pending one: a later status includes what an earlier one said."""
         previous = lease.request
         if previous:
             self.leases_by_nonce.pop(previous.nonce, None)
@@ -218,13 +217,14 @@
             self.send_to(now, replica, message)
 
     def send_to(self, now: float, replica: Address, message: Message) -> None:
+        """Send a request to one replica; the replica of this front answers at once."""
         if replica != self.local_address:
             self.sends.append(Send(replica, message))
         elif reply := self.replica.handle(now, message):
             self.on_reply(now, self.local_address, reply)
 
     def receive(self, now: float, source: Address, messages: tuple[Message, ...]) -> None:
-        """What came in one datagram."""
+        """Take the messages of one datagram."""
         for message in messages:
             if message.verb in (Verb.YES, Verb.NO):
                 self.on_reply(now, source, message)
@@ -238,12 +238,13 @@
                 self.sends.append(Send(source, reply))
 
     def on_reply(self, now: float, source: Address, message: Message) -> None:
+        """Count a reply to a pending request; ends the request once its result is certain."""
         lease = self.leases_by_nonce.get(message.nonce)
         request = lease.request if lease else None
         if request is None or request.nonce != message.nonce:
             late = message.verb is Verb.YES and message.lease_ms and message.owner.txn not in self.leases
             if late and source != self.local_address:
-                # Risk: a claim that was given up and comes through late keeps all others out for a lease.
+                # A claim that was given up and is accepted late would keep other fronts out for a lease.
                 self.sends.append(
                     Send(source, Message(Verb.RELEASE, 0, message.key, message.epoch, message.owner))
                 )
@@ -263,9 +264,9 @@
             self.on_refused(now, lease, request)
 
     def is_decisive(self, lease: Lease, message: Message) -> bool:
-        """Whether one place's answer to a claim ends it: another has the batch, or the epoch is too low.
-        Risk: with one place away, one that says yes and one that has promised a later epoch are no majority
-        either way, however often the claim is made."""
+        """Whether a single reply ends a claim: another front owns the batch, or the epoch is too low. With
+        one replica away, one that accepts and one that has promised a later epoch form no majority either
+        way, so without this rule the claim could be repeated for ever."""
         behind = (
             message.verb is Verb.NO
             and message.epoch >= lease.epoch
@@ -274,7 +275,8 @@
         return held_by_other(lease, message) or behind
 
     def needs_more_replies(self, lease: Lease, request: PendingRequest) -> bool:
-        """A majority is here that knows of nothing because it has forgotten: one more may tell."""
+        """Whether a majority accepted, but knows of no run because some of it restarted, and another
+        replica may still know of one."""
         value = latest_value(request.accepted.values())
         return (
             not may_have_run(value)
@@ -283,13 +285,11 @@
         )
 
     def on_granted(self, now: float, lease: Lease, request: PendingRequest) -> None:
+        """End a request that a majority accepted."""
         self.clear_request(lease)
         lease.phase = Phase.OWNED if lease.phase is Phase.ASKING else lease.phase
-        lease.expires_at, lease.confirmed_at, lease.reported = (
-            request.sent_at + self.config.lease_s,
-            now,
-            True,
-        )
+        lease.expires_at = request.sent_at + self.config.lease_s
+        lease.confirmed_at, lease.reported = now, True
         if lease.phase is Phase.CLOSED:
             return
         self.schedule(now + self.config.renew_interval_s, "renew", lease)
@@ -298,10 +298,11 @@
             return
         value = latest_value(request.accepted.values())
         if value is None and not request.reclaims:
-            # Risk: the places have forgotten a run that this submission was led to and waited for.
+            # The replicas have forgotten a run that this submission found earlier and waited for.
             value = lease.prior_value
         if request.reclaims:
-            # An heir never dispatches: what it had is as this front left it, or somebody else has been there.
+            # A successor never dispatches: the status is as this front left it, or a third front owned the
+            # batch.
             still_own = value is None or value.state is RunState.HELD or value.txn == lease.txn
             lease.phase = Phase.OWNED if still_own else Phase.LOST
             self.record_event("handed back" if still_own else "lost", lease.key, txn=lease.owner.txn.hex())
@@ -327,6 +328,7 @@
         )
 
     def on_refused(self, now: float, lease: Lease, request: PendingRequest) -> None:
+        """End a request that can find no majority: claim again, give up, or note the loss of the batch."""
         self.clear_request(lease)
         replies = [*request.accepted.values(), *request.refused.values()]
         others = [w for w in request.refused.values() if w.owner != lease.owner]
@@ -334,7 +336,7 @@
         if request.verb is Verb.CLAIM:
             holders = [w for w in others if held_by_other(lease, w)]
             if not holders and epoch >= lease.epoch and lease.claim_attempts < MAX_CLAIM_ATTEMPTS:
-                # The promise that stands in the way is over: only the epoch was too low.
+                # The lease of the other owner is over: only the epoch was too low.
                 lease.claim_attempts, lease.epoch = lease.claim_attempts + 1, epoch + 1
                 self.send_request(now, lease, Verb.CLAIM, request.awaited, reclaims=request.reclaims)
                 return
@@ -348,7 +350,7 @@
                 lease.unprotected_reason = "the places refuse"
                 self.report_result(lease, QuorumResult(QuorumOutcome.ALONE, value), request)
         elif not others:
-            # Places that can keep nothing any more are as good as away.
+            # Replicas that can store nothing count as unreachable.
             self.report_result(lease, QuorumResult(QuorumOutcome.ALONE), request)
         elif lease.phase is Phase.CLOSED or lease.as_successor:
             self.discard(lease)
@@ -361,13 +363,14 @@
     def mark_lost(
         self, lease: Lease, value: RunStatus | None, owner: Owner | None, request: PendingRequest
     ) -> None:
+        """Note that another front owns the batch now."""
         if lease.phase is not Phase.LOST:
             self.record_event("lost", lease.key, txn=lease.owner.txn.hex())
         lease.phase = Phase.LOST
         self.report_result(lease, QuorumResult(QuorumOutcome.LOST, value, owner), request)
 
     def release(self, lease: Lease, replicas: tuple[Address, ...]) -> None:
-        """Whoever said yes to a claim that came to nothing must not keep others out for its lease."""
+        """End the leases of replicas that accepted a failed claim: they would keep other fronts out."""
         message = Message(Verb.RELEASE, 0, lease.key, lease.epoch, lease.owner)
         for replica in replicas:
             if replica == self.local_address:
@@ -376,6 +379,7 @@
                 self.sends.append(Send(replica, message))
 
     def clear_request(self, lease: Lease) -> None:
+        """Forget the pending request of a lease."""
         if lease.request:
             self.leases_by_nonce.pop(lease.request.nonce, None)
             lease.request = None
@@ -383,29 +387,32 @@
     def report_result(
         self, lease: Lease, result: QuorumResult, request: PendingRequest | None = None
     ) -> None:
+        """Pass a result on: a successor's claim to `successor`, any other to `results` if it is awaited."""
         if lease.as_successor:
             self.successor.on_claim_result(lease, result)
         elif request is None or request.awaited or result.outcome is QuorumOutcome.LOST:
             self.results.append((lease, result))
 
     def discard(self, lease: Lease) -> None:
+        """Forget a lease."""
         self.clear_request(lease)
         self.leases.pop(lease.owner.txn, None)
 
-    # What is due.
+    # Timers.
 
     def schedule(self, when: float, what: str, lease: Lease, nonce: int = 0) -> None:
-        """Risk: a wake-up for each of hundreds of batches a second costs more than what they come to. What
-        is due at like times is due at one."""
+        """Set a timer of the kind `what`, rounded up to its grid: with hundreds of batches a second a
+        wake-up for each would cost more than the work that it does."""
         grid = TIMER_GRID_S[what]
         heappush(self.timers, (ceil(when / grid) * grid, next(self.timer_ids), what, lease, nonce))
 
     def next_due(self) -> float:
-        """When the next turn is."""
+        """The time of the next tick."""
         first = self.timers[0][0] if self.timers else self.swept_at + SWEEP_INTERVAL_S
         return min(first, self.swept_at + SWEEP_INTERVAL_S, self.catchup.next_due())
 
     def tick(self, now: float) -> None:
+        """Carry out all that is due: timers, catch-up, expiry of records, takeover from lost fronts."""
         while self.timers and self.timers[0][0] <= now:
             _, _, what, lease, nonce = heappop(self.timers)
             getattr(self, "due_" + what)(now, lease, nonce)
@@ -414,7 +421,7 @@
             self.swept_at = now
             self.replica.sweep(now)
             for claim in self.successor.review(now):
-                # Exactly one survivor: whoever a majority promises itself to.
+                # Exactly one survivor takes the batch over: the one that a majority promises it to.
                 replicas = self.placement.replicas_for(claim.key)
                 lease = self.create_lease(
                     claim.key, claim.txn, claim.class_index, now + claim.remaining_s, replicas, True
@@ -426,6 +433,7 @@
         self.successor.commands, self.successor.events = [], []
 
     def due_again(self, now: float, lease: Lease, nonce: int) -> None:
+        """Send a pending request again to the replicas that have not replied, or end it at its deadline."""
         request = lease.request
         if request is None or request.nonce != nonce:
             return
@@ -457,6 +465,7 @@
                 self.discard(lease)
 
     def due_renew(self, now: float, lease: Lease, nonce: int) -> None:
+        """Renew the lease of a batch that is still open."""
         if lease.phase is not Phase.OWNED or lease.owner.txn not in self.leases or lease.unprotected_reason:
             return
         if now - lease.confirmed_at < self.config.renew_interval_s - 0.01:
@@ -466,10 +475,11 @@
             return
         if not lease.request:
             self.send_request(now, lease, Verb.PUT if not lease.as_successor else Verb.CLAIM, False)
-        # Where it fails, it is tried again until the batch is over.
+        # A renewal that fails is tried again until the batch ends.
         self.schedule(now + self.config.renew_interval_s, "renew", lease)
 
     def due_lazy(self, now: float, lease: Lease, nonce: int) -> None:
+        """Report a batch without an idempotency key to one replica if its dispatch still runs."""
         if lease.state is RunState.OUT and lease.phase is not Phase.CLOSED and not lease.reported:
             others = [
                 replica for replica in self.placement.replicas_for(lease.key) if replica != self.local_address
@@ -479,26 +489,26 @@
                 self.send_request(now, lease, Verb.PUT, False)
 
     def random_fraction(self) -> float:
-        """From 0 up to 1, by the seed and a counter."""
+        """A pseudo-random number from 0 to 1, exclusive, from the seed and a counter."""
         self.draw_count += 1
         return crc32(b"%d %d" % (self.seed, self.draw_count)) / 2**32
 
     def record_event(self, name: str, key: bytes, **fields) -> None:
+        """Add an event for the log and the counters."""
         self.events.append(LeaseEvent(name, key, fields))
 
 
 def held_by_other(lease: Lease, message: Message) -> bool:
-    """Whether a place says that another has the batch, which does not give way."""
+    """Whether a replica refuses because another front owns the batch and does not yield."""
     stays = message.verb is Verb.NO and message.owner != lease.owner and message.lease_ms > 0
     return stays and (lease.as_successor or not message.heir)
 
 
 def count_informed(request: PendingRequest) -> int:
-    """How many of those that say yes would know. Risk: a place that was started again has forgotten what it
-    promised."""
+    """How many of the accepting replicas would know of a run. One that restarted may have forgotten it."""
     return sum(not (message.young and message.value is None) for message in request.accepted.values())
 
 
 def latest_value(messages) -> RunStatus | None:
-    """Of what the places keep the value that outweighs the others."""
+    """The latest status among those that replicas returned."""
     return max((w.value for w in messages if w.value is not None), key=lambda v: v.order, default=None)
--- a/thistlelever/takeover/replica.py
+++ b/thistlelever/takeover/replica.py
@@ -1,8 +1,9 @@
-"""What one front keeps for others: of each batch a promise to one owner, and the latest value.
+"""The replica that a front keeps for others: for each batch a promise to one owner, and the latest status.
 
-A promise is Paxos' (Lamport 1998, phase 1): once given to an epoch, nothing of an earlier one is taken any
-more. The lease on top of it is liveness alone: while it runs nobody else is promised, so that a client that
-comes again is led to its run and not a new one. An heir's promise gives way to whoever has a client.
+A promise is that of Paxos (Lamport 1998, phase 1): once an epoch is promised, nothing of an earlier epoch
+is accepted. The lease adds only liveness: while it runs no other front is promised, so that a client that
+submits a batch again is led to the run in progress instead of a new one. The promise of a successor yields
+to any front whose client waits.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Record:
-    """One batch as this place knows it."""
+    """The record of one batch. Times are seconds of the front's clock."""
 
     __slots__ = (
         "key",
@@ -32,46 +33,50 @@
     )
 
     def __init__(self, key: bytes) -> None:
+        """An empty record, promised to nobody."""
         self.key, self.epoch = key, 0
-        # To whom it is promised, and who said the value.
+        # The owner that the epoch is promised to, and the owner that put the value.
         self.owner: Owner | None = None
         self.value_owner: Owner | None = None
         self.value: RunStatus | None = None
         self.by_successor, self.released, self.lease_expires_at, self.forget_at = False, False, 0.0, 0.0
-        # When the value came, and any word of its owner's.
+        # When the value was stored, and when the owner was last heard from.
         self.value_set_at, self.heard_at = 0.0, 0.0
 
     @property
     def is_lazy(self) -> bool:
-        """Of a batch that nobody can come back for."""
+        """Whether the batch has no idempotency key: its record is stored under its id."""
         return len(self.key) == 8
 
     @property
     def responsible_owner(self) -> Owner | None:
-        """Whose loss would leave it to an heir."""
+        """The owner whose loss makes a successor take the batch over."""
         return self.value_owner or self.owner if self.released else self.owner
 
     def lease_left(self, now: float) -> float:
+        """The seconds that the lease still runs."""
         return max(self.lease_expires_at - now, 0.0)
 
 
 class Replica:
-    """The records of one place. `horizon` is how long a record may matter: a life younger than that may have
-    forgotten some, and says so."""
+    """The records that this front holds. `horizon` is how long a record may matter, in seconds: a replica
+    that started more recently may lack records, and says so in its replies."""
 
     def __init__(self, config: TakeoverConfig, horizon: float, now: float) -> None:
+        """An empty replica, started at `now`."""
         self.config, self.horizon, self.started_at = config, horizon, now
         self.records: dict[bytes, Record] = {}
         self.by_front: dict[Address, set[bytes]] = defaultdict(set)
-        # Whether it can promise anything: a place that fails says so and is passed by.
+        # Why it can promise nothing, or empty: a failing replica refuses, and majorities form without it.
         self.failure = ""
         self.rejected_count = 0
 
     def is_incomplete(self, now: float) -> bool:
+        """Whether records may be missing since the start of this front."""
         return now - self.started_at < self.horizon
 
     def handle(self, now: float, message: Message) -> Message | None:
-        """What this place says to a claim, a put, a release or a drop."""
+        """Carry out a claim, put, release or drop; the reply, or None when there is none."""
         match message.verb:
             case Verb.CLAIM:
                 return self.claim(now, message)
@@ -86,6 +91,7 @@
         return None
 
     def claim(self, now: float, message: Message) -> Message:
+        """Promise the batch to the claimant if its epoch is later and no other owner holds the lease."""
         record = self.records.get(message.key)
         if record is None:
             record = self.create_record(message.key)
@@ -93,7 +99,7 @@
                 return self.refuse_reply(now, message, None)
         self.extend_retention(now, record, message)
         already_promised = record.owner == message.owner and record.epoch == message.epoch
-        # An owner whose epoch was too low at another place asks again with a later one.
+        # An owner whose epoch was too low at another replica claims again with a later one.
         free = (
             record.lease_left(now) == 0
             or record.owner == message.owner
@@ -106,8 +112,8 @@
         return self.accept_reply(now, message, record)
 
     def put(self, now: float, message: Message) -> Message | None:
-        """An owner's word on its batch. A later epoch had a majority's promise, this place among them or not:
-        its lease is not asked for again."""
+        """Store the status that an owner puts. A later epoch was promised by a majority, with or without this
+        replica, so it is accepted without another claim."""
         record = self.records.get(message.key)
         if record is None:
             record = self.create_record(message.key)
@@ -117,11 +123,11 @@
             return self.refuse_reply(now, message, record) if message.nonce else None
         if self.update_value(now, record, message):
             self.promise(now, record, message)
-        # Nobody waits for an answer to the last word of a batch.
+        # The last put of a batch has no nonce: nobody waits for a reply to it.
         return self.accept_reply(now, message, record) if message.nonce else None
 
     def restore(self, now: float, message: Message) -> None:
-        """What another place keeps of a batch whose record this one had in a former life."""
+        """Take over a record from another replica during the catch-up after a restart."""
         record = self.records.get(message.key) or self.create_record(message.key)
         if record is None:
             return
@@ -130,16 +136,17 @@
             self.promise(now, record, message)
 
     def update_value(self, now: float, record: Record, message: Message) -> bool:
-        """Whether a word's value is later than the one that is kept; then it is kept."""
+        """Store the value of a message if it is later than the stored one; whether it was."""
         if message.value is None or record.value is not None and message.value.order <= record.value.order:
             return False
         self.unindex_record(record)
         record.value, record.value_owner, record.value_set_at = message.value, message.owner, now
-        # Risk: a record that is under nobody's name is no heir's.
+        # A record that is missing from the index is never taken over.
         self.index_record(record)
         return True
 
     def promise(self, now: float, record: Record, message: Message) -> None:
+        """Promise the epoch of a message to its owner and start its lease."""
         self.unindex_record(record)
         record.owner, record.epoch, record.released = message.owner, message.epoch, False
         record.by_successor, record.heard_at = message.heir, now
@@ -151,14 +158,15 @@
         record.forget_at = max(record.forget_at, deadline + self.config.retention_s)
 
     def extend_retention(self, now: float, record: Record, message: Message) -> None:
-        """Keep what a client comes back for for as long as clients may come after it. Risk: tries that own
-        nothing, for want of a majority, leave no value, and a run is forgotten that is still asked for."""
+        """Keep a record while clients submit its batch again. A submission that finds no majority owns
+        nothing and stores no value; without this the record would expire while clients still ask for the
+        run."""
         if not message.heir:
             record.forget_at = max(record.forget_at, now + message.lease_ms / 1e3 + self.config.retention_s)
 
     def release(self, message: Message) -> None:
-        """The lease is over, the promise stands. Risk: a place that forgets whom it promised an epoch to
-        promises it to another, and two have a majority for the same one."""
+        """End the lease, but keep the promise: a replica that forgot the owner of an epoch could promise the
+        same epoch to another, and both would find a majority for it."""
         record = self.records.get(message.key)
         if record and record.owner == message.owner and record.epoch == message.epoch:
             self.unindex_record(record)
@@ -166,10 +174,12 @@
             self.index_record(record)
 
     def index_record(self, record: Record) -> None:
+        """Add the record to `by_front`, under the front that is responsible for it."""
         if record.responsible_owner:
             self.by_front[address_of(record.responsible_owner.address)].add(record.key)
 
     def unindex_record(self, record: Record) -> None:
+        """Remove the record from `by_front`."""
         if record.responsible_owner and (
             keys := self.by_front.get(address_of(record.responsible_owner.address))
         ):
@@ -178,6 +188,7 @@
                 del self.by_front[address_of(record.responsible_owner.address)]
 
     def create_record(self, key: bytes) -> Record | None:
+        """A new record; None when the replica is failing or full."""
         if self.failure or len(self.records) >= self.config.max_records:
             self.rejected_count += 1
             return None
@@ -185,15 +196,17 @@
         return record
 
     def drop(self, record: Record) -> None:
+        """Delete a record."""
         self.unindex_record(record)
         del self.records[record.key]
 
     def sweep(self, now: float) -> None:
+        """Delete the records that have expired."""
         for record in [k for k in self.records.values() if now >= k.forget_at]:
             self.drop(record)
 
     def accept_reply(self, now: float, message: Message, record: Record) -> Message:
-        # What was put need not come back.
+        """The reply that accepts a request; the stored value goes with it only after a claim."""
         claim = message.verb is Verb.CLAIM
         value = self.current_value(now, record, record.value) if claim else None
         return Message(
@@ -208,7 +221,8 @@
         )
 
     def refuse_reply(self, now: float, message: Message, record: Record | None) -> Message:
-        """Where nothing can be promised at all, the answer names the asker itself, with nothing behind it."""
+        """The reply that refuses a request. Without a record, that is, when nothing can be promised at all,
+        it names the requester itself as the owner and carries no value."""
         if record is None:
             return Message(Verb.NO, message.nonce, message.key, 0, message.owner)
         owner = record.owner or message.owner
@@ -225,7 +239,7 @@
         )
 
     def current_value(self, now: float, record: Record, value: RunStatus | None) -> RunStatus | None:
-        """The value with its times as they are now."""
+        """The value with its times as of now."""
         if value is None:
             return None
         elapsed_ms = max(round((now - record.value_set_at) * 1e3), 0)
--- a/thistlelever/takeover/successors.py
+++ b/thistlelever/takeover/successors.py
@@ -1,5 +1,6 @@
-"""What this front does with the work of those that are lost: for each record that it keeps whether it is the
-heir, whether the engine is to be asked on or told to stop, and what is let go where it is too much."""
+"""Takes over the batches of lost fronts: decides for each record held here whether this front is the
+successor, whether to keep the run alive at its engine or to cancel it, and which runs to abandon when there
+are too many."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 
 
 class PendingClaim(NamedTuple):
-    """A batch whose front is gone, to be claimed for nobody yet."""
+    """A batch whose front is gone, to be claimed while no client waits for it; `remaining_s` in seconds."""
 
     key: bytes
     txn: bytes
@@ -35,7 +36,7 @@
 
 
 class InheritedRun:
-    """One batch that is asked on for."""
+    """A run of a lost front that this front keeps alive, from `since` until `until` (seconds)."""
 
     __slots__ = (
         "key",
@@ -50,16 +51,18 @@
     )
 
     def __init__(self, record: Record, now: float, until: float) -> None:
+        """The run of a record, kept alive until `until`."""
         value = record.value
         self.key, self.engine, self.txn, self.class_index = record.key, value.engine, value.txn, value.group
         self.owner, self.since, self.until = record.responsible_owner, now, until
-        # Whether a majority has promised it to this front, or was asked; what its engine last said.
+        # The state of the claim ("", "asked", "yes" or "no"), and the latest answer of the engine; both are
+        # printed by `inhand show`.
         self.claim_status, self.engine_status = "", ""
 
 
 class Successor:
-    """The heir's side of one front. `standing` says what membership holds a front and life for; while `alone`
-    nothing that it says is acted on."""
+    """The part of a front that takes over for others. `liveness` is what membership says of a front and one
+    of its processes; while `is_isolated`, membership is not trusted and nothing is taken over."""
 
     def __init__(
         self,
@@ -69,6 +72,7 @@
         placement: Placement,
         query_classes: tuple[QueryClassPolicy, ...],
     ) -> None:
+        """Shares `replica` and `placement` with the lease manager of the front."""
         self.config, self.local_address, self.replica, self.placement, self.query_classes = (
             config,
             local_address,
@@ -78,7 +82,7 @@
         )
         self.liveness: Callable[[Address, int], Liveness] = lambda address, life: Liveness.ALIVE
         self.is_isolated: Callable[[], bool] = lambda: False
-        # Who of the places is taken to be alive; what matters of a place is its address.
+        # Whether the front at an address is alive, in whatever process.
         self.is_alive: Callable[[Address], bool] = lambda address: True
         self.inherited: dict[bytes, InheritedRun] = {}
         self.abandoned: set[bytes] = set()
@@ -86,20 +90,21 @@
         self.events: list[LeaseEvent] = []
 
     def has(self, key: bytes) -> bool:
+        """Whether this front keeps the run of this batch alive."""
         return key in self.inherited
 
     def review(self, now: float) -> list[PendingClaim]:
-        """What has to be done by now, into `orders`; what is to be claimed."""
+        """Collect what is due now in `commands`; the batches to be claimed."""
         for run in list(self.inherited.values()):
             self.review_run(now, run)
         self.abandoned &= self.replica.records.keys()
         if self.is_isolated():
-            # Risk: cut off, it would take over from all who live, and call off what they run.
+            # A front that is cut off would take over from all fronts that are alive, and cancel their runs.
             return []
         claims = []
         for address in list(self.replica.by_front):
             keys = self.replica.by_front.get(address, ())
-            # A front's other life, behind the same address, has other work.
+            # A restarted front has other batches than its former process behind the same address.
             liveness_by_life = {}
             for key in sorted(keys, key=self.priority):
                 record = self.replica.records[key]
@@ -111,13 +116,16 @@
         return claims
 
     def priority(self, key: bytes) -> tuple[float, bytes]:
-        """What is worth most comes first."""
+        """Sort key: batches of the highest value first."""
         value = self.replica.records[key].value
         return (
             -self.query_classes[value.group].value if value and value.group < len(self.query_classes) else 0.0
         ), key
 
     def inherit(self, now: float, record: Record, liveness: Liveness) -> list[PendingClaim]:
+        """Take over one batch of a front that is suspected or gone: its run is kept alive at once, claimed
+        once the front is gone and its lease has expired; an idempotent batch without a key is cancelled
+        instead."""
         value = record.value
         if value is None or value.state is not RunState.OUT or value.group >= len(self.query_classes):
             return []
@@ -140,8 +148,9 @@
         return []
 
     def is_successor(self, record: Record) -> bool:
-        """The first of the places that lives, other than the lost one; two that see it differently both ask
-        on, which no engine minds, and one of them is promised it."""
+        """Whether this front is the first replica that is alive, other than the lost one. Two fronts that
+        see it differently both poll the engine, which does no harm, and only one of them is promised the
+        batch."""
         if record.is_lazy:
             return True
         lost_address = address_of(record.responsible_owner.address)
@@ -151,7 +160,7 @@
         return False
 
     def start_keep_alive(self, now: float, record: Record) -> InheritedRun | None:
-        """Ask on for it, unless so much is taken already that is worth no less."""
+        """Keep a run alive, unless as many as allowed are kept alive whose value is no lower."""
         if len(self.inherited) >= self.config.max_keep_alives:
             least = min(
                 self.inherited.values(), key=lambda t: (self.query_classes[t.class_index].value, -t.since)
@@ -175,12 +184,13 @@
         return run
 
     def abandon(self, key: bytes, txn: bytes) -> None:
+        """Note once that a run is not kept alive."""
         if key not in self.abandoned:
             self.abandoned.add(key)
             self.record_event("let go", key, txn)
 
     def review_run(self, now: float, run: InheritedRun) -> None:
-        """Whether what is asked on for still is this front's to ask."""
+        """Stop keeping a run alive that has ended, or that is no longer this front's to keep."""
         record = self.replica.records.get(run.key)
         if (
             record is None
@@ -193,7 +203,7 @@
             return
         own_claim = record.by_successor and address_of(record.responsible_owner.address) == self.local_address
         if not own_claim and record.responsible_owner != run.owner:
-            # Whoever comes for it with a client, the old owner among them, asks itself.
+            # A front with a client for the batch, the old owner included, polls the engine itself.
             self.stop_keep_alive(run)
         elif (
             not run.claim_status
@@ -202,21 +212,21 @@
             self.stop_keep_alive(run)
 
     def on_claim_result(self, lease, result: QuorumResult) -> None:
-        """What became of a claim."""
+        """Take the result of a claim."""
         run = self.inherited.get(lease.key)
         if run is None:
             return
         granted = result.outcome in (QuorumOutcome.FRESH, QuorumOutcome.FOUND, QuorumOutcome.UNSURE)
         if granted and run.claim_status != "yes":
             self.record_event("taken over", lease.key, run.txn, engine=run.engine)
-        # Without a majority it is asked on for all the same, and claimed again.
+        # Without a majority the run is kept alive all the same, and claimed again.
         run.claim_status = "yes" if granted else "no" if result.outcome is QuorumOutcome.TAKEN else ""
         if result.outcome is QuorumOutcome.TAKEN:
             self.stop_keep_alive(run)
 
     def on_engine_status(self, key: bytes, status: str) -> None:
-        """What its engine said: running, over, unknown, or silent. One that does not know it will not
-        later."""
+        """Take the engine's answer: running, over, unknown or silent. An engine that does not know a run
+        now will not know it later."""
         run = self.inherited.get(key)
         if run is None:
             return
@@ -227,8 +237,10 @@
             self.abandoned.add(key)
 
     def record_event(self, name: str, key: bytes, txn: bytes, **fields) -> None:
+        """Add an event for the log and the counters."""
         self.events.append(LeaseEvent(name, key, {"txn": txn.hex(), **fields}))
 
     def stop_keep_alive(self, run: InheritedRun) -> None:
+        """Forget a run and stop polling for it."""
         self.inherited.pop(run.key, None)
         self.commands.append(StopKeepAlive(run.key))
--- a/thistlelever/takeover/views.py
+++ b/thistlelever/takeover/views.py
@@ -1,4 +1,4 @@
-"""What a front says of work in hand to those who ask it."""
+"""Reports of a front on its open batches, for the commands `inhand show` and `inhand explain`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def show(manager: LeaseManager, now: float) -> dict:
-    """Counts of what is its own, kept for others and taken over, and each that is taken over."""
+    """Counts of own batches and of records kept for other fronts, and each run that this front took over."""
     leases = manager.leases.values()
     own = [w for w in leases if w.recoverable and not w.as_successor]
     return {
@@ -26,6 +26,7 @@
 
 
 def run_view(run, now: float) -> dict:
+    """One run that this front keeps alive for a lost one; `for_s` is how long, in seconds."""
     return {
         "key": run.key.hex(),
         "batch": run.txn.hex(),
@@ -38,7 +39,7 @@
 
 
 def explain(manager: LeaseManager, batch: str, now: float) -> dict:
-    """All that is known here of a batch, by its id or its mark."""
+    """All that this front knows of a batch, given its id or idempotency key in hexadecimal."""
     try:
         key = bytes.fromhex(batch)
     except ValueError:
@@ -56,6 +57,7 @@
 
 
 def lease_view(manager: LeaseManager, lease: Lease, now: float) -> dict:
+    """A batch of this front; `sure_for_s` is how long its lease still runs, in seconds."""
     return {
         "batch": lease.owner.txn.hex(),
         "key": lease.key.hex(),
@@ -70,6 +72,7 @@
 
 
 def record_view(manager: LeaseManager, record: Record, now: float) -> dict:
+    """A record kept for another front; times in seconds."""
     value, owner = record.value, record.responsible_owner
     liveness = manager.successor.liveness(address_of(owner.address), owner.life) if owner else Liveness.GONE
     return {
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -1,5 +1,7 @@
-"""Words between fronts about work in hand: who owns a batch, and what is known of its fate. Several of them
-in one datagram of `wire.peers`, as MessagePack (msgspec). Pure functions: no socket, no clock.
+"""Messages between fronts about open batches: who owns a batch, and what is known of its outcome.
+
+Several messages share one datagram of `wire.peers`, as MessagePack (msgspec). Pure functions: no socket, no
+clock.
 """
 
 from __future__ import annotations
@@ -11,44 +13,52 @@
 
 from thistlelever.wire.peers import ROOM, Unfit, frame
 
-# The matter that frames of `wire.peers` name.
+# The type of these datagrams in the frame of `wire.peers`.
 WORK = 2
-# A word's time in milliseconds, its counters, an engine's name: past these it is none.
+# Bounds of a valid message: its times in milliseconds, its counters (exclusive), the length of an engine's
+# name.
 MAX_DURATION_MS, COUNTER_LIMIT, MAX_ENGINE_NAME = 86_400_000, 2**32, 64
 
 
 class Verb(IntEnum):
-    """What a word wants, or answers."""
+    """The kind of a message: a request to a replica or its reply."""
 
-    # May I own this? What is known of it now. I own it no more.
+    # Requests of an owner: to own the batch; to store its latest status; to end its lease.
     CLAIM = 0
     PUT = 1
     RELEASE = 2
-    # Of the sender's: nobody can come back for it, and it is over.
+    # To delete the record of a finished batch that has no idempotency key.
     DROP = 3
+    # Replies of a replica: accepted, refused.
     YES = 4
     NO = 5
-    # Of a place that was started again: what do you keep that is mine to keep? A record; the end of a piece.
+    # Catch-up of a replica that restarted: the request for the records that it should hold, one record, and
+    # the end of a page of records.
     CATCH = 6
     KEPT = 7
     END = 8
 
 
 class RunState(IntEnum):
-    """What is known of a batch's fate."""
+    """The state of a batch, or of its latest dispatch."""
 
-    # Nothing of it ever ran.
+    # It never ran.
     HELD = 0
-    # It may be running, at the engine and under the id that the record names.
+    # It may be running, at the engine and under the id that the status names.
     OUT = 1
-    # It has ended there: with a result that lies there for as long as it is asked for, or in another way.
+    # The dispatch has ended: with a result that the engine keeps while it is polled for it, or in an
+    # unknown way.
     RETURNED = 2
     UNKNOWN = 3
 
 
 class RunStatus(Struct, array_like=True, frozen=True):
-    """What is known of a batch. `epoch` and `step` order two values, the later outweighs. `left_ms` is what
-    its client still waits, `ran_ms` how long ago the first dispatch went out that may have run."""
+    """The status of a batch, the value that replicas store. Of two, the one with the higher `epoch`, then
+    `step`, is the later and replaces the other.
+
+    `group` is the index of the query class, `left_ms` the time until the time limit of the batch, `ran_ms`
+    the time since the first dispatch that may have run; `txn` is the id of the batch at the engine.
+    """
 
     epoch: int
     step: int
@@ -58,16 +68,21 @@
     engine: str = ""
     txn: bytes = b""
     ran_ms: int = 0
-    # Which of its front's dispatches it was.
+    # The number of the dispatch at its front.
     number: int = 0
 
     @property
     def order(self) -> tuple[int, int]:
+        """Sort key: a later status compares greater."""
         return self.epoch, self.step
 
 
 class Owner(Struct, array_like=True, frozen=True):
-    """One submission at one front in one of its lives: a batch that comes again is another owner's."""
+    """One submission of a batch at one process of a front: a batch that is submitted again has another owner.
+
+    `address` is the front's, in six bytes; `life` tells the processes behind one address apart; `txn` is
+    the id of the submission.
+    """
 
     address: bytes
     life: int
@@ -75,8 +90,12 @@
 
 
 class Message(Struct, array_like=True, frozen=True):
-    """One question or answer. `nonce` ties an answer to its question; an answer names the owner and the epoch
-    that its sender has promised itself to, and the value that it keeps."""
+    """One request or reply. `nonce` ties a reply to its request; 0 asks for none. `key` is an idempotency
+    key of 16 bytes, or a batch id of 8.
+
+    A reply names the epoch that its sender has promised and the value that it stores; a refusal also names
+    the owner that it promised the epoch to, and how long the lease still runs.
+    """
 
     verb: Verb
     nonce: int
@@ -85,7 +104,8 @@
     owner: Owner
     value: RunStatus | None = None
     lease_ms: int = 0
-    # Of a claim or an answer: for an heir, whom no client waits for. Of an answer: a life too young to know.
+    # `heir`, in a claim or a reply: the claimant is the successor of a lost front, and no client waits for
+    # it. `young`, in a reply: the replica restarted too recently to know all records.
     heir: bool = False
     young: bool = False
 
@@ -95,8 +115,11 @@
 
 
 def encode(messages: list[Message], tier: int) -> list[bytes]:
-    """As few datagrams as hold the words, in their order. Each word is packed once: a list of up to fifteen
-    of them is a byte that counts them, and they."""
+    """Pack messages into as few datagrams as hold them in their order; `tier` is the tag of the tier.
+
+    Each message is packed once: a MessagePack array of up to fifteen elements is one byte with their count,
+    followed by the elements.
+    """
     datagrams: list[bytes] = []
     body, room = b"", ROOM
     count = 0
@@ -114,7 +137,7 @@
 
 
 def decode(body: bytes) -> tuple[Message, ...]:
-    """The words of one datagram; `Unfit` where they are out of form."""
+    """Unpack the messages of one datagram; raises `Unfit` when one of them is malformed."""
     try:
         messages = _decode_messages(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
@@ -125,7 +148,8 @@
 
 
 def is_valid(message: Message) -> bool:
-    """Risk: a figure without measure is kept for ever, or can never be outbid."""
+    """Whether all fields are within their bounds. A time or counter without a bound would keep a record for
+    ever, or give it an epoch that no claim can exceed."""
     owner, value = message.owner, message.value
     header_ok = (
         len(message.key) in (8, 16)
