--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -45,14 +45,14 @@
 
 
 def promise():
-    """A place that says yes to whoever asks, and nothing of what it knows."""
+    """A replica that accepts every claim and does not say what it knows."""
     Replica.claim = lambda self, now, message: Message(
         Verb.YES, message.nonce, message.key, message.epoch, message.owner, lease_ms=message.lease_ms
     )
 
 
 def fate():
-    """What another front has begun is begun anew where its client comes back."""
+    """A run that another front has started is started again when its client submits again."""
     LeaseService.adopt_run = lambda self, batch, value, query_class: True
 
 
--- a/rigs/takeover_model.py
+++ b/rigs/takeover_model.py
@@ -1,13 +1,13 @@
-"""Every interleaving of a small world: two fronts with the same mark, a third place, one engine, messages
-that are late for any time or never come, stops between any two steps, a place that forgets. The judges are
-those that fronts run.
+"""Every interleaving of a small model: two fronts with the same idempotency key, a third replica, one
+engine, messages with any delay or lost, stops between any two steps, a replica that forgets. The lease
+managers are those that fronts run.
 
-`python -m rigs.takeover_model` says how many states there are and whether any has two runs of what may not
-run twice; `--sabotage NAME` takes one guard out, and a fault has to show. `--deep` lets more befall it.
+`python -m rigs.takeover_model` prints the number of states and whether any has two runs of a batch that
+must not run twice; `--sabotage NAME` removes one guard, and a fault has to show. `--deep` also
+searches larger models.
 
-A message that never comes is one that is never chosen. There is no step for the check of the lease right
-before a first byte: what is cleared to go may go at any later moment, which is the gap that no check can
-close.
+A lost message is one that is never delivered. There is no step for the check of the lease right before the
+first byte: a dispatch that was cleared may be sent at any later time, a gap that no check can close.
 """
 
 from collections import Counter, defaultdict
@@ -29,10 +29,10 @@
 from thistlelever.wire.work import Verb
 
 FRONTS = tuple(("127.0.0.1", 7000 + n) for n in range(3))
-GROUPS = (QueryClassPolicy("pay", 1.0, False, False, 3.0, True),)
-MARK, TXNS = b"m" * 16, (b"txn-of-a", b"txn-of-b")
-TERMS = TakeoverConfig(retention_s=5.0)
-# A jump of the clock is longer than every lease and question.
+QUERY_CLASSES = (QueryClassPolicy("pay", 1.0, False, False, 3.0, True),)
+KEY, TXNS = b"m" * 16, (b"txn-of-a", b"txn-of-b")
+CONFIG = TakeoverConfig(retention_s=5.0)
+# A jump of the clock in seconds, longer than every lease and request.
 JUMP = 2.0
 
 
@@ -41,7 +41,7 @@
 
 
 def first_gone(address, life):
-    """Whatever is true of it."""
+    """Membership that reports the first front as gone, whether it is or not."""
     return Liveness.GONE if address == FRONTS[0] else Liveness.ALIVE
 
 
@@ -54,7 +54,7 @@
 
 
 class World:
-    """All of it between two steps. `told`: where each of the two batches stands."""
+    """The whole model between two steps; `at` is where each of the two batches stands."""
 
     def __init__(self, accused, most_tries):
         self.now, self.jumps, self.forgets, self.accused = 1000.0, 0, 0, accused
@@ -64,13 +64,13 @@
         self.leases = [None, None]
 
     def new_manager(self, place, born):
-        made = LeaseManager(TERMS, FRONTS[place], 1, FRONTS, GROUPS, place, born)
+        made = LeaseManager(CONFIG, FRONTS[place], 1, FRONTS, QUERY_CLASSES, place, born)
         made.successor.liveness = first_gone if self.accused else all_alive
         made.successor.is_alive, made.successor.is_isolated = yes, no
         return made
 
     def after(self, what, which):
-        """The world after one step; what the step can't change is shared with this one."""
+        """The model after one step; what the step cannot change is shared with this one."""
         other = alike(self)
         touched = {"deliver": lambda: (self.mail[which][1],), "send": tuple, "jump": lambda: (0, 1, 2)}.get(
             what, lambda: (which,)
@@ -83,8 +83,8 @@
         return other
 
     def settle(self, place):
-        """Take what a judge has to say, as its carrier does. An answer that nobody waits for any more does
-        nothing whenever it comes, and is left out."""
+        """Take the output of a lease manager, as its front does. A reply that nobody waits for any more has
+        no effect whenever it comes, and is left out."""
         manager = self.managers[place]
         self.mail += [(place, FRONTS.index(send.address), send.message) for send in manager.sends]
         self.mail = [
@@ -106,7 +106,8 @@
     def hear(self, place, lease, result):
         manager = self.managers[place]
         if self.at[place] == "asks":
-            # A group that demands protection is begun only where it is known that nothing ran.
+            # A query class that requires protection is dispatched only if the batch is known never to have
+            # run.
             if may_have_run(result.value) or result.outcome not in (QuorumOutcome.FRESH, QuorumOutcome.TAKEN):
                 self.at[place] = "led" if may_have_run(result.value) else "refused"
             elif result.outcome is QuorumOutcome.TAKEN:
@@ -131,7 +132,7 @@
         ]
         found += [("send", place) for place in (0, 1) if self.at[place] == "cleared"]
         if self.jumps < most_jumps:
-            # The clock goes on for all, and one that is stopped does not notice.
+            # The clock jumps for all; a stopped front does not notice.
             found += [("jump", None), ("jump", 0)]
         if self.forgets < most_forgets:
             found.append(("forget", 2))
@@ -145,7 +146,7 @@
     def do_enter(self, place):
         self.tries[place] += 1
         self.at[place] = "asks"
-        self.leases[place] = self.managers[place].acquire(self.now, MARK, TXNS[place], 0, self.now + 3 + JUMP)
+        self.leases[place] = self.managers[place].acquire(self.now, KEY, TXNS[place], 0, self.now + 3 + JUMP)
         self.settle(place)
 
     def do_send(self, place):
@@ -165,7 +166,7 @@
         self.managers[place] = self.new_manager(place, self.now)
 
     def key(self):
-        """What tells this state from others: no counters, no nonces."""
+        """What distinguishes this state from others: no counters, no nonces."""
 
         def value(v):
             return v and (v.epoch, v.step, v.state, v.txn)
@@ -178,7 +179,7 @@
 
         found = []
         for manager in self.managers:
-            record = manager.replica.records.get(MARK)
+            record = manager.replica.records.get(KEY)
             found.append(
                 record
                 and (
@@ -234,14 +235,14 @@
 
 
 def alike(thing):
-    """As `copy.copy` of a plain object, many times as fast."""
+    """Like `copy.copy` of a plain object, but much faster."""
     other = object.__new__(type(thing))
     other.__dict__.update(thing.__dict__)
     return other
 
 
 def twin(manager, leases):
-    """A judge that goes its own way from here."""
+    """An independent copy of a lease manager."""
     other = alike(manager)
     other.replica, other.successor = alike(manager.replica), alike(manager.successor)
     other.replica.records = {key: copy(record) for key, record in manager.replica.records.items()}
@@ -269,7 +270,7 @@
     other.timers = [(when, n, what, of(lease), nonce) for when, n, what, lease, nonce in manager.timers]
     other.catchup = alike(manager.catchup)
     other.catchup.replica = other.replica
-    # Chance is not asked here; the order of events of one moment is that of their making.
+    # No random number is drawn here; timers of the same time fire in the order in which they were set.
     other.timer_ids, other.sends, other.results, other.commands, other.events = (
         copy(manager.timer_ids),
         [],
@@ -281,7 +282,7 @@
 
 
 def search(accused, most_tries, most_jumps, most_forgets, most_states=10**7):
-    """All states; how many, and the first way to two runs."""
+    """Search all states: their number, the first path to two runs, and how often each end was reached."""
     first = World(accused, most_tries)
     seen, waiting, ends = {first.key()}, [(first, ())], Counter()
     while waiting:
@@ -301,7 +302,7 @@
 
 
 def no_majority():
-    """One place's word is enough."""
+    """The acceptance of a single replica is enough."""
     made = lease_manager.Lease.__init__
 
     def init(self, *words):
@@ -312,13 +313,13 @@
 
 
 def no_word_first():
-    """What may not run twice goes out while its places are told of it."""
+    """A batch that must not run twice is sent while its dispatch is still being recorded."""
     begin_dispatch = LeaseManager.begin_dispatch
     LeaseManager.begin_dispatch = lambda self, *words: begin_dispatch(self, *words) and False
 
 
 def no_epoch():
-    """A place takes what an earlier owner says after a later one was promised."""
+    """A replica accepts the put of an earlier owner after it has promised a later epoch."""
     put = Replica.put
 
     def taking(self, now, message):
@@ -339,11 +340,12 @@
 
 
 def no_youth():
-    """A place that was started again answers as if it had forgotten nothing."""
+    """A restarted replica replies as if it had forgotten nothing."""
     Replica.is_incomplete = lambda self, now: False
 
 
-# Accused whatever is true, tries of each client, jumps of the clock, places that forget.
+# Whether the first front is reported as gone, submissions of each client, jumps of the clock, replicas that
+# forget.
 SMALL = {"once each": (False, 1, 0, 0), "a place forgets": (False, 1, 0, 1)}
 DEEP = {
     "twice each": (False, 2, 0, 0),
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,5 +1,5 @@
-"""Takeover: the wire's bad forms, each hard case between judges that lose words, every interleaving of a
-small world, and a machine that goes on at length."""
+"""Takeover: malformed messages, the hard cases between lease managers that lose messages, every
+interleaving of a small model, and a stateful property test."""
 
 from collections import Counter
 
@@ -25,27 +25,27 @@
 from thistlelever.wire.work import Owner, RunState, RunStatus, Verb, Message
 
 FRONTS = tuple(("127.0.0.1", 7000 + n) for n in range(5))
-GROUPS = (
+QUERY_CLASSES = (
     QueryClassPolicy("lookup", 1.0, True, False, 4.0, False),
     QueryClassPolicy("load", 0.6, False, True, 4.0, False),
     QueryClassPolicy("pay", 2.0, False, False, 4.0, True),
 )
 LOOKUP, LOAD, PAY = range(3)
-MARK, T1, T2, T3 = b"m" * 16, b"txn-one-", b"txn-two-", b"txn-thre"
+KEY, T1, T2, T3 = b"m" * 16, b"txn-one-", b"txn-two-", b"txn-thre"
 OWNER = Owner(bytes((127, 0, 0, 1, 27, 88)), 5, T1)
 
 
-def message(**facts):
-    given = {
+def message(**fields):
+    defaults = {
         "verb": Verb.PUT,
         "nonce": 7,
-        "key": MARK,
+        "key": KEY,
         "epoch": 1,
         "owner": OWNER,
         "value": RunStatus(1, 2, RunState.OUT, 2, 3000, "e-1", T1, 40),
         "lease_ms": 1000,
-    } | facts
-    return Message(**given)
+    } | fields
+    return Message(**defaults)
 
 
 def test_words_come_back_as_they_went_as_many_to_a_datagram_as_fit():
@@ -96,7 +96,8 @@
 
 
 def test_places_are_the_same_for_all_and_move_only_by_who_comes_or_goes():
-    # Risk: another order of peers, or one more front, and no two fronts look for a record at the same places.
+    # Guards against fronts that look for a record at different replicas because their peers are listed in
+    # another order or include one front more.
     one, other = Placement(FRONTS, 3), Placement(FRONTS[::-1] + FRONTS, 3)
     more = Placement((*FRONTS, ("127.0.0.1", 7999)), 3)
     moved = Counter()
@@ -105,17 +106,19 @@
         assert one.replicas_for(key) == other.replicas_for(key) and len(set(one.replicas_for(key))) == 3
         moved[len(set(one.replicas_for(key)) - set(more.replicas_for(key)))] += 1
     assert set(moved) == {0, 1} and moved[1] < 220
-    assert min(Counter(place for n in range(300) for place in one.replicas_for(b"%016d" % n)).values()) > 120
+    assert (
+        min(Counter(address for n in range(300) for address in one.replicas_for(b"%016d" % n)).values()) > 120
+    )
 
 
 class Tier:
-    """Judges with a carrier that loses what the test says, and what each came to say."""
+    """Lease managers joined by a network that loses what the test says, and the output of each."""
 
     def __init__(self, many=5, config=None):
         self.config, self.now = config or TakeoverConfig(), 1100.0
         self.fronts = FRONTS[:many]
         self.managers = {
-            f: LeaseManager(self.config, f, 5, self.fronts, GROUPS, n, 1000.0)
+            f: LeaseManager(self.config, f, 5, self.fronts, QUERY_CLASSES, n, 1000.0)
             for n, f in enumerate(self.fronts)
         }
         self.dead, self.lost = set(), lambda source, target, message: False
@@ -124,7 +127,7 @@
             self.set_liveness(f)
 
     def set_liveness(self, front, gone=None):
-        """What membership of that front says; by default the truth."""
+        """Set what membership tells that front; by default the truth."""
         successor = self.managers[front].successor
 
         def liveness(address, life):
@@ -166,38 +169,38 @@
                     manager.commands, manager.events = [], []
             self.carry()
 
-    def acquire(self, place, txn, group=PAY, mark=MARK):
-        lease = self.managers[self.fronts[place]].acquire(self.now, mark, txn, group, self.now + 4)
+    def acquire(self, index, txn, group=PAY, key=KEY):
+        lease = self.managers[self.fronts[index]].acquire(self.now, key, txn, group, self.now + 4)
         self.carry()
         if txn not in self.results:
             self.go_on(self.config.quorum_timeout_s + 0.05)
         return lease, self.results.pop(txn)
 
-    def out(self, place, lease, engine="e-1"):
-        """A dispatch that goes out; what its places said first."""
-        manager, txn = self.managers[self.fronts[place]], lease.owner.txn
+    def out(self, index, lease, engine="e-1"):
+        """Begin a dispatch; the result of its request to the replicas, if it waits for one."""
+        manager, txn = self.managers[self.fronts[index]], lease.owner.txn
         waits = manager.begin_dispatch(self.now, lease, engine, txn)
         self.carry()
         if waits and txn not in self.results:
             self.go_on(self.config.quorum_timeout_s + 0.05)
         return self.results.pop(txn) if waits else None
 
-    def owns(self, place, txn=T1, group=PAY, mark=MARK):
-        """A batch of that front's, out at e-1."""
-        lease, result = self.acquire(place, txn, group, mark)
+    def owns(self, index, txn=T1, group=PAY, key=KEY):
+        """A batch that the front owns and has dispatched to e-1."""
+        lease, result = self.acquire(index, txn, group, key)
         assert result.outcome is QuorumOutcome.FRESH
-        self.out(place, lease)
+        self.out(index, lease)
         return lease
 
-    def confirm(self, place, lease):
-        self.managers[self.fronts[place]].confirm(self.now, lease)
+    def confirm(self, index, lease):
+        self.managers[self.fronts[index]].confirm(self.now, lease)
         self.carry()
         if lease.owner.txn not in self.results:
             self.go_on(self.config.quorum_timeout_s + 0.05)
         return self.results.pop(lease.owner.txn)
 
-    def close(self, place, lease):
-        self.managers[self.fronts[place]].close(self.now, lease)
+    def close(self, index, lease):
+        self.managers[self.fronts[index]].close(self.now, lease)
         self.carry()
 
     def issued(self, *kinds):
@@ -223,7 +226,7 @@
     tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.RETURNED)
     tier.close(0, lease)
     result = tier.acquire(1, T2)[1]
-    # Its fate outlives it: the client that never read the answer comes back to it.
+    # The outcome is kept after the lease: a client that never read the answer finds it when it submits again.
     assert result.outcome is QuorumOutcome.FOUND and result.value.state is RunState.RETURNED
     assert T1 not in tier.managers[FRONTS[0]].leases
 
@@ -236,13 +239,14 @@
     for f in FRONTS[1:]:
         tier.set_liveness(f, gone=set())
     tier.go_on(0.3)
-    # Who is asked for in time has not to be dead: an engine drops what nobody asks for in 2 s.
+    # Polling starts before the front is known to be dead: an engine drops a run that nobody asks for within
+    # 2 s.
     assert [type(command) for _, command in tier.commands] == [KeepAlive] and not tier.noted("taken over")
     for f in FRONTS[1:]:
         tier.set_liveness(f)
     tier.go_on(2.0)
     (heir,) = tier.noted("taken over")
-    first = next(place for place in lease.replicas if place != FRONTS[0])
+    first = next(address for address in lease.replicas if address != FRONTS[0])
     assert heir == first and len(tier.issued(KeepAlive)) == 1
     _, result = tier.acquire(FRONTS.index(first) if first != FRONTS[1] else 2, T2)
     assert result.outcome is QuorumOutcome.FOUND and result.value.txn == T1
@@ -264,13 +268,13 @@
 def test_the_heir_dies_and_its_heir_too():
     tier = Tier()
     lease = tier.owns(0)
-    for front in (FRONTS[0], *(place for place in lease.replicas if place != FRONTS[0])):
+    for front in (FRONTS[0], *(address for address in lease.replicas if address != FRONTS[0])):
         tier.dead.add(front)
         tier.go_on(1.5)
-        left = [place for place in lease.replicas if place not in tier.dead]
+        left = [address for address in lease.replicas if address not in tier.dead]
         if len(left) == 2:
             assert tier.noted("taken over") == left[:1]
-    # With two of three places gone nobody is promised anything; who asks is told what is known.
+    # With two of three replicas gone nothing is promised; the claimant learns only what is known.
     living = next(n for n, f in enumerate(FRONTS) if f not in tier.dead)
     _, result = tier.acquire(living, T2)
     assert result.outcome is QuorumOutcome.ALONE
@@ -280,10 +284,10 @@
     tier = Tier()
     lease = tier.owns(0)
     tier.dead.add(FRONTS[0])
-    left = [place for place in lease.replicas if place != FRONTS[0]]
+    left = [address for address in lease.replicas if address != FRONTS[0]]
     if len(left) == 3:
         left = left[:2]
-    # Each holds the other for dead too.
+    # Each believes that the other is dead, too.
     tier.set_liveness(left[0], gone={FRONTS[0], left[1]})
     tier.set_liveness(left[1], gone={FRONTS[0], left[0]})
     tier.go_on(2.5)
@@ -319,7 +323,8 @@
 
 
 def test_a_stopped_owner_that_was_cleared_to_go_is_not_sure_any_more():
-    # The check right before the first byte: what was granted before a stop holds for the lease alone.
+    # The check right before the first byte: what was granted before the process was stopped holds only
+    # while the lease runs.
     tier = Tier()
     lease, _ = tier.acquire(0, T1)
     assert tier.out(0, lease).outcome is QuorumOutcome.SURE and lease.is_held(tier.now)
@@ -348,13 +353,13 @@
 
 @pytest.mark.parametrize("majority", [False, True])
 def test_a_record_that_clients_come_back_for_outlives_its_time(majority):
-    # Risk: a client's tries that own nothing, for want of a majority, leave no value behind; past the first
-    # try's time limit and keep_s the places had forgotten a run that the client still asked for.
+    # Submissions that own nothing for want of a majority store no value. Past the time limit of the first
+    # submission and keep_s, the replicas had forgotten a run that the client still asked for.
     tier = Tier(config=TakeoverConfig(retention_s=0.5))
     tier.owns(0)
-    places = tier.managers[FRONTS[0]].placement.replicas_for(MARK)
-    others = [n for n, front in enumerate(FRONTS) if front not in (FRONTS[0], *places)]
-    tier.dead |= {FRONTS[0], *([] if majority else [p for p in places if p != FRONTS[0]][:1])}
+    replicas = tier.managers[FRONTS[0]].placement.replicas_for(KEY)
+    others = [n for n, front in enumerate(FRONTS) if front not in (FRONTS[0], *replicas)]
+    tier.dead |= {FRONTS[0], *([] if majority else [p for p in replicas if p != FRONTS[0]][:1])}
     for number in range(20):
         txn = b"again%03d" % number
         lease, result = tier.acquire(others[number % len(others)], txn)
@@ -371,36 +376,36 @@
 
 
 def test_with_a_place_away_two_that_have_promised_different_epochs_are_a_majority():
-    # Risk: one said yes and one named a later epoch, which was neither a majority nor a refusal, for ever.
+    # One replica accepted and one named a later epoch, which was neither a majority nor a refusal, for ever.
     tier = Tier()
-    places = tier.managers[FRONTS[0]].placement.replicas_for(MARK)
-    by = next(n for n, front in enumerate(FRONTS) if front not in places)
-    tier.dead = set(places[1:])
+    replicas = tier.managers[FRONTS[0]].placement.replicas_for(KEY)
+    by = next(n for n, front in enumerate(FRONTS) if front not in replicas)
+    tier.dead = set(replicas[1:])
     lease, result = tier.acquire(by, T1)
-    tier.managers[places[0]].replica.records[MARK].epoch = 7
+    tier.managers[replicas[0]].replica.records[KEY].epoch = 7
     tier.close(by, lease)
-    tier.dead = set(places[2:])
+    tier.dead = set(replicas[2:])
     assert tier.acquire(by, T2)[1].outcome is QuorumOutcome.FRESH
 
 
 def test_what_a_submission_heard_of_a_run_is_not_fresh_to_it_once_the_places_forgot():
-    # Risk: one that was led to another front's run and waited past the end of the record ran it again.
+    # A submission that found another front's run and waited until the record had expired ran the batch again.
     tier = Tier(config=TakeoverConfig(retention_s=0.5))
     lease = tier.owns(0)
-    heard = tier.acquire(1, T2)[1].value
+    prior_value = tier.acquire(1, T2)[1].value
     tier.managers[FRONTS[0]].end_dispatch(tier.now, lease, RunEnd.UNKNOWN)
     tier.close(0, lease)
     tier.go_on(10)
     assert tier.acquire(2, T3)[1].outcome is QuorumOutcome.FRESH
     tier = Tier()
-    tier.managers[FRONTS[1]].acquire(tier.now, MARK, T2, PAY, tier.now + 4, heard)
+    tier.managers[FRONTS[1]].acquire(tier.now, KEY, T2, PAY, tier.now + 4, prior_value)
     tier.carry()
     result = tier.results.pop(T2)
     assert result.outcome is QuorumOutcome.FOUND and result.value.txn == T1
 
 
 def test_a_run_that_may_be_is_not_forgotten_by_a_later_one_that_never_ran():
-    # Risk: a referenced batch out at a second engine that was full looks as if it had never run at the first.
+    # A deduplicated batch that a second engine refused as full looked as if it had never run at the first.
     tier = Tier()
     lease = tier.owns(0, group=LOAD)
     manager = tier.managers[FRONTS[0]]
@@ -431,11 +436,11 @@
 def test_without_a_majority_nothing_is_owned_and_what_is_known_is_told():
     tier = Tier()
     lease = tier.owns(0)
-    far = [place for place in lease.replicas if place != FRONTS[0]]
+    far = [address for address in lease.replicas if address != FRONTS[0]]
     tier.dead |= {FRONTS[0], far[0]}
     tier.now += 2
-    place = next(n for n, f in enumerate(FRONTS) if f not in tier.dead and f not in lease.replicas)
-    again, result = tier.acquire(place, T2)
+    index = next(n for n, f in enumerate(FRONTS) if f not in tier.dead and f not in lease.replicas)
+    again, result = tier.acquire(index, T2)
     assert result.outcome is QuorumOutcome.ALONE and again.unprotected_reason
     if len(far) > 1:
         assert result.value.state is RunState.OUT and result.value.engine == "e-1"
@@ -446,10 +451,10 @@
     lease = tier.owns(0)
     tier.dead.add(FRONTS[0])
     tier.go_on(2.0)
-    for place in lease.replicas:
-        if place != FRONTS[0]:
-            tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, 9, tier.now)
-            tier.set_liveness(place)
+    for address in lease.replicas:
+        if address != FRONTS[0]:
+            tier.managers[address] = LeaseManager(tier.config, address, 6, FRONTS, QUERY_CLASSES, 9, tier.now)
+            tier.set_liveness(address)
     outside = next(n for n, f in enumerate(FRONTS) if f not in lease.replicas)
     assert tier.acquire(outside, T2)[1].outcome is QuorumOutcome.UNSURE
 
@@ -458,28 +463,28 @@
     tier = Tier()
     leases = [tier.owns(0, b"txn%05d" % n, PAY, b"%016d" % n) for n in range(60)]
     tier.lost = lambda source, target, m: tier.now % 0.06 < 0.01
-    place = FRONTS[3]
-    tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, 9, tier.now)
-    tier.set_liveness(place)
-    manager = tier.managers[place]
+    address = FRONTS[3]
+    tier.managers[address] = LeaseManager(tier.config, address, 6, FRONTS, QUERY_CLASSES, 9, tier.now)
+    tier.set_liveness(address)
+    manager = tier.managers[address]
     manager.catchup.start(tier.now, sorted(manager.catchup.other_fronts()))
     tier.go_on(0.7)
     tier.lost = lambda source, target, m: False
     tier.go_on(0.5)
     assert not manager.replica.is_incomplete(tier.now)
-    mine = {m.key for m in leases if place in m.replicas}
-    assert mine and mine <= manager.replica.records.keys()
-    for key in mine:
+    own = {lease.key for lease in leases if address in lease.replicas}
+    assert own and own <= manager.replica.records.keys()
+    for key in own:
         assert manager.replica.records[key].value.state is RunState.OUT
 
 
-@pytest.mark.parametrize("away", ["dead", "is_incomplete"])
+@pytest.mark.parametrize("away", ["dead", "young"])
 def test_what_one_that_is_away_or_young_itself_would_have_told_is_missed(away):
-    # Risk: two places of a mark are started again, and each takes the other's 'nothing' for the truth.
+    # Two replicas of a key restart, and each takes the other's lack of a record for proof that there is none.
     tier = Tier()
-    for n, place in enumerate(FRONTS[2:4]):
-        tier.managers[place] = LeaseManager(tier.config, place, 6, FRONTS, GROUPS, n, tier.now)
-        tier.set_liveness(place)
+    for n, address in enumerate(FRONTS[2:4]):
+        tier.managers[address] = LeaseManager(tier.config, address, 6, FRONTS, QUERY_CLASSES, n, tier.now)
+        tier.set_liveness(address)
     if away == "dead":
         tier.dead.add(FRONTS[2])
     manager = tier.managers[FRONTS[3]]
@@ -491,7 +496,7 @@
 def test_a_former_life_behind_the_same_address_has_other_work():
     tier = Tier()
     tier.owns(0)
-    tier.managers[FRONTS[0]] = LeaseManager(tier.config, FRONTS[0], 6, FRONTS, GROUPS, 9, tier.now)
+    tier.managers[FRONTS[0]] = LeaseManager(tier.config, FRONTS[0], 6, FRONTS, QUERY_CLASSES, 9, tier.now)
     tier.set_liveness(FRONTS[0])
     tier.go_on(2.0)
     assert len(tier.noted("taken over")) == 1
@@ -502,10 +507,10 @@
 def test_a_planned_leave_hands_over_without_a_death():
     tier = Tier()
     lease = tier.owns(0)
-    given = tier.managers[FRONTS[0]].hand_over(tier.now)
+    released = tier.managers[FRONTS[0]].hand_over(tier.now)
     tier.carry()
-    assert given == [lease] and lease.phase is Phase.LOST and not lease.is_held(tier.now)
-    # Its lease is over at once.
+    assert released == [lease] and lease.phase is Phase.LOST and not lease.is_held(tier.now)
+    # The lease ends at once.
     assert tier.acquire(1, T2)[1].outcome is QuorumOutcome.FOUND
 
 
@@ -563,18 +568,18 @@
 @pytest.mark.parametrize("failing", ["full", "failing"])
 def test_a_place_that_can_keep_nothing_says_so_and_is_passed_by(failing):
     tier = Tier(config=TakeoverConfig(max_records=1 if failing == "full" else 100))
-    lease = tier.owns(0, b"txn-fill", mark=b"x" * 16)
-    for place in FRONTS:
+    lease = tier.owns(0, b"txn-fill", key=b"x" * 16)
+    for address in FRONTS:
         if failing == "failing":
-            tier.managers[place].replica.failure = "no space"
-    marks = [b"%016d" % n for n in range(40)]
-    mark = next(
-        m
-        for m in marks
+            tier.managers[address].replica.failure = "no space"
+    keys = [b"%016d" % n for n in range(40)]
+    key = next(
+        k
+        for k in keys
         if failing == "failing"
-        or not (set(tier.managers[FRONTS[0]].placement.replicas_for(m)) - set(lease.replicas))
+        or not (set(tier.managers[FRONTS[0]].placement.replicas_for(k)) - set(lease.replicas))
     )
-    again, result = tier.acquire(1, T1, mark=mark)
+    again, result = tier.acquire(1, T1, key=key)
     assert result.outcome is QuorumOutcome.ALONE and again.unprotected_reason == "the places refuse"
 
 
@@ -582,7 +587,7 @@
     tier, sent = Tier(), Counter()
 
     def lost(source, target, m):
-        # Of each kind between each pair the first; an answer's comes after that of its question.
+        # The first message of each kind between each pair; a reply's is lost after that of its request.
         sent[source, target, m.verb] += 1
         return sent[source, target, m.verb] <= 1
 
@@ -591,8 +596,8 @@
 
 
 def test_every_interleaving_of_the_small_world_has_one_run():
-    for name, facts in model.SMALL.items():
-        states, way, ends = model.search(*facts)
+    for name, fields in model.SMALL.items():
+        states, way, ends = model.search(*fields)
         assert not way and states > 1_000, (name, way)
         assert any("sent" in end for end in ends) and any("led" in end for end in ends)
 
@@ -620,7 +625,7 @@
 
 
 class AtLength(RuleBasedStateMachine):
-    """Further steps than the search goes: clients that come three times, several jumps, forgetting."""
+    """More steps than the search takes: three submissions of each client, several clock jumps, a restart."""
 
     @initialize(accused=st.booleans())
     def begin(self, accused):
@@ -639,7 +644,7 @@
     @invariant()
     def promises_never_go_back(self):
         for manager in self.world.managers if hasattr(self, "world") else ():
-            kept = manager.replica.records.get(model.MARK)
+            kept = manager.replica.records.get(model.KEY)
             before = getattr(self, "before", {}).get(id(manager), 0)
             assert kept is None or kept.epoch >= before
 
