--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/course.py
@@ -14,12 +14,12 @@
 from thistlelever.carrier.flow import Begun
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import Preempt, Refuse, Release, TakenOver
+from thistlelever.ground.commands import Preempt, Refuse, Release, TakenOver
 from thistlelever.store.batches import Batch, Batches
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
-    from thistlelever.carrier.gate import Gate
+    from thistlelever.carrier.budget_gate import BudgetGate
     from thistlelever.carrier.recollection import Recollection
     from thistlelever.carrier.leases import LeaseService
 
@@ -37,15 +37,17 @@
 class Courses:
     """Runs one task a batch."""
 
-    def __init__(self, desk: Desk, dispatcher: Dispatcher, batches: Batches, tally: Tally, log: Log) -> None:
+    def __init__(
+        self, desk: Desk, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
+    ) -> None:
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
-        self.gate: Gate | None = None
+        self.gate: BudgetGate | None = None
         self.leases: LeaseService | None = None
         # Where state is kept, what a former life has said of a batch.
         self.memory: Recollection | None = None
         self.desk, self.dispatcher, self.batches = desk, dispatcher, batches
-        self.tally, self.log = tally, log
+        self.metrics, self.log = metrics, log
         self.tasks: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, answer: Answer) -> None:
@@ -60,7 +62,7 @@
         try:
             await self.life(batch, answer)
         except Exception as why:
-            self.tally.add("course failed")
+            self.metrics.add("course failed")
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
             for number, task in batch.out.items():
                 task.cancel()
@@ -71,7 +73,7 @@
                 self.desk.tell(it.ClientLeft(batch.number))
         finally:
             if self.gate:
-                self.gate.ended(batch, batch.true_work)
+                self.gate.completed(batch, batch.true_work)
             if batch.lease_guard:
                 batch.lease_guard.close()
             batch.backstop.cancel()
@@ -95,7 +97,7 @@
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
         self.desk.tell(it.FrontStopping(at))
         if self.gate:
-            self.gate.stop(at)
+            self.gate.shut_down(at)
 
     async def life(self, batch: Batch, answer: Answer) -> None:
         if self.leases and not await self.led(batch, answer):
@@ -119,7 +121,7 @@
                         self.memory.goes_out(batch, number, told.engine)
                     batch.out[number] = self.dispatcher.start(batch, number, told)
                     if self.gate:
-                        self.gate.began(batch)
+                        self.gate.dispatch_started(batch)
                 case it.Cancel():
                     task = batch.out.get(told.number)
                     if task and not task.cancelling():
@@ -150,10 +152,10 @@
                     self.final(batch, answer, it.Error(batch.number))
                     self.desk.tell(it.ClientLeft(batch.number))
                 case Preempt() if not batch.answered:
-                    await self.settle(batch, answer, self.gate.preempted(batch, told))
+                    await self.settle(batch, answer, self.gate.preemption_answer(batch, told))
                     self.desk.tell(it.ClientLeft(batch.number))
                 case Preempt():
-                    self.gate.too_late(batch)
+                    self.gate.preempted_too_late(batch)
                 case _ if told is LEFT and not batch.answered:
                     batch.answered = True
                     self.desk.tell(it.ClientLeft(batch.number))
@@ -161,7 +163,7 @@
                     batch.flow.leave()
                     batch.out[batch.flow.number].cancel()
                 case _ if told is OVERDUE and not batch.answered:
-                    self.tally.add("left without an answer at the limit")
+                    self.metrics.add("left without an answer at the limit")
                     self.final(batch, answer, it.Error(batch.number))
                     self.desk.tell(it.ClientLeft(batch.number))
 
@@ -206,7 +208,7 @@
 
     async def admitted(self, batch: Batch, answer: Answer) -> bool:
         """Wait for the budgets' turn; whether it came before the client left or the time was up."""
-        self.gate.enter(batch)
+        self.gate.submit(batch)
         while True:
             told = await batch.inbox.get()
             match told:
@@ -218,13 +220,13 @@
                     return False
                 case _ if told is LEFT:
                     batch.answered = True
-                    self.gate.left(batch)
+                    self.gate.client_left(batch)
                     return False
                 case _ if told is OVERDUE:
                     # Nothing was ever sent, so that trying again is harmless.
-                    self.tally.add("held past the limit")
+                    self.metrics.add("held past the limit")
                     self.final(batch, answer, it.PushBack(batch.number, 0.0))
-                    self.gate.left(batch)
+                    self.gate.client_left(batch)
                     return False
 
     def unbind(self, batch: Batch, number: int) -> None:
@@ -235,6 +237,6 @@
             limit.reschedule(clock.on_loop(batch.limit_at))
 
     def final(self, batch: Batch, answer: Answer, told: it.Action | End | Begun) -> None:
-        if self.tally.must(not batch.answered, "one final answer"):
+        if self.metrics.check_invariant(not batch.answered, "one final answer"):
             batch.answered = True
             answer(told)
--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -15,9 +15,9 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.ground.orders import TakenOver
-from thistlelever.ground.papers import Entry
-from thistlelever.ground.tally import Tally
+from thistlelever.ground.commands import TakenOver
+from thistlelever.ground.config import Entry
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
 from thistlelever.takeover.facts import (
@@ -78,7 +78,7 @@
         result = await service.wait_for_result(lease)
         if result.outcome is QuorumOutcome.ALONE and not self.policy.requires_protection:
             # No majority answers: do as a front without peers does.
-            service.tally.add("takeover: dispatched unprotected")
+            service.metrics.add("takeover: dispatched unprotected")
             lease.unprotected_reason = "no majority for its dispatch"
             return True
         return result.outcome is QuorumOutcome.SURE
@@ -92,7 +92,7 @@
             return QuorumOutcome.SURE
         service.manager.confirm(clock.now(), lease)
         result = await service.wait_for_result(lease, lease.limit_at)
-        service.tally.add(f"takeover: asked whether still its own: {result.outcome.value}")
+        service.metrics.add(f"takeover: asked whether still its own: {result.outcome.value}")
         return result.outcome
 
     async def confirm_answer(self, result):
@@ -105,7 +105,7 @@
             and (type(result) is not it.PushBack or self.policy.idempotent)
         ):
             return result
-        self.service.tally.add("takeover: answers left to another")
+        self.service.metrics.add("takeover: answers left to another")
         return it.Error(self.batch.number)
 
     async def may_cancel(self) -> bool:
@@ -139,16 +139,16 @@
         self,
         manager: LeaseManager,
         peers: Peers,
-        manifest: it.Settings,
+        settings: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
         """Receives datagrams through `peers`; `speech` gives the protocol of an engine."""
         self.manager, self.peers, self.roll, self.speech = manager, peers, roll, speech
-        self.tally, self.log = tally, log
-        self.query_classes = {t.name: (g, t) for g, t in enumerate(manifest.tariffs)}
+        self.metrics, self.log = metrics, log
+        self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
         self.guards: dict[bytes, LeaseGuard] = {}
         self.keep_alive_tasks: dict[bytes, asyncio.Task] = {}
@@ -199,7 +199,7 @@
                 return answer
             self.manager.close(clock.now(), lease)
             prior_value = result.value or prior_value
-            self.tally.add("takeover: led to another front's run")
+            self.metrics.add("takeover: led to another front's run")
             end = await self.read_result(batch, result.value) if may_have_run(result.value) else None
             if end:
                 return end
@@ -216,7 +216,7 @@
         unknown = result.outcome in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
             result.outcome is QuorumOutcome.FRESH and result.value is None and not requires_protection
         )
-        self.tally.add(f"takeover: {result.outcome.value}")
+        self.metrics.add(f"takeover: {result.outcome.value}")
         if may_have_run(result.value):
             # Also without a majority: a batch that is known to have started is not started again.
             if not self.adopt_run(batch, result.value, query_class):
@@ -228,16 +228,16 @@
             # A first submission that lay unread while its front was stopped can be read after its own
             # retry. If a replica has forgotten that retry, the absence of a record does not prove that the
             # batch never ran.
-            self.tally.add("takeover: refused unprotected")
+            self.metrics.add("takeover: refused unprotected")
             return it.PushBack(batch.number, 0.0)
-        self.tally.add("takeover: unprotected" if lease.unprotected_reason else "takeover: protected")
+        self.metrics.add("takeover: unprotected" if lease.unprotected_reason else "takeover: protected")
         batch.lease_guard = LeaseGuard(self, batch, lease)
         self.guards[lease.owner.txn] = batch.lease_guard
         return None
 
     def unknown_outcome(self, batch: Batch, result: QuorumResult, why: str) -> it.Error:
         """The answer that it is not known whether the batch ran."""
-        self.tally.add("takeover: told that it is not known")
+        self.metrics.add("takeover: told that it is not known")
         self.log(
             "work not known",
             batch=batch.asked.txn,
@@ -254,7 +254,7 @@
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
         can_continue = goes_on_from(batch, query_class, self.roll, *begun)
         if 0 in batch.under:
-            self.tally.add("takeover: adopted")
+            self.metrics.add("takeover: adopted")
             self.log(
                 "work adopted",
                 batch=batch.asked.txn,
@@ -281,7 +281,7 @@
             self.roll.end(end.engine)
         if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
-        self.tally.add("takeover: read another front's run")
+        self.metrics.add("takeover: read another front's run")
         return end
 
     async def wait_for_result(self, lease: Lease, limit_at: float = float("inf")) -> QuorumResult:
@@ -359,7 +359,7 @@
             elif result.outcome is QuorumOutcome.LOST:
                 self.notify_lost(lease)
         for event in manager.events:
-            self.tally.add(f"work {event.name}")
+            self.metrics.add(f"work {event.name}")
             self.log(f"work {event.name}", key=event.key.hex(), **event.fields)
         for command in manager.commands:
             self.execute(command)
@@ -410,7 +410,7 @@
             entry = self.roll.entries.get(command.engine.encode("latin-1"))
             name = Name(command.txn.hex(), command.number)
             status = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
-            self.tally.add(f"takeover: asked on: {status}")
+            self.metrics.add(f"takeover: asked on: {status}")
             self.manager.successor.on_engine_status(command.key, status)
             self.schedule_processing()
             await asyncio.sleep(self.manager.config.keep_alive_interval_s)
@@ -422,7 +422,7 @@
 
 
 def query_class_policies(
-    manifest: it.Settings, demand: tuple[str, ...] | None
+    settings: it.Settings, demand: tuple[str, ...] | None
 ) -> tuple[QueryClassPolicy, ...]:
     """The query classes as the lease manager needs them. `demand` names those whose batches are refused
     when no majority can protect them; None stands for all that are `NON_IDEMPOTENT`."""
@@ -440,4 +440,4 @@
             requires_protection,
         )
 
-    return tuple(one(query_class) for query_class in manifest.tariffs)
+    return tuple(one(query_class) for query_class in settings.tariffs)
--- a/thistlelever/state/sessions.py
+++ b/thistlelever/state/sessions.py
@@ -1,54 +1,60 @@
-"""Sessions: options that a client has set once for its later calls, bounded in number."""
+"""Flight SQL sessions: options that a client sets once for its later calls, bounded in number."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# What may be set, by the name that a batch's fields have on every door.
+# Options that may be set, by the names that the fields of a batch have in every protocol.
 OPTIONS = ("group", "tenant", "wait_ms", "cost_ms", "need_mb", "retry", "catalog", "schema")
 
 
 @dataclass(slots=True)
 class Session:
-    """One client's options; a value is a string, a number or a truth."""
+    """The options of one client by name; `last_used` is the time of the last call in seconds."""
 
-    used: float
+    last_used: float
     options: dict[str, str | float | bool] = field(default_factory=dict)
 
 
 class Sessions:
-    """Sessions by id, the one longest unused first; the same rule at the bound as for prepared statements."""
+    """Sessions by id, least recently used first.
 
-    def __init__(self, most: int, idle: float) -> None:
-        self.most, self.idle = most, idle
+    As with prepared statements, a new session replaces only those that have been idle for `idle` seconds.
+    """
+
+    def __init__(self, max_count: int, idle: float) -> None:
+        """Hold up to `max_count` sessions; `idle` in seconds."""
+        self.max_count, self.idle = max_count, idle
         self.held: OrderedDict[str, Session] = OrderedDict()
 
-    def open(self, number: str, now: float) -> Session | None:
-        """A new session, or None where there is no room."""
-        while self.held and now - next(iter(self.held.values())).used >= self.idle:
+    def open(self, session_id: str, now: float) -> Session | None:
+        """Create a session under a new id; returns None where there is no room."""
+        while self.held and now - next(iter(self.held.values())).last_used >= self.idle:
             self.held.popitem(last=False)
-        if len(self.held) >= self.most:
+        if len(self.held) >= self.max_count:
             return None
-        self.held[number] = Session(now)
-        return self.held[number]
-
-    def find(self, number: str, now: float) -> Session | None:
-        found = self.held.get(number)
-        if found and now - found.used >= self.idle:
-            del self.held[number]
+        self.held[session_id] = Session(now)
+        return self.held[session_id]
+
+    def find(self, session_id: str, now: float) -> Session | None:
+        """Return the session with that id and mark it as used now; None where it is missing or expired."""
+        found = self.held.get(session_id)
+        if found and now - found.last_used >= self.idle:
+            del self.held[session_id]
             return None
         if found:
-            found.used = now
-            self.held.move_to_end(number)
+            found.last_used = now
+            self.held.move_to_end(session_id)
         return found
 
-    def close(self, number: str) -> bool:
-        return self.held.pop(number, None) is not None
+    def close(self, session_id: str) -> bool:
+        """Remove a session; returns whether there was one."""
+        return self.held.pop(session_id, None) is not None
 
 
 def fault(name: str, value) -> str | None:
-    """Why an option can't be set: "name" for an unknown one, "value" for what it can't be; else None."""
+    """Check an option: "name" if it is unknown, "value" if its value is invalid, None if it may be set."""
     if name not in OPTIONS:
         return "name"
     if name in ("wait_ms", "cost_ms", "need_mb"):
@@ -60,7 +66,7 @@
 
 
 def figure(word) -> float | None:
-    """A number that came as a word, as all do in headers."""
+    """Parse a number that came as a string, as all headers do; None for anything else."""
     try:
         return float(word) if type(word) is str and len(word) <= 32 else None
     except ValueError:
