--- a/thistlelever/takeover/successors.py
+++ b/thistlelever/takeover/successors.py
@@ -73,13 +73,8 @@
         query_classes: tuple[QueryClassPolicy, ...],
     ) -> None:
         """Shares `replica` and `placement` with the lease manager of the front."""
-        self.config, self.local_address, self.replica, self.placement, self.query_classes = (
-            config,
-            local_address,
-            replica,
-            placement,
-            query_classes,
-        )
+        self.config, self.local_address, self.query_classes = config, local_address, query_classes
+        self.replica, self.placement = replica, placement
         self.liveness: Callable[[Address, int], Liveness] = lambda address, life: Liveness.ALIVE
         self.is_isolated: Callable[[], bool] = lambda: False
         # Whether the front at an address is alive, in whatever process.
