--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -5,7 +5,7 @@
 
 from thistlelever.__main__ import main
 from thistlelever.carrier.leases import LeaseService
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.local_health import LocalHealth
 from thistlelever.membership.merge import Merger
 from thistlelever.membership.prober import Prober
@@ -15,33 +15,33 @@
 
 def health():
     """A front that believes itself well whatever befalls it."""
-    Judge.awake = lambda self, now: setattr(self, "turned_at", now)
-    Judge.alone = lambda self, now: "" if self.joined else "no word yet"
+    FailureDetector.check_for_pause = lambda self, now: setattr(self, "last_tick_at", now)
+    FailureDetector.isolation_reason = lambda self, now: "" if self.joined else "no word yet"
     LocalHealth.worsen = lambda self, by: None
 
 
 def detour():
     """Nobody is asked to try for another, and nobody that hears of a suspicion sees for itself."""
-    Prober.ask_others = lambda self, nonce, member: 0
+    Prober.request_indirect_probes = lambda self, nonce, member: 0
 
 
 def incarnation():
     """What is said of a life long past is believed of the present one."""
-    learn = Merger.learn
+    merge = Merger.merge
 
-    def believing(self, now, rumour, by):
-        member = self.table.get(rumour.name)
+    def believing(self, now, update, by):
+        member = self.table.get(update.name)
         if (
             member
-            and rumour.incarnation < member.incarnation
-            and rumour.name != self.table.local.identity.name
+            and update.incarnation < member.incarnation
+            and update.name != self.table.local.identity.name
         ):
-            rumour = type(rumour)(
-                rumour.name, rumour.address, member.incarnation, rumour.life, rumour.state, rumour.accuser
+            update = type(update)(
+                update.name, update.address, member.incarnation, update.life, update.state, update.accuser
             )
-        learn(self, now, rumour, by)
+        merge(self, now, update, by)
 
-    Merger.learn = believing
+    Merger.merge = believing
 
 
 def promise():
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -51,8 +51,8 @@
 def test_words_come_back_as_they_went_as_many_to_a_datagram_as_fit():
     messages = [message(nonce=n) for n in range(1, 12)]
     frames = work.encode(messages, peers.tag("yard"))
-    assert all(len(frame) <= peers.LONGEST for frame in frames) and len(frames) < len(messages)
-    opened = [peers.opened(frame, peers.tag("yard")) for frame in frames]
+    assert all(len(frame) <= peers.MAX_DATAGRAM_SIZE for frame in frames) and len(frames) < len(messages)
+    opened = [peers.decode_frame(frame, peers.tag("yard")) for frame in frames]
     assert {matter for matter, _ in opened} == {work.WORK}
     assert [m for _, body in opened for m in work.decode(body)] == messages
 
@@ -70,7 +70,7 @@
         heir=True,
         young=True,
     )
-    assert len(work.encode([longest], 1)[0]) <= peers.LONGEST
+    assert len(work.encode([longest], 1)[0]) <= peers.MAX_DATAGRAM_SIZE
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
     ],
 )
 def test_a_word_out_of_form_raises_nothing_else(body):
-    with pytest.raises(peers.Unfit, match="out of form"):
+    with pytest.raises(peers.InvalidDatagram, match="out of form"):
         work.decode(body)
 
 
@@ -151,7 +151,7 @@
                     moved = True
                     if self.dead & {front, send.address} or self.lost(front, send.address, send.message):
                         continue
-                    body = peers.opened(work.encode([send.message], 1)[0], 1)[1]
+                    body = peers.decode_frame(work.encode([send.message], 1)[0], 1)[1]
                     self.managers[send.address].receive(self.now, front, work.decode(body))
                 for lease, result in manager.results:
                     self.results[lease.owner.txn] = result
--- a/thistlelever/carrier/budget_gate.py
+++ b/thistlelever/carrier/budget_gate.py
@@ -60,7 +60,7 @@
             self.typical_work[batch.lane] += WORK_LEARNING_RATE * (taken.work - self.typical_work[batch.lane])
         spec = BatchSpec(
             batch.number,
-            batch.asked.consignor,
+            batch.asked.tenant,
             batch.lane,
             query_class.utility,
             taken.work or self.typical_work[batch.lane],
@@ -68,7 +68,7 @@
             batch.limit_at,
             min(now + query_class.goal, batch.limit_at),
             taken.key,
-            batch.asked.repeat,
+            batch.asked.is_retry,
         )
         self.deliver(self.fair_queue.submit(now, spec))
         self.schedule_tick()
--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -10,7 +10,7 @@
 
 from thistlelever.admission.decide import NEVER_RAN
 from thistlelever.carrier.dispatch import End, Ended, Sending, Speech
-from thistlelever.carrier.peers import Peers
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.carrier.recollection import goes_on_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
@@ -138,7 +138,7 @@
     def __init__(
         self,
         manager: LeaseManager,
-        peers: Peers,
+        peers: PeerSocket,
         settings: it.Settings,
         roll: Roll,
         speech: Callable[[Entry], Speech],
@@ -160,7 +160,7 @@
         self.processing_scheduled = False
         # How long the last batches waited for their replicas, in seconds.
         self.wait_times: deque[float] = deque(maxlen=1_000)
-        peers.matters[wire.WORK] = self.receive
+        peers.handlers[wire.WORK] = self.receive
 
     # The course of a batch.
 
@@ -221,7 +221,7 @@
             # Also without a majority: a batch that is known to have started is not started again.
             if not self.adopt_run(batch, result.value, query_class):
                 return self.unknown_outcome(batch, result, "its engine is gone")
-        elif unknown and once_only and batch.asked.repeat:
+        elif unknown and once_only and batch.asked.is_retry:
             # It may have run at a front whose records cannot be reached.
             return self.unknown_outcome(batch, result, lease.unprotected_reason or "nobody would know")
         elif unknown and requires_protection:
@@ -324,7 +324,7 @@
             task.cancel()
 
     def receive(self, source: Address, body: bytes) -> None:
-        """Take a datagram of a peer; raises `Unfit` when it is malformed."""
+        """Take a datagram of a peer; raises `InvalidDatagram` when it is malformed."""
         self.manager.receive(clock.now(), source, wire.decode(body))
         self.schedule_processing()
 
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.members import Members
-from thistlelever.carrier.peers import Peers
+from thistlelever.carrier.members import MembershipDriver
+from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.settings import ConfigError
@@ -15,9 +15,9 @@
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
-from thistlelever.membership.facts import Identity, TierSettings, View
-from thistlelever.membership.judge import Judge
+from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.service_health import Observation, ServiceHealth
+from thistlelever.membership.types import Identity, TierSettings, View
 
 # Lives are counted from here, in eighths of a second: the Unix second of 2020's first.
 EPOCH = 1_577_836_800
@@ -41,7 +41,7 @@
         # Behind a relay or an address translation others know this front by another address than it binds.
         rank = config.rank
         known_as = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
-        self.peers = Peers(config.peer_listen, section.tier, parts.metrics)
+        self.peers = PeerSocket(config.peer_listen, section.tier, parts.metrics)
         membership_config = MembershipConfig(
             period=section.period_s,
             suspicion_timeout=section.suspect_s,
@@ -49,31 +49,31 @@
         )
         identity = Identity(config.name, known_as, int((clock.wall() - EPOCH) * 8))
         tier = TierSettings(config.peers, config.settings.fronts)
-        judge = Judge(membership_config, identity, tier, config.seed, clock.now())
-        self.members = Members(judge, self.peers, parts.metrics, parts.log, self.counted)
+        detector = FailureDetector(membership_config, identity, tier, config.seed, clock.now())
+        self.members = MembershipDriver(detector, self.peers, parts.metrics, parts.log, self.counted)
         self.fronts, self.task, self.left = config.settings.fronts, None, False
 
     async def open(self) -> dict:
         self.peers.open()
         self.members.open()
         self.task = asyncio.get_running_loop().create_task(self.looking())
-        return {"membership": self.members.judge.me.address}
+        return {"membership": self.members.detector.identity.address}
 
     def renew(self, operator: Operator, config: Config) -> None:
-        self.members.judge.renew(clock.now(), config.peers)
+        self.members.detector.set_peers(clock.now(), config.peers)
 
     def questions(self) -> dict[str, Callable[..., dict]]:
-        judge = self.members.judge
+        detector = self.members.detector
         return {
-            "members.show": lambda: views.show(judge, clock.now()),
-            "members.explain": lambda name: views.explain(judge, name, clock.now()),
+            "members.show": lambda: views.show(detector, clock.now()),
+            "members.explain": lambda name: views.explain(detector, name, clock.now()),
         }
 
     def counted(self, view: View) -> None:
         """As many fronts as share the engines: a fact for the decisions and the budgets."""
         if view.fronts != self.fronts:
             self.fronts = view.fronts
-            self.parts.log("fronts counted", fronts=view.fronts, alone=view.alone)
+            self.parts.log("fronts counted", fronts=view.fronts, alone=view.isolation_reason)
             self.parts.desk.tell(it.FrontCountChanged(view.fronts))
             if self.parts.courses.gate:
                 self.parts.courses.gate.set_front_count(view.fronts)
@@ -86,13 +86,13 @@
             observation = Observation(
                 at=clock.now(),
                 ready=not self.left,
-                taken=counts["taken"],
+                received=counts["taken"],
                 answered=answered,
                 returned=counts["End"],
                 open_queries=len(batches.by_number),
             )
             serves = self.service_health.observe(observation)
-            self.members.judge.set_serving(clock.now(), serves)
+            self.members.detector.set_serving(clock.now(), serves)
 
     def stopping(self) -> None:
         self.left = True
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -42,7 +42,7 @@
     def __init__(self, parts: Parts, section: Takeover, membership: MembershipSide) -> None:
         config = parts.config
         sound(section, config)
-        self.parts, self.members = parts, membership.members.judge
+        self.parts, self.members = parts, membership.members.detector
         takeover_config = TakeoverConfig(
             replicas=section.places,
             lease_s=section.lease_s,
@@ -52,7 +52,7 @@
             max_records=section.most_kept,
             max_keep_alives=section.most_taken,
         )
-        me = self.members.me
+        me = self.members.identity
         self.manager = LeaseManager(
             takeover_config,
             me.address,
@@ -77,8 +77,8 @@
 
     def liveness(self, address: Address, life: int) -> Liveness:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
-        if address == self.members.me.address:
-            return Liveness.ALIVE if life == self.members.me.life else Liveness.GONE
+        if address == self.members.identity.address:
+            return Liveness.ALIVE if life == self.members.identity.life else Liveness.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE:
             return Liveness.GONE
@@ -86,10 +86,10 @@
 
     def is_alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
-        return member is not None and member.lives
+        return member is not None and member.is_alive
 
     def is_isolated(self) -> bool:
-        return bool(self.members.alone(clock.now()))
+        return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
         others = sorted(self.manager.catchup.other_fronts())
@@ -98,7 +98,7 @@
         return {"takeover": len(self.manager.placement.fronts)}
 
     def renew(self, operator: Operator, config: Config) -> None:
-        self.manager.placement.set_fronts((*config.peers, self.members.me.address))
+        self.manager.placement.set_fronts((*config.peers, self.members.identity.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from thistlelever.wire.peers import ROOM, Unfit, frame
+from thistlelever.wire.peers import MAX_BODY_SIZE, InvalidDatagram, encode_frame
 
 # The type of these datagrams in the frame of `wire.peers`.
 WORK = 2
@@ -121,29 +121,29 @@
     followed by the elements.
     """
     datagrams: list[bytes] = []
-    body, room = b"", ROOM
+    body, room = b"", MAX_BODY_SIZE
     count = 0
     for message in messages:
         raw = _pack(message)
         if count and (len(raw) > room or count == 15):
-            datagrams.append(frame(WORK, tier, bytes((0x90 | count,)) + body))
-            body, room, count = b"", ROOM, 0
+            datagrams.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + body))
+            body, room, count = b"", MAX_BODY_SIZE, 0
         body += raw
         room -= len(raw)
         count += 1
     if count:
-        datagrams.append(frame(WORK, tier, bytes((0x90 | count,)) + body))
+        datagrams.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + body))
     return datagrams
 
 
 def decode(body: bytes) -> tuple[Message, ...]:
-    """Unpack the messages of one datagram; raises `Unfit` when one of them is malformed."""
+    """Unpack the messages of one datagram; raises `InvalidDatagram` when one of them is malformed."""
     try:
         messages = _decode_messages(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
-        raise Unfit("out of form") from why
+        raise InvalidDatagram("out of form") from why
     if not all(is_valid(message) for message in messages):
-        raise Unfit("out of form")
+        raise InvalidDatagram("out of form")
     return messages
 
 
