--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -42,7 +42,7 @@
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
-        listing = dns.listing(answer, 1, SERVICE_NAME)
+        listing = dns.decode_list(answer, 1, SERVICE_NAME)
         listed = [client.entry(found) for found in listing.engines]
         parts.registry.replace(serial, listed, float(serial))
         parts.desk.front.handle(
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -152,7 +152,7 @@
         loop = asyncio.get_running_loop()
         timer = loop.call_later(ANSWER_TIMEOUT, self.query_timed_out, number, requested)
         self.awaited[number] = self.polls, timer
-        self.sockets.send(dns.query(number, SERVICE_NAME))
+        self.sockets.send(dns.encode_query(number, SERVICE_NAME))
 
     def query_timed_out(self, number: int, requested: bool) -> None:
         loop = asyncio.get_running_loop()
@@ -193,7 +193,7 @@
         if data[2:] == self.last_answer:
             self.last_agreed_query = max(self.last_agreed_query, query)
             return True
-        listing = dns.listing(data, number, SERVICE_NAME)
+        listing = dns.decode_list(data, number, SERVICE_NAME)
         entries = [self.entry(found) for found in listing.engines]
         answer = Answer(listing.serial, {entry.engine.id: entry for entry in entries})
         current = Answer(self.registry.serial, self.registry.listed_entries())
@@ -262,7 +262,7 @@
             it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.engine_list())
         )
 
-    def entry(self, found: dns.Found) -> Entry:
+    def entry(self, found: dns.EngineRecord) -> Entry:
         facts = found.facts
         engine = it.Engine(
             found.id.encode(),
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -163,7 +163,7 @@
             fields["Pool-Mb"] = str(round(batch.grant))
         if batch.priority is not None:
             fields["Pool-Rank"] = str(batch.priority)
-        return http.call("POST", "/fetch", address, fields, asked.statement)
+        return http.encode_request("POST", "/fetch", address, fields, asked.statement)
 
     def outcome(self, reply: http.Reply, sent: Sending) -> it.DispatchOutcome:
         if reply.status == 200:
@@ -209,7 +209,7 @@
             try:
                 sent.asked = clock.now()
                 self.count_call("GET", entry)
-                request = http.call("GET", f"{path}{page}", entry.address, {})
+                request = http.encode_request("GET", f"{path}{page}", entry.address, {})
                 reply = await connection.call(request, WORD_WITHIN if page else NEWS_WITHIN)
                 self.read(reply, page, connection, end, sent, batch)
                 if reply.status in UNRUN and batch.class_name in self.wary and connection.calls > 1:
@@ -250,7 +250,7 @@
         except (Spoilt, http.Unreadable):
             connection.stream.close()
             raise
-        end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
+        end.report = http.parse_load_report(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
             sent.heard = True
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
@@ -268,7 +268,7 @@
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
-        rows = http.page(reply.body)
+        rows = http.check_page(reply.body)
         if connection.is_repeated(reply):
             raise Spoilt("the same answer twice on one connection")
         if connection.has_surplus and sent.doubts < DOUBTED:
@@ -285,7 +285,7 @@
                 connection = await self.connections.acquire(entry, urgent=False)
                 try:
                     path, priority = way(batch, number)[:-1], b"%d" % batch.priority
-                    call = http.call("PUT", path, entry.address, {}, priority)
+                    call = http.encode_request("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
                     await connection.call(call, WORD_WITHIN)
                 finally:
@@ -313,7 +313,7 @@
         try:
             connection = await self.connections.acquire(entry, urgent=False)
             try:
-                request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
+                request = http.encode_request("GET", f"/fetch/{name.txn}/0", entry.address, {})
                 reply = await connection.call(request, NEWS_WITHIN)
             finally:
                 self.connections.release(connection)
@@ -329,7 +329,7 @@
                 connection = await self.connections.acquire(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await connection.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
+                    await connection.call(http.encode_request("DELETE", path, entry.address, {}), WORD_WITHIN)
                     return
                 finally:
                     self.connections.release(connection)
@@ -344,8 +344,10 @@
         try:
             connection = await self.connection(entry)
             try:
-                reply = await connection.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
-                report = http.gauges(reply.text(b"x-gauges"), self.fields)
+                reply = await connection.call(
+                    http.encode_request("GET", "/stats", entry.address, {}), self.probe_limit
+                )
+                report = http.parse_load_report(reply.text(b"x-gauges"), self.fields)
                 return (
                     it.DispatchOutcome.RETURNED if reply.status == 200 else it.DispatchOutcome.ERRORED,
                     report,
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -21,8 +21,8 @@
 
 
 class SubscribedDiscovery:
-    """The engine list from distributors, in place of DNS (`carrier.directory.DirectoryClient`), and spoken to
-    as that is."""
+    """The engine list from distributors, in place of the DNS (`carrier.directory.DirectoryClient`), and
+    spoken to as that is."""
 
     def __init__(
         self,
--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -18,7 +18,7 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.stream import Stream
 from thistlelever.wire import http
-from thistlelever.wire.inflow import Inflow, TooLong
+from thistlelever.wire.read_buffer import ReadBuffer, TooLong
 
 # A page with its head fits into 16 KiB; a reply of more is none that the protocol knows.
 BUFFER_BYTES, MAX_REPLY_BYTES = 8_192, 16_384
@@ -63,7 +63,7 @@
 
     def __init__(self, stream: Stream, engine: EngineId) -> None:
         self.stream, self.engine, self.idle_since, self.calls = stream, engine, 0.0, 0
-        self.inflow = Inflow(BUFFER_BYTES, MAX_REPLY_BYTES)
+        self.buffer = ReadBuffer(BUFFER_BYTES, MAX_REPLY_BYTES)
         self.call_pending, self.request_sent, self.has_surplus = False, False, False
         # A digest of the last good reply. Risk: a copy that comes late, while the next call is under way, is
         # taken for the answer to that call.
@@ -81,17 +81,17 @@
                 self.request_sent = True
                 reply = None
                 while reply is None:
-                    reading = self.pending_read or self.stream.read_into(self.inflow.room(), partial=True)
+                    reading = self.pending_read or self.stream.read_into(self.buffer.writable(), partial=True)
                     self.pending_read = None
-                    self.inflow.filled(await reading)
+                    self.buffer.advance(await reading)
                     limit.reschedule(min(limit.when(), loop.time() + STALL_TIMEOUT))
-                    reply = http.reply(self.inflow)
+                    reply = http.read_reply(self.buffer)
         except TimeoutError:
             raise Silent from None
         except (StreamClosedError, TooLong, http.Unreadable) as why:
             raise Broken(f"{type(why).__name__}: {why}") from None
         self.call_pending = False
-        self.has_surplus = self.inflow.start != self.inflow.end
+        self.has_surplus = self.buffer.start != self.buffer.end
         if not reply.keeps or self.has_surplus:
             # What comes unasked could be taken for the answer to the next call.
             self.stream.close()
@@ -110,7 +110,9 @@
         """Void what the last reply lay in, and listen for what may still come."""
         self.idle_since = monotonic()
         with suppress(StreamClosedError):
-            self.pending_read = self.pending_read or self.stream.read_into(self.inflow.room(), partial=True)
+            self.pending_read = self.pending_read or self.stream.read_into(
+                self.buffer.writable(), partial=True
+            )
 
     def is_clean(self) -> bool:
         """Whether nothing has come since the last reply, its end included. Risk: what the stream has read
