--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -89,9 +89,9 @@
         left would pass for word of the next."""
         try:
             await self.sockets.open(address)
-        except OSError as why:
+        except OSError as error:
             self.metrics.add("directory: no socket")
-            self.desk.log("directory can't be asked yet", address=address, why=str(why))
+            self.desk.log("directory can't be asked yet", address=address, why=str(error))
             return False
         self.drop_queries()
         self.retries = 0
@@ -178,9 +178,9 @@
         timer.cancel()
         try:
             settled = self.apply(data, number, query)
-        except (dns.Unreadable, KeyError, ValueError) as why:
+        except (dns.Unreadable, KeyError, ValueError) as error:
             self.metrics.add("directory answers out of form")
-            self.desk.log("directory answer out of form", why=str(why))
+            self.desk.log("directory answer out of form", why=str(error))
             settled = False
         if in_time and settled:
             self.retries, self.heard_at = 0, clock.now()
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -50,8 +50,8 @@
             drop_connections,
             desk,
         )
-        self.zones = {name: place for place, name in enumerate(names.zones)}
-        self.kinds = {name: place for place, name in enumerate(names.kinds)}
+        self.zones = {name: index for index, name in enumerate(names.zones)}
+        self.kinds = {name: index for index, name in enumerate(names.kinds)}
         # Records that have left the subset, of engines that queries are still out at.
         self.leaving: dict[str, EngineRecord] = {}
         # The registry's entries of what is held, made once for each record.
@@ -99,9 +99,9 @@
         held = self.held()
         self.leaving = self.retained_leavers(held)
         self.entries = {
-            record.id: known
+            record.id: cached
             for record in (*held.values(), *self.leaving.values())
-            if (known := self.entry_for(record))
+            if (cached := self.entry_for(record))
         }
         serial = self.subscription.replica.version.packed()
         entries = [entry for _, entry in self.entries.values()]
@@ -132,9 +132,9 @@
 
     def entry_for(self, record: EngineRecord) -> tuple[EngineRecord, Entry] | None:
         """The record with its registry entry; None where this front can't use it."""
-        known = self.entries.get(record.id)
-        if known and known[0] == record:
-            return known
+        cached = self.entries.get(record.id)
+        if cached and cached[0] == record:
+            return cached
         try:
             return record, self.build_entry(record)
         except (UnknownNameError, ValueError) as error:
--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -88,7 +88,7 @@
                     reply = http.read_reply(self.buffer)
         except TimeoutError:
             raise Silent from None
-        except (StreamClosedError, TooLong, http.Unreadable) as why:
+        except (StreamClosedError, TooLong, http.Unreadable) as error:
             raise Broken(f"{type(why).__name__}: {why}") from None
         self.call_pending = False
         self.has_surplus = self.buffer.start != self.buffer.end
@@ -103,8 +103,8 @@
         if b"elapsed-work" not in reply.fields:
             return False
         parts = (b"%b:%b" % (name, value) for name, value in sorted(reply.fields.items()))
-        before, self.last_digest = self.last_digest, crc32(b"\n".join((*parts, reply.body))) or 1
-        return before == self.last_digest
+        previous, self.last_digest = self.last_digest, crc32(b"\n".join((*parts, reply.body))) or 1
+        return previous == self.last_digest
 
     def start_idle(self) -> None:
         """Void what the last reply lay in, and listen for what may still come."""
@@ -158,8 +158,8 @@
             connection = None if unused else self.take_idle(engine)
             if connection:
                 return connection
-            if patient and not unused and (kept := self.idle.get(engine)):
-                await asyncio.sleep(max(kept[0].idle_since + MIN_IDLE - monotonic(), 0.0005))
+            if patient and not unused and (idle := self.idle.get(engine)):
+                await asyncio.sleep(max(idle[0].idle_since + MIN_IDLE - monotonic(), 0.0005))
                 continue
             if self.count < (self.limit if urgent else self.poll_limit):
                 return await self.connect(entry)
@@ -174,31 +174,31 @@
 
     def take_idle(self, engine: EngineId) -> Connection | None:
         """The last one given back that has rested: those longer idle may then be closed for others."""
-        kept, before = self.idle.get(engine, deque()), monotonic() - MIN_IDLE
-        place = len(kept) - 1
-        while place >= 0:
-            connection = kept[place]
+        idle, idle_before = self.idle.get(engine, deque()), monotonic() - MIN_IDLE
+        index = len(idle) - 1
+        while index >= 0:
+            connection = idle[index]
             if not connection.is_clean():
                 self.metrics.add("links that were not as left")
-                del kept[place]
+                del idle[index]
                 self.close(connection)
-            elif connection.idle_since <= before:
-                del kept[place]
+            elif connection.idle_since <= idle_before:
+                del idle[index]
                 return connection
-            place -= 1
+            index -= 1
         return None
 
     async def wait_turn(self, engine: EngineId, urgent: bool) -> Connection | None:
         """Wait for a link that is given back, or for the place of one that is closed."""
-        turn = asyncio.get_running_loop().create_future()
-        self.waiters[not urgent].append((engine, turn))
+        waiter = asyncio.get_running_loop().create_future()
+        self.waiters[not urgent].append((engine, waiter))
         try:
-            return await turn
+            return await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if waiter.done() and not waiter.cancelled():
                 # Woken and called off in one moment: what it got is for the next.
-                if turn.result():
-                    self.hand_over(turn.result())
+                if waiter.result():
+                    self.hand_over(waiter.result())
                 else:
                     self.wake_next()
             raise
@@ -212,28 +212,28 @@
             stream = Stream(raw, max_buffer_size=MAX_REPLY_BYTES, read_chunk_size=BUFFER_BYTES)
             async with asyncio.timeout(self.connect_limit):
                 await stream.connect(entry.address)
-        except BaseException as why:
+        except BaseException as error:
             if stream:
                 stream.close()
             self.slot_freed()
-            if isinstance(why, TimeoutError):
+            if isinstance(error, TimeoutError):
                 raise Unreached from None
-            if isinstance(why, StreamClosedError | OSError):
-                raise self.connect_error(why) from None
+            if isinstance(error, StreamClosedError | OSError):
+                raise self.connect_error(error) from None
             raise
         return Connection(stream, entry.engine.id)
 
-    def connect_error(self, why: Exception) -> Exception:
-        real = getattr(why, "real_error", None) or why
-        if isinstance(real, ConnectionRefusedError):
-            return Refused(str(real))
+    def connect_error(self, error: Exception) -> Exception:
+        cause = getattr(error, "real_error", None) or error
+        if isinstance(cause, ConnectionRefusedError):
+            return Refused(str(cause))
         self.metrics.add("connect failed otherwise")
-        if isinstance(real, ConnectionError):
-            return Broken(str(real))
+        if isinstance(cause, ConnectionError):
+            return Broken(str(cause))
         return (
-            Short(str(real))
-            if getattr(real, "errno", None) in LOCAL_SHORTAGE_ERRNOS
-            else Unreached(str(real))
+            Short(str(cause))
+            if getattr(cause, "errno", None) in LOCAL_SHORTAGE_ERRNOS
+            else Unreached(str(cause))
         )
 
     def release(self, connection: Connection) -> None:
@@ -242,7 +242,7 @@
             self.close(connection)
             return
         connection.start_idle()
-        if any(not turn.done() for waiting in self.waiters for _, turn in waiting):
+        if any(not waiter.done() for queue in self.waiters for _, waiter in queue):
             asyncio.get_running_loop().call_later(MIN_IDLE, self.hand_over, connection)
         else:
             self.idle.setdefault(connection.engine, deque()).append(connection)
@@ -253,14 +253,14 @@
             self.metrics.add("links that were not as left")
             self.close(connection)
             return
-        for waiting in self.waiters:
-            for place, (engine, turn) in enumerate(waiting):
-                if engine == connection.engine and not turn.done():
+        for queue in self.waiters:
+            for index, (engine, waiter) in enumerate(queue):
+                if engine == connection.engine and not waiter.done():
                     # Risk: closed and made anew for each call, links take the time that they are short of.
-                    del waiting[place]
-                    turn.set_result(connection)
+                    del queue[index]
+                    waiter.set_result(connection)
                     return
-        if any(not turn.done() for waiting in self.waiters for _, turn in waiting):
+        if any(not waiter.done() for queue in self.waiters for _, waiter in queue):
             # Who waits wants another engine: a closed link is a place for any.
             self.close(connection)
             return
@@ -276,11 +276,11 @@
         self.wake_next()
 
     def wake_next(self) -> None:
-        for waiting in self.waiters:
-            while waiting:
-                _, turn = waiting.popleft()
-                if not turn.done():
-                    turn.set_result(None)
+        for queue in self.waiters:
+            while queue:
+                _, waiter = queue.popleft()
+                if not waiter.done():
+                    waiter.set_result(None)
                     return
 
     def close_oldest_idle(self) -> bool:
@@ -295,11 +295,11 @@
 
     def close_expired(self) -> None:
         """Close what has been idle too long, and forget engines that have no link."""
-        before = monotonic() - self.idle_timeout
-        for engine, kept in list(self.idle.items()):
-            while kept and (kept[0].idle_since < before or not kept[0].is_clean()):
-                self.close(kept.popleft())
-            if not kept:
+        idle_before = monotonic() - self.idle_timeout
+        for engine, idle in list(self.idle.items()):
+            while idle and (idle[0].idle_since < idle_before or not idle[0].is_clean()):
+                self.close(idle.popleft())
+            if not idle:
                 del self.idle[engine]
 
     def drop_engine(self, engine: EngineId) -> None:
--- a/thistlelever/store/engine_starts.py
+++ b/thistlelever/store/engine_starts.py
@@ -35,10 +35,10 @@
         for engine in engines:
             if not engine.started:
                 continue
-            told, believed, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
-            if told != engine.started:
-                believed = estimate_start(engine.started, now, last_heard, wall_ahead)
-            self.estimates[engine.id] = engine.started, believed, now
+            listed, estimate, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
+            if listed != engine.started:
+                estimate = estimate_start(engine.started, now, last_heard, wall_ahead)
+            self.estimates[engine.id] = engine.started, estimate, now
         for engine_id in [e for e, (*_, at) in self.estimates.items() if now - at > RETENTION]:
             del self.estimates[engine_id]
 
@@ -46,11 +46,11 @@
         """The engine's start on this front's clock; 0.0 where it started before anybody counted."""
         if not engine.started:
             return 0.0
-        told, believed, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
-        return believed if told == engine.started else engine.started
+        listed, estimate, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
+        return estimate if listed == engine.started else engine.started
 
 
-def estimate_start(told: float, now: float, last_heard: float | None, wall_ahead: float) -> float:
+def estimate_start(listed: float, now: float, last_heard: float | None, wall_ahead: float) -> float:
     """The start on this front's clock for a told one, both in seconds.
 
     While the wall clock has not been stepped a told start is believed, unless it lies in the future: then
@@ -59,7 +59,7 @@
     neither can be, the engine started when it appeared.
     """
     if abs(wall_ahead) < CLOCK_STEP:
-        return min(told, now)
+        return min(listed, now)
     earliest = float("-inf") if last_heard is None else last_heard - LISTING_DELAY
-    possible = [start for start in (told, told - wall_ahead) if earliest <= start <= now]
+    possible = [start for start in (listed, listed - wall_ahead) if earliest <= start <= now]
     return max(possible, default=now)
