--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -89,7 +89,7 @@
         except TimeoutError:
             raise Silent from None
         except (StreamClosedError, TooLong, http.Unreadable) as error:
-            raise Broken(f"{type(why).__name__}: {why}") from None
+            raise Broken(f"{type(error).__name__}: {error}") from None
         self.call_pending = False
         self.has_surplus = self.buffer.start != self.buffer.end
         if not reply.keeps or self.has_surplus:
