--- a/thistlelever/store/__init__.py
+++ b/thistlelever/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a front keeps in memory: open batches, connections, the list of engines, counters."""
+"""In-memory state of a front: open batches, the connection pool and the engine registry."""
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -1,4 +1,4 @@
-"""The batches that are open, each with what its one task is told and has out."""
+"""Open batches, each with its state, its inbox and its running dispatches."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class DispatchName(NamedTuple):
-    """A dispatch as its engine knows it: the id of the batch, and which of its dispatches it was where it was
-    begun."""
+    """Identifies a dispatch at its engine: the id of the batch and the number of the dispatch on the front
+    that started it."""
 
     txn: str
     number: int
@@ -20,7 +20,14 @@
 
 @dataclass(slots=True, eq=False)
 class Batch:
-    """One batch from its reading to its one final answer and the end of its last dispatch."""
+    """One batch, from its submission to its final answer and the end of its last dispatch.
+
+    `number` is unique in this front. `class_name` names the query class, `deadline` is in seconds on the
+    front's clock, `grant` is the memory granted to a dispatch in MB, `dispatches` counts those started. The
+    task of the batch receives its messages through `inbox`. `dispatch_tasks`, `engines` and `timeouts` are
+    keyed by the number of the dispatch. `answered` is set once the final answer is given or its
+    client has left.
+    """
 
     number: int
     submission: Submission
@@ -35,13 +42,13 @@
     engines: dict[int, it.EngineId] = field(default_factory=dict)
     timeouts: dict[int, asyncio.Timeout] = field(default_factory=dict)
     answered: bool = False
-    # What its dispatches cost by their engines' word, in core-seconds.
+    # Cost of its dispatches as reported by the engines, in core-seconds.
     measured_work: float = 0.0
-    # Whether its door takes columns, and lets a result begin before it is whole; whether it only changes
-    # rows, so that a count is its result.
+    # `columns`: the client's protocol takes columnar data and lets a result start before it is complete.
+    # `is_update`: the statement only changes rows, so that its result is a row count.
     columns: bool = False
     is_update: bool = False
-    # The result that has begun to go on, of type `carrier.flow.Flow`.
+    # The result that is being streamed to the client, of type `carrier.flow.Flow`.
     flow: Any = None
     # With takeover on: the check on the batch's lease, of type `carrier.leases.LeaseGuard`; and the ids at
     # their engines of dispatches that another front has begun.
@@ -50,27 +57,30 @@
     backstop: asyncio.TimerHandle | None = None
 
     def dispatch_name(self, number: int) -> DispatchName:
-        """How its engine knows a dispatch."""
+        """Return the name under which the engine knows the dispatch."""
         return self.adopted_names.get(number) or DispatchName(self.submission.txn, number)
 
 
 class Batches:
-    """All open batches, by the number that the decisions know them by and by the client's id."""
+    """All open batches, indexed by number (used by the decision loop) and by the client's id."""
 
     def __init__(self) -> None:
+        """Start without batches."""
         self.by_number: dict[int, Batch] = {}
         self.by_txn: dict[str, Batch] = {}
         self.last_number = 0
 
     def next_number(self) -> int:
-        """Numbers follow the order of reading, as ties are decided by them."""
+        """Return the next batch number. Numbers follow the order of arrival and break ties in decisions."""
         self.last_number += 1
         return self.last_number
 
     def add(self, batch: Batch) -> None:
+        """Add an open batch."""
         self.by_number[batch.number] = batch
         self.by_txn[batch.submission.txn] = batch
 
     def drop(self, batch: Batch) -> None:
+        """Remove a batch that is finished; `KeyError` when it is not open."""
         del self.by_number[batch.number]
         del self.by_txn[batch.submission.txn]
--- a/thistlelever/store/connection_limits.py
+++ b/thistlelever/store/connection_limits.py
@@ -1,21 +1,23 @@
-"""How much of each thing a front may hold, worked out once at its start from the limits it is told."""
+"""Limits on connections and buffered bytes, derived at start from the configured descriptors and memory."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Clients may hold a third of the descriptors; the rest of their share is for those that only stay. Our own
-# are for the ports, the log, the loop, a second address of the directory while the first is let go, and a
-# connection that is taken only to be closed.
+# Clients get a third of the descriptors; the rest of CLIENTS_SHARE is for clients that only stay connected.
+# OWN_DESCRIPTORS covers the listening ports, the log, the event loop, the second directory socket during a
+# change of address, and one connection that is accepted only to be closed.
 CLIENTS_SHARE, OWN_DESCRIPTORS = 0.4, 24
-# The program with its libraries and an ordinary day's batches, in MB, and what is left at the least.
+# Memory of the process with its libraries and a usual number of batches, and the minimum that is assumed to
+# be left for buffers, both in MB.
 BASE_MEMORY_MB, MIN_BUFFER_MEMORY_MB = 24.0, 4.0
-# Shares of the buffer_bytes beside that: answers not yet read by clients, and lines not yet whole.
+# Shares of the buffer memory: answers that clients have not read yet, and incomplete lines from clients.
 UNREAD_SHARE, UNFINISHED_SHARE = 0.4, 0.15
 
 
 class ConnectionLimits(NamedTuple):
-    """Connections of clients and to engines; bytes that clients have not read, or not sent whole."""
+    """Maximum connections of clients and to engines; maximum bytes of unread answers and of incomplete lines,
+    each summed over all clients."""
 
     client_connections: int
     engine_connections: int
@@ -24,7 +26,10 @@
 
 
 def connection_limits(sockets: int, memory_mb: float, reserved: int = 0) -> ConnectionLimits:
-    """What follows from the limits, where so many descriptors are set aside for other doors and engines."""
+    """Derive the limits from `sockets` descriptors and `memory_mb` MB.
+
+    `reserved` descriptors are set aside for other servers and engine protocols.
+    """
     sockets -= reserved
     client_connections = int(sockets * CLIENTS_SHARE)
     buffer_bytes = max(memory_mb - BASE_MEMORY_MB, MIN_BUFFER_MEMORY_MB) * 1e6
--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -1,4 +1,4 @@
-"""The connections to the engines: kept, shared between calls, and bounded in number."""
+"""A bounded pool of keep-alive HTTP connections to the engines."""
 
 from __future__ import annotations
 
@@ -20,59 +20,72 @@
 from thistlelever.wire import http
 from thistlelever.wire.read_buffer import ReadBuffer, TooLong
 
-# A page with its head fits into 16 KiB; a reply of more is none that the protocol knows.
+# A result page with its header fits into 16 KiB; a longer reply is a protocol error.
 BUFFER_BYTES, MAX_REPLY_BYTES = 8_192, 16_384
-# Kept places for what must not wait behind polls: dispatches, cancels, probes.
+# Share of the connections reserved for urgent calls (dispatches, cancels, probes), which must not wait behind
+# polls.
 URGENT_SHARE = 0.25
-# Ours are closed at this share of the engines' idle time, so that a call never meets their closing.
+# Idle connections are closed at this share of the engines' keep-alive time, so that a call does not race with
+# the engine closing the connection.
 IDLE_SHARE = 0.8
-# No engine's id: who waits under it waits for a place.
+# Not the id of any engine: a waiter with it waits for a free slot, not for a connection to a given engine.
 ANY_ENGINE = b""
-# What this side is out of, as no engine is to blame for it.
+# Errors caused by a shortage on this machine, which say nothing about the engine.
 LOCAL_SHORTAGE_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
-# A link rests this long between two calls: what an engine sends beside its reply is then seen to be that.
+# Minimum idle time in seconds between two calls on a connection, so that unsolicited data after a reply is
+# detected before the next call.
 MIN_IDLE = 0.01
-# A reply that has begun goes on within this, or it has stopped short.
+# Maximum time in seconds without further data once a reply has started.
 STALL_TIMEOUT = 0.15
 
 
 class Refused(Exception):
-    """No connection: nothing was sent, and the other side said so."""
+    """The connection was refused, or the engine has left the address; nothing was sent."""
 
 
 class Unreached(Exception):
-    """No connection came up in the connect limit: nothing was sent, and nothing was heard."""
+    """No connection within the connect timeout, or the engine was unreachable; nothing was sent."""
 
 
 class Short(Exception):
-    """No connection, for want of something on this side: it says nothing of the engine."""
+    """No connection because of a shortage of resources on this machine; says nothing about the engine."""
 
 
 class Broken(Exception):
-    """The connection ended, or what came on it can't be read, after some of the call went out."""
+    """The connection failed, or the reply was malformed, after the call may have been sent in part."""
 
 
 class Silent(Exception):
-    """No whole reply in the time given."""
+    """No complete reply within the timeout."""
 
 
 class Connection:
-    """One connection to one engine; carries one call at a time."""
+    """A connection to an engine; carries one call at a time.
+
+    `calls` counts the calls made, `idle_since` is in seconds of the monotonic clock. `request_sent` tells
+    whether the whole request of the last call was written, `has_surplus` whether data followed its reply.
+    """
 
     def __init__(self, stream: Stream, engine: EngineId) -> None:
+        """Wrap a connected stream."""
         self.stream, self.engine, self.idle_since, self.calls = stream, engine, 0.0, 0
         self.buffer = ReadBuffer(BUFFER_BYTES, MAX_REPLY_BYTES)
         self.call_pending, self.request_sent, self.has_surplus = False, False, False
-        # A digest of the last good reply. Risk: a copy that comes late, while the next call is under way, is
-        # taken for the answer to that call.
+        # Digest of the last good reply, to recognise a duplicate of it. A duplicate that arrives late, during
+        # the next call, would be taken for the answer to that call.
         self.last_digest = 0
-        # While idle a read is under way, so that what comes unasked is seen, and by whom.
+        # A read is pending while the connection is idle, so that unsolicited data is detected and attributed
+        # to the connection.
         self.pending_read: asyncio.Future | None = None
 
     async def call(self, request: bytes, within: float) -> http.Reply:
-        """Send one call and read its reply, which is void once the link is used again."""
+        """Send a call and read its reply within `within` seconds.
+
+        The reply is valid until the connection is used again. Raises `Silent` on a timeout and `Broken` when
+        the connection fails or the reply is malformed.
+        """
         self.call_pending, self.request_sent, self.calls = True, False, self.calls + 1
         loop = asyncio.get_running_loop()
         try:
@@ -93,13 +106,16 @@
         self.call_pending = False
         self.has_surplus = self.buffer.start != self.buffer.end
         if not reply.keeps or self.has_surplus:
-            # What comes unasked could be taken for the answer to the next call.
+            # Surplus data could be taken for the answer to the next call.
             self.stream.close()
         return reply
 
     def is_repeated(self, reply: http.Reply) -> bool:
-        """Whether a good reply is, field by field, the one that came before it on this link, the work that
-        was measured included: no two queries take the same."""
+        """Return whether a good reply equals the previous one on this connection in all fields and the body.
+
+        This includes the measured work, which differs between any two queries; a reply without that field is
+        never a duplicate.
+        """
         if b"elapsed-work" not in reply.fields:
             return False
         parts = (b"%b:%b" % (name, value) for name, value in sorted(reply.fields.items()))
@@ -107,7 +123,7 @@
         return previous == self.last_digest
 
     def start_idle(self) -> None:
-        """Void what the last reply lay in, and listen for what may still come."""
+        """Release the buffer of the last reply and start to read, to detect unsolicited data."""
         self.idle_since = monotonic()
         with suppress(StreamClosedError):
             self.pending_read = self.pending_read or self.stream.read_into(
@@ -115,8 +131,11 @@
             )
 
     def is_clean(self) -> bool:
-        """Whether nothing has come since the last reply, its end included. Risk: what the stream has read
-        is no longer at the socket, and what is at the socket the loop has not seen yet."""
+        """Return whether neither data nor the end of the stream has arrived since the last reply.
+
+        Both the stream and the socket are checked: data that the stream has read is no longer at the socket,
+        and data at the socket may not have been seen by the event loop yet.
+        """
         if self.stream.closed() or self.call_pending or self.pending_read and self.pending_read.done():
             return False
         try:
@@ -129,27 +148,39 @@
 
 
 class ConnectionPool:
-    """All links of this front. Who finds none free waits in turn, what is urgent before polls."""
+    """All HTTP connections of this front to engines.
+
+    A caller that finds none free waits in order of arrival, urgent calls before polls.
+    """
 
     def __init__(self, limit: int, idle_timeout: float, connect_limit: float, metrics: Metrics) -> None:
+        """Allow `limit` connections in all.
+
+        `idle_timeout` is the engines' keep-alive time, `connect_limit` the connect timeout, in seconds.
+        """
         self.limit, self.idle_timeout = limit, idle_timeout * IDLE_SHARE
         self.connect_limit, self.metrics = connect_limit, metrics
         self.poll_limit = limit - int(limit * URGENT_SHARE)
         self.idle: dict[EngineId, deque[Connection]] = {}
         self.count = 0
-        # Risk: a link that comes back after its engine has gone is kept for nobody.
+        # Whether an engine is still listed: a connection that is released after its engine has gone is
+        # closed, or it would be kept without use.
         self.is_listed: Callable[[EngineId], bool] = lambda engine: True
-        # Whether an entry's address still is its engine's; nothing is sent to one that is another's by now.
+        # Whether an entry's address still belongs to its engine; nothing is sent to an address that belongs
+        # to another engine by now.
         self.is_reachable: Callable[[Entry], bool] = lambda entry: True
-        # Who waits, urgent ones and polls apart: for which engine, and what wakes them.
+        # Waiters for urgent calls and for polls: the engine and the future that wakes the waiter.
         self.waiters: tuple[deque[tuple[EngineId, asyncio.Future]], ...] = (deque(), deque())
 
     async def acquire(
         self, entry: Entry, urgent: bool, patient: bool = False, unused: bool = False
     ) -> Connection:
-        """A link that carries nothing: a kept one, or a new one. Who is patient waits for one that has not
-        rested yet sooner than that it opens another; who wants an unused one gets one that never carried
-        anything."""
+        """Return a connection without a pending call, either idle or new.
+
+        A `patient` caller waits for an idle connection that has not reached `MIN_IDLE` yet instead of opening
+        another one. With `unused` the connection has never carried a call. Raises `Refused` when the engine
+        has left its address, and the errors of `connect`.
+        """
         engine = entry.engine.id
         while True:
             if not self.is_reachable(entry):
@@ -164,7 +195,7 @@
             if self.count < (self.limit if urgent else self.poll_limit):
                 return await self.connect(entry)
             if not unused and self.idle.get(engine):
-                # They have not rested yet, and there is place for no other.
+                # The idle ones have not reached MIN_IDLE yet, and the limit allows no other.
                 await asyncio.sleep(MIN_IDLE)
             elif not self.close_oldest_idle():
                 self.metrics.add("links short")
@@ -173,7 +204,10 @@
                     return connection
 
     def take_idle(self, engine: EngineId) -> Connection | None:
-        """The last one given back that has rested: those longer idle may then be closed for others."""
+        """Remove and return the most recently released clean connection that has reached `MIN_IDLE`.
+
+        The ones that are idle for longer can then be closed to make room for other engines.
+        """
         idle, idle_before = self.idle.get(engine, deque()), monotonic() - MIN_IDLE
         index = len(idle) - 1
         while index >= 0:
@@ -189,14 +223,14 @@
         return None
 
     async def wait_turn(self, engine: EngineId, urgent: bool) -> Connection | None:
-        """Wait for a link that is given back, or for the place of one that is closed."""
+        """Wait for a released connection to the engine, or return None once a slot is free."""
         waiter = asyncio.get_running_loop().create_future()
         self.waiters[not urgent].append((engine, waiter))
         try:
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                # Woken and called off in one moment: what it got is for the next.
+                # Woken and cancelled at the same time: pass the connection or the slot on to the next waiter.
                 if waiter.result():
                     self.hand_over(waiter.result())
                 else:
@@ -204,6 +238,7 @@
             raise
 
     async def connect(self, entry: Entry) -> Connection:
+        """Open a connection; raises `Refused`, `Unreached`, `Short` or `Broken`."""
         self.count += 1
         stream = None
         try:
@@ -224,6 +259,7 @@
         return Connection(stream, entry.engine.id)
 
     def connect_error(self, error: Exception) -> Exception:
+        """Convert an error of connecting to an exception of this module."""
         cause = getattr(error, "real_error", None) or error
         if isinstance(cause, ConnectionRefusedError):
             return Refused(str(cause))
@@ -237,7 +273,7 @@
         )
 
     def release(self, connection: Connection) -> None:
-        """Keep a link for the next call, or close it where its call did not end well."""
+        """Keep a connection for the next call, or close it if its last call failed."""
         if connection.stream.closed() or connection.call_pending or not self.is_listed(connection.engine):
             self.close(connection)
             return
@@ -248,7 +284,7 @@
             self.idle.setdefault(connection.engine, deque()).append(connection)
 
     def hand_over(self, connection: Connection) -> None:
-        """A link that has rested goes to who waits for one."""
+        """Give a connection that has reached `MIN_IDLE` to a waiter for its engine, or keep it as idle."""
         if not connection.is_clean():
             self.metrics.add("links that were not as left")
             self.close(connection)
@@ -256,26 +292,30 @@
         for queue in self.waiters:
             for index, (engine, waiter) in enumerate(queue):
                 if engine == connection.engine and not waiter.done():
-                    # Risk: closed and made anew for each call, links take the time that they are short of.
+                    # Hand over instead of closing: opening a connection for each call takes the time that
+                    # is lacking when connections are short.
                     del queue[index]
                     waiter.set_result(connection)
                     return
         if any(not waiter.done() for queue in self.waiters for _, waiter in queue):
-            # Who waits wants another engine: a closed link is a place for any.
+            # All waiters want other engines: closing the connection frees a slot for any of them.
             self.close(connection)
             return
         self.idle.setdefault(connection.engine, deque()).append(connection)
 
     def close(self, connection: Connection) -> None:
+        """Close a connection and wake the next waiter."""
         connection.stream.close()
         self.slot_freed()
 
     def slot_freed(self) -> None:
+        """Count a closed connection and wake the next waiter."""
         self.count -= 1
         self.metrics.check_invariant(self.count >= 0, "links counted")
         self.wake_next()
 
     def wake_next(self) -> None:
+        """Wake the first waiter, urgent calls first."""
         for queue in self.waiters:
             while queue:
                 _, waiter = queue.popleft()
@@ -284,7 +324,7 @@
                     return
 
     def close_oldest_idle(self) -> bool:
-        """Make place for another engine's link; the one longest idle goes."""
+        """Close the connection that is idle for longest, for another engine's; False if none is idle."""
         oldest = min((k for k in self.idle.values() if k), key=lambda k: k[0].idle_since, default=None)
         if oldest is None:
             return False
@@ -294,7 +334,7 @@
         return True
 
     def close_expired(self) -> None:
-        """Close what has been idle too long, and forget engines that have no link."""
+        """Close connections that were idle for too long, and remove engines without connections."""
         idle_before = monotonic() - self.idle_timeout
         for engine, idle in list(self.idle.items()):
             while idle and (idle[0].idle_since < idle_before or not idle[0].is_clean()):
@@ -303,6 +343,6 @@
                 del self.idle[engine]
 
     def drop_engine(self, engine: EngineId) -> None:
-        """Close the kept links of an engine that is gone or was started anew: a call on one goes nowhere."""
+        """Close the idle connections to an engine that is gone or was restarted; calls on them would fail."""
         for connection in self.idle.pop(engine, ()):
             self.close(connection)
--- a/thistlelever/store/engine_starts.py
+++ b/thistlelever/store/engine_starts.py
@@ -1,8 +1,8 @@
-"""When the engines of the list started, on this front's clock.
+"""Start times of the listed engines, on this front's monotonic clock.
 
-A list names a start as a moment of the Unix clock. That clock may be stepped, here or where the list is
-made, so each told start is turned into a moment of the clock that only counts on, once, when it is first
-heard. From then on what the wall clock does changes nothing.
+The engine list gives start times as Unix time. The wall clock may be stepped, on this machine or on the one
+that builds the list. Each listed start time is therefore converted to the monotonic clock once, when it is
+first received; later steps of the wall clock do not change it.
 """
 
 from __future__ import annotations
@@ -11,27 +11,32 @@
 
 from thistlelever.ground import interface as it
 
-# Seconds by which the wall clock may leave the clock that counts on before it was stepped.
+# A difference between the wall clock and the monotonic clock from which the wall clock counts as stepped,
+# in seconds.
 CLOCK_STEP = 0.5
-# A list may name a start so many seconds after it, counted from the last answer without it.
+# Maximum delay in seconds between the start of an engine and the first list that has it, counted back from
+# the last answer before that list.
 LISTING_DELAY = 7.0
-# An engine that has left the list for so many seconds is forgotten.
+# Seconds for which the estimate of an engine that has left the list is kept.
 RETENTION = 600.0
 
 
 class EngineStarts:
-    """The start of each engine that was listed lately."""
+    """Keeps an estimated start time for each engine that was listed recently."""
 
     def __init__(self) -> None:
-        """No engine has been listed."""
-        # By engine the start as it was told, what it is believed to be, and when the engine was last listed.
+        """Start without engines."""
+        # By engine: the start time as listed, the estimate, and when the engine was last listed.
         self.estimates: dict[it.EngineId, tuple[float, float, float]] = {}
 
     def learn(
         self, engines: Iterable[it.Engine], now: float, last_heard: float | None, wall_ahead: float
     ) -> None:
-        """Take the engines of a list that comes in force. Seconds: `last_heard` is when the list before it
-        was last confirmed, `None` without one; `wall_ahead` is how far the wall clock is ahead of `now`."""
+        """Record the engines of a list that comes into force.
+
+        `last_heard` is when the previous list was last confirmed (None without one), `wall_ahead` how far the
+        wall clock is ahead of `now`; both in seconds.
+        """
         for engine in engines:
             if not engine.started:
                 continue
@@ -43,7 +48,7 @@
             del self.estimates[engine_id]
 
     def started_at(self, engine: it.Engine) -> float:
-        """The engine's start on this front's clock; 0.0 where it started before anybody counted."""
+        """Return the engine's start time on this front's clock; 0.0 when the list gives none."""
         if not engine.started:
             return 0.0
         listed, estimate, _ = self.estimates.get(engine.id, (None, 0.0, 0.0))
@@ -51,12 +56,12 @@
 
 
 def estimate_start(listed: float, now: float, last_heard: float | None, wall_ahead: float) -> float:
-    """The start on this front's clock for a told one, both in seconds.
+    """Convert a listed start time to this front's clock; all times in seconds.
 
-    While the wall clock has not been stepped a told start is believed, unless it lies in the future: then
-    the engine starts now. After a step it may have been told by either clock. Of the moments that it can
-    stand for the later is believed, as an engine that is taken for colder than it is comes to no harm; where
-    neither can be, the engine started when it appeared.
+    Without a step of the wall clock the listed time is used, or `now` when it lies in the future. After a
+    step it may refer to either clock. The later of the plausible times is used, because underestimating the
+    age of an engine (treating it as colder than it is) does no harm. When neither is plausible, the engine
+    counts as started now.
     """
     if abs(wall_ahead) < CLOCK_STEP:
         return min(listed, now)
--- a/thistlelever/store/list_agreement.py
+++ b/thistlelever/store/list_agreement.py
@@ -1,10 +1,10 @@
-"""Which of the directory's answers is the engine list in force.
+"""Decides which of the directory's answers is the engine list in force.
 
-Datagrams come late, twice or damaged, and the directory numbers its lists anew whenever a front starts. So a
-serial alone does not make an answer the newest: one that was made for this front before its restart carries
-a higher number and older states. A newer list is in force once two answers say the same. Until then, and
-while answers contradict the list in force, nothing new goes to an engine that one of them does not name as
-ready.
+Datagrams may arrive late, twice or damaged, and the directory restarts its serials whenever a front starts.
+The highest serial alone therefore does not identify the newest answer: an answer made for this front before
+its restart has a higher serial and older states. A newer list comes into force once two answers agree. Until
+then, and while answers contradict the list in force, no new dispatch goes to an engine that one of them does
+not list as ready.
 """
 
 from __future__ import annotations
@@ -15,32 +15,36 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 
-# Answers that must say the same before a newer list is in force.
+# Equal answers after which a newer list is in force.
 CONFIRMATIONS = 2
-# Answers that say the list in force before newer ones are dropped that nobody has confirmed.
+# Answers equal to the list in force after which unconfirmed newer lists are dropped.
 DENIALS = 3
-# Newer lists that may await confirmation beside each other.
+# Maximum number of newer lists that await confirmation at the same time.
 MAX_CANDIDATES = 4
-# Answers in a row under old numbers before what they do not name as ready is closed: a single one came late.
+# Consecutive contradicting answers with old serials after which engines that they do not list as ready are
+# closed. A single one may just be late.
 CONTRADICTIONS = 2
-# Seconds, and answers, after which a directory that goes on contradicting has begun its numbers anew. One
-# that is only behind a configuration read again has caught up by then: all counts as told after 7 s.
+# Seconds and number of contradicting answers after which the directory counts as having restarted its
+# serials. A directory that only lags behind a reloaded configuration has caught up by then: all it lists
+# counts as known after 7 s.
 CONTRADICTED_FOR, MIN_CONTRADICTIONS = 8.0, 4
 
 
 class Answer(NamedTuple):
-    """One list: its number, and its engines by their ids."""
+    """An engine list: its serial, and its entries by engine id."""
 
     serial: int
     entries: dict[it.EngineId, Entry]
 
     def ready(self, engine: it.EngineId) -> bool:
-        """Whether the list names the engine as ready."""
+        """Return whether the list has the engine as ready."""
         return engine in self.entries and self.entries[engine].engine.state is it.EngineState.READY
 
     def ready_as(self, entry: Entry) -> bool:
-        """Whether the list names that engine as ready, at its address and since its start. One that was
-        started anew is cold, and the decisions are told so once the list is in force."""
+        """Return whether the list has the engine as ready, with the same address and start time.
+
+        A restarted engine is cold; the decisions learn of that only when the list is in force.
+        """
         if not self.ready(entry.engine.id):
             return False
         own = self.entries[entry.engine.id]
@@ -48,8 +52,11 @@
 
 
 class Decision(NamedTuple):
-    """What follows from an answer: whether its list is in force now; the engines that nothing new may be sent
-    to although the list in force names them as ready; whether there is nothing to ask again at once."""
+    """The result of an answer.
+
+    `adopt`: its list is in force now. `closed`: engines that get no new dispatches although the list in force
+    has them as ready. `settled`: no further query is needed at once.
+    """
 
     adopt: bool
     closed: frozenset[it.EngineId]
@@ -58,27 +65,28 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """A list with a higher number, and how many answers said so."""
+    """A list with a higher serial, and the number of answers with it."""
 
     answer: Answer
     confirmed: int = 0
 
 
 class ListAgreement:
-    """Compares each answer with the list in force and with the answers before it."""
+    """Compares each answer with the list in force and with previous answers."""
 
     def __init__(self) -> None:
-        """Nothing has been heard."""
-        # Newer lists that await confirmation, and the answers since the last of them that deny them.
+        """Start without answers."""
+        # Newer lists that await confirmation, and the answers since the last of them that equal the list in
+        # force.
         self.candidates: list[Candidate] = []
         self.denials = 0
-        # The last answer under an old number, how many came in a row, and since when.
+        # The last contradicting answer with an old serial, the number of consecutive ones, and since when.
         self.contradiction: Answer | None = None
         self.contradictions, self.contradicting_since = 0, 0.0
 
     def receive(self, answer: Answer, current: Answer, now: float) -> Decision:
-        """Take an answer; `current` is the list in force, `now` in seconds of a monotonic clock."""
-        # A list without a number was remembered, not told.
+        """Process an answer; `current` is the list in force, `now` is in seconds of a monotonic clock."""
+        # A list without a serial was restored from stored state, not received.
         if answer.serial > current.serial or not current.serial or not current.entries:
             adopt = self.count_newer(answer) or not current.entries
         elif answer == current:
@@ -93,7 +101,7 @@
         )
 
     def count_newer(self, answer: Answer) -> bool:
-        """Count an answer with a higher number; whether it is confirmed."""
+        """Count an answer with a higher serial; return whether it is confirmed."""
         self.contradiction, self.contradictions, self.denials = None, 0, 0
         candidate = next((known for known in self.candidates if known.answer == answer), None)
         if candidate is None:
@@ -103,15 +111,15 @@
         return candidate.confirmed >= CONFIRMATIONS
 
     def count_agreeing(self) -> None:
-        """Count an answer that says the list in force."""
+        """Count an answer that equals the list in force."""
         self.contradiction, self.contradictions = None, 0
         self.denials += 1
-        # A newer list is not dropped for one answer, which may be a late one from before it.
+        # A single answer does not drop a newer list, as it may be a late one from before that list.
         if self.denials >= DENIALS:
             self.candidates = []
 
     def count_contradicting(self, answer: Answer, now: float) -> bool:
-        """Count an answer that differs under an old number; whether the numbers have begun anew."""
+        """Count a different answer with an old serial; return whether the directory restarted its serials."""
         if not self.contradictions:
             self.contradicting_since = now
         self.contradiction = answer
@@ -120,11 +128,11 @@
         return lasting and self.contradictions >= MIN_CONTRADICTIONS
 
     def closed_engines(self, current: Answer) -> frozenset[it.EngineId]:
-        """The engines that the list in force names as ready and a list in doubt does not."""
+        """Return the engines that are ready in the list in force but not in an unconfirmed list."""
         if not self.candidates and self.contradiction is None:
             return frozenset()
         unconfirmed = [candidate.answer for candidate in self.candidates]
-        # An empty list under an old number is no word on any engine.
+        # An empty list with an old serial says nothing about any engine.
         if self.contradiction and self.contradictions >= CONTRADICTIONS and self.contradiction.entries:
             unconfirmed.append(self.contradiction)
         return frozenset(
@@ -134,6 +142,6 @@
         )
 
     def reset(self) -> None:
-        """Another list is in force: what was heard beside the old one counts no more."""
+        """Drop unconfirmed and contradicting answers, as another list is in force."""
         self.candidates, self.denials = [], 0
         self.contradiction, self.contradictions = None, 0
--- a/thistlelever/store/stream.py
+++ b/thistlelever/store/stream.py
@@ -1,8 +1,8 @@
-"""A TCP stream on which each failing system call ends as its meaning asks.
+"""A TCP stream that retries transient failures of system calls.
 
-Linux lets `recv` and `send` fail for want of memory although the connection stands: they are called again.
-Any other failure ends the stream, and whoever reads or writes gets Tornado's `StreamClosedError`, at whatever
-moment the call was made.
+On Linux `recv` and `send` may fail for lack of memory although the connection is intact; those calls are
+retried. Any other failure closes the stream, and pending and later reads and writes raise Tornado's
+`StreamClosedError`.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 from tornado.iostream import IOStream
 
-# The connection stands and the call may be made again: the machine is short of something.
+# Errors that leave the connection intact: the machine is short of a resource, or the call was interrupted.
 TRANSIENT_ERRNOS = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.EINTR))
-# So many such failures in a row, each in a turn of the loop of its own, and the stream ends all the same.
+# Consecutive transient failures, each in its own iteration of the event loop, that close the stream.
 MAX_TRANSIENT_FAILURES = 100
 
 
 class Stream(IOStream):
-    """A client's or an engine's connection."""
+    """A connection of a client or to a server."""
 
-    # Reads and writes in a row that failed for want of memory.
+    # Consecutive transient failures of reads and writes.
     transient_failures = 0
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Bytes read, 0 at the end; `None` where nothing can be read now."""
+        """Return the number of bytes read, 0 at the end of the stream, None when no data is available now."""
         try:
             count = super().read_from_fd(buf)
         except OSError as error:
@@ -36,7 +36,7 @@
         return count
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Bytes written; `BlockingIOError` where none can be written now."""
+        """Return the number of bytes written; `BlockingIOError` when none can be written now."""
         try:
             count = super().write_to_fd(data)
         except OSError as error:
@@ -47,19 +47,22 @@
         return count
 
     def is_transient(self, error: OSError) -> bool:
-        """Whether a failed call says nothing of the connection."""
+        """Return whether the failed call may be retried, and count the failure if so."""
         if error.errno not in TRANSIENT_ERRNOS or self.transient_failures >= MAX_TRANSIENT_FAILURES:
             return False
         self.transient_failures += 1
         return True
 
     def close_fd(self) -> None:
-        """Close the descriptor. It is free even where `close` fails, and must not be closed again."""
+        """Close the descriptor. It is released even when `close` fails, so it must not be closed again."""
         with suppress(OSError):
             super().close_fd()
         self.socket = None
 
     def _is_connreset(self, exc: BaseException) -> bool:
-        """Any failed call but those above ends the connection. Tornado's own answer is `ECONNRESET` alone: a
-        read that ends by `ETIMEDOUT` raises from wherever the read was begun."""
+        """Treat every remaining `OSError` as the end of the connection.
+
+        Tornado does so for `ECONNRESET` only; with others, such as `ETIMEDOUT`, the exception would be raised
+        in whichever call started the read.
+        """
         return isinstance(exc, OSError)
