--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -1,4 +1,4 @@
-"""Asks the directory for the list of engines and tells the decisions of each newer one."""
+"""Polls the directory for the engine list over DNS and passes each newer list on to the decisions."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from thistlelever.ground.operator import Operator
 
 SERVICE_NAME = "_api._tcp.svc.local"
-# An event counts as told 1.5 s after it happened, and sends must cease 0.25 s or so later: asked this
-# often, three datagrams in a row may be lost before that is late.
+# Seconds between queries. A change counts as known to the front 1.5 s after it happened, and dispatches must
+# stop about 0.25 s later; at this interval three consecutive datagrams may be lost without being late.
 POLL_INTERVAL = 0.3
-# Without an answer in this time a query is put again; an answer that comes later, within the second time, is
-# still read for what is newer. What the directory tells counts as told after 7 s, whatever became of it.
+# Seconds after which an unanswered query is repeated, and further seconds in which its late answer is still
+# read for a newer list. Whatever the directory sends counts as known to the front after 7 s.
 ANSWER_TIMEOUT, LATE_ANSWER_WINDOW = 0.25, 8.0
-# A socket that can't be had is tried for again after this.
+# Seconds between attempts to open a socket.
 REOPEN_DELAY = 0.1
-# So many times in a row what is no news is asked again at once; after that the pace holds.
+# Consecutive queries without a usable answer that are repeated at once; then the poll interval applies.
 MAX_IMMEDIATE_RETRIES = 8
 
 
 class DirectoryClient:
-    """Asks the directory at a steady pace, and at once where the decisions want it."""
+    """Polls the directory at a fixed interval, and at once when the decisions request it."""
 
     def __init__(
         self,
@@ -46,7 +46,11 @@
         kinds: tuple[str, ...],
         seed: int,
     ) -> None:
-        # What drops connections to an engine that is gone or was started anew.
+        """Start without a socket; `open` opens one.
+
+        `drop_connections` closes the connections to an engine that is gone or was restarted. `zones` and
+        `kinds` are those of the settings, `seed` seeds the query ids.
+        """
         self.registry, self.drop_connections, self.desk, self.metrics = (
             registry,
             drop_connections,
@@ -56,37 +60,46 @@
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.polls = seed, 0
-        # Queries by the number that they carry, each with its place in the order of asking: those that an
-        # answer is due to, and those given up, as it may be late.
+        # Queries by DNS id, each with its sequence number and timer: those that await an answer, and those
+        # that timed out, as their answers may arrive late.
         self.awaited: dict[int, tuple[int, asyncio.TimerHandle]] = {}
         self.overdue: dict[int, tuple[int, asyncio.TimerHandle]] = {}
         # The latest query whose answer agreed with the list in force.
         self.agreement, self.last_agreed_query = ListAgreement(), 0
-        # Sockets are listened to for as long as late answers on their way to them would be read.
+        # Replaced sockets stay open for as long as late answers to them are read.
         self.sockets = DirectorySockets(self.receive, ANSWER_TIMEOUT + LATE_ANSWER_WINDOW, metrics)
         self.renewal: asyncio.Task | None = None
         self.opening: asyncio.Task | None = None
         self.last_answer, self.retries, self.heard_at = b"", 0, 0.0
-        # Called where the configuration is to be read again; nothing that comes by DNS asks for that.
+        # Called when the configuration must be reloaded; never used by this class, as DNS carries no
+        # configuration.
         self.on_new_configuration: Callable[[], None] = lambda: None
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Ask at that address from now on, or as soon as a socket can be had. Until then the address before
-        it is asked."""
+        """Poll at that address from now on, or as soon as a socket can be opened.
+
+        Until then the previous address is polled.
+        """
         if self.opening:
             self.opening.cancel()
         if not await self.try_open(address):
             self.opening = asyncio.get_running_loop().create_task(self.open_with_retries(address))
 
     async def open_with_retries(self, address: tuple[str, int]) -> None:
-        """Try again until a socket can be had. Risk: a configuration that moves discovery in the moment in
-        which the machine is short of sockets leaves this front at an address that nobody keeps up."""
+        """Retry until a socket can be opened.
+
+        Without retries, a reload that moves the directory while the machine is short of sockets would leave
+        this front polling an address that is no longer updated.
+        """
         while not await self.try_open(address):
             await asyncio.sleep(REOPEN_DELAY)
 
     async def try_open(self, address: tuple[str, int]) -> bool:
-        """Whether a socket asks at that address by now. Risk: a timer or a late answer of an address that is
-        left would pass for word of the next."""
+        """Open a socket to that address and poll it; return whether that succeeded.
+
+        Queries to the previous address are dropped: their timeouts or late answers would be taken for those
+        of the new one.
+        """
         try:
             await self.sockets.open(address)
         except OSError as error:
@@ -99,7 +112,7 @@
         return True
 
     async def renew(self) -> None:
-        """Ask by a new socket."""
+        """Poll from a new socket."""
         if await self.sockets.renew():
             sockets = len(self.sockets.transports)
             self.metrics.add("directory asked by a new socket")
@@ -107,44 +120,52 @@
             self.poll(requested=False)
 
     def resume_from(self, serial: int) -> None:
-        """A former life held that serial. The directory may begin anew: its newest answer is believed."""
+        """Ignore the highest serial that a former process of this front had, as the directory may restart its
+        serials."""
 
     def overlay(self, operator: Operator) -> Operator:
-        """The operator file, of which nothing comes by DNS."""
+        """Return the operator file unchanged, as no part of it comes by DNS."""
         return operator
 
     def questions(self) -> dict[str, Callable[..., dict]]:
-        """What the administration may be asked."""
+        """Return the administration queries of this part: none."""
         return {}
 
     def close(self) -> None:
-        """Ask no more."""
+        """Stop polling and close the sockets."""
         if self.opening:
             self.opening.cancel()
         self.drop_queries()
         self.sockets.close()
 
     def drop_queries(self) -> None:
-        """No answer is due any more."""
+        """Forget all pending and timed-out queries."""
         for _, timer in (*self.awaited.values(), *self.overdue.values()):
             timer.cancel()
         self.awaited.clear()
         self.overdue.clear()
 
     async def run(self) -> None:
+        """Poll until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL)
             self.poll(requested=False)
 
     def retry_at_once(self) -> None:
-        """What came was no news. Risk: a pace later a drain is known late; asked again without pause, a
-        directory that says no each time takes the core."""
+        """Repeat a query that brought no usable answer, a limited number of times.
+
+        Waiting for the next interval could make the front learn of a drain too late; unlimited repeats would
+        use up a core while the directory keeps failing.
+        """
         self.retries += 1
         if self.retries <= MAX_IMMEDIATE_RETRIES:
             self.poll(requested=False)
 
     def poll(self, requested: bool) -> None:
-        """Send a query. Its number is not to be guessed, or any datagram could pass for the answer."""
+        """Send a query. Its id must be unpredictable, or any datagram could pass for the answer.
+
+        With `requested` the decisions are notified when it times out.
+        """
         self.polls += 1
         number = crc32(b"%d dns %d" % (self.seed, self.polls)) & 0xFFFF
         if number in self.awaited or number in self.overdue:
@@ -155,6 +176,7 @@
         self.sockets.send(dns.encode_query(number, SERVICE_NAME))
 
     def query_timed_out(self, number: int, requested: bool) -> None:
+        """Repeat a query that got no answer in time; a late answer to it is still read."""
         loop = asyncio.get_running_loop()
         query, _ = self.awaited.pop(number)
         self.overdue[number] = query, loop.call_later(LATE_ANSWER_WINDOW, self.overdue.pop, number, None)
@@ -166,7 +188,7 @@
             self.desk.tell(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
 
     def receive(self, data: bytes) -> None:
-        """Take what an answer tells, also a late one."""
+        """Process a datagram: an answer, which may be late, or one without a matching query."""
         self.sockets.note_answer()
         number = int.from_bytes(data[:2], "big")
         in_time = number in self.awaited
@@ -188,8 +210,11 @@
             self.retry_at_once()
 
     def apply(self, data: bytes, number: int, query: int) -> bool:
-        """Compare an answer with the list in force, and put it in its place where it is newer and confirmed;
-        whether nothing is left to ask again at once."""
+        """Compare an answer with the list in force and adopt it if it is newer and confirmed.
+
+        Returns whether no further query is needed at once. Raises `dns.Unreadable`, `KeyError` or
+        `ValueError` when the answer is malformed or has unknown zones or kinds.
+        """
         if data[2:] == self.last_answer:
             self.last_agreed_query = max(self.last_agreed_query, query)
             return True
@@ -198,7 +223,7 @@
         answer = Answer(listing.serial, {entry.engine.id: entry for entry in entries})
         current = Answer(self.registry.serial, self.registry.listed_entries())
         if answer.serial <= current.serial and query < self.last_agreed_query:
-            # It was overtaken on its way by one to a later query.
+            # The answer to a later query has arrived before it.
             self.metrics.add("directory answers overtaken by later ones")
             return True
         decision = self.agreement.receive(answer, current, clock.now())
@@ -216,7 +241,7 @@
         return decision.settled
 
     def close_engines(self, closed: frozenset[it.EngineId]) -> None:
-        """Send nothing new to these engines, which an answer in doubt does not name as ready."""
+        """Stop new dispatches to these engines, which are not ready in an unconfirmed answer."""
         if closed != self.registry.closed_engines:
             names = sorted(engine.decode("latin-1") for engine in closed)
             self.desk.log("engines closed for a doubt", engines=names, serial=self.registry.serial)
@@ -224,7 +249,7 @@
             self.notify()
 
     def report_contradiction(self, answer: Answer) -> None:
-        """Count and log an answer older than the list held, or one that differs from it under its serial."""
+        """Count and log an answer that is older than the list in force, or differs under the same serial."""
         listed = {engine: entry.engine.state for engine, entry in answer.entries.items()}
         differing = transitions(self.registry.states(), listed)
         serial, held = answer.serial, self.registry.serial
@@ -233,14 +258,14 @@
         self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
     def adopt_configured(self, serial: int, entries: list[Entry]) -> None:
-        """Take the list of a configuration that was read again, if it is newer than the one in force."""
+        """Adopt the list of a reloaded configuration if it is newer than the one in force."""
         if serial > self.registry.serial or not self.registry.entries:
             self.agreement.reset()
             self.last_answer = b""
             self.adopt(serial, entries)
 
     def adopt(self, serial: int, entries: list[Entry]) -> None:
-        """The list is in force from now on."""
+        """Bring a list into force, close connections to changed engines and notify the decisions."""
         before, held = self.registry.states(), self.registry.serial
         last_heard = self.heard_at or None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
@@ -257,12 +282,13 @@
         self.notify()
 
     def notify(self) -> None:
-        """Tell the decisions the list as it is held now."""
+        """Pass the current list on to the decisions."""
         self.desk.tell(
             it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.engine_list())
         )
 
     def entry(self, found: dns.EngineRecord) -> Entry:
+        """Convert an engine of an answer; `KeyError` or `ValueError` when a field is missing or unknown."""
         facts = found.facts
         engine = it.Engine(
             found.id.encode(),
@@ -277,10 +303,12 @@
 
 
 class PeerDatagramSink(asyncio.DatagramProtocol):
-    """Where other fronts' datagrams arrive. The decisions use none: they are dropped and counted."""
+    """Receives the datagrams of other fronts. The decisions do not use them: they are counted and dropped."""
 
     def __init__(self, metrics: Metrics) -> None:
+        """Count datagrams in `metrics`."""
         self.metrics = metrics
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
+        """Count a datagram."""
         self.metrics.add("datagrams of other fronts")
--- a/thistlelever/carrier/directory_sockets.py
+++ b/thistlelever/carrier/directory_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets by which the directory is asked: a new one where the way of the last has fallen silent."""
+"""The UDP sockets for directory queries. A new one is opened when the path of the current one goes silent."""
 
 from __future__ import annotations
 
@@ -9,34 +9,39 @@
 from thistlelever.ground import clock
 from thistlelever.ground.metrics import Metrics
 
-# So many queries in a row without any answer, and the next goes by a new socket: a way that has fallen silent
-# without a word stays so, and what is told must be known within 1.5 s.
+# Consecutive queries without any answer after which a new socket is used: a path that drops packets without
+# an error stays like that, and a change must be known to the front within 1.5 s.
 MAX_SILENT_QUERIES = 4
-# Seconds between two new sockets at the least, so that those linger to stay few.
+# Minimum seconds between two new sockets, which bounds the number of open ones.
 MIN_RENEWAL_INTERVAL = 1.0
 
 
 class DirectorySockets:
-    """The last socket opened asks. Those before it are linger to for as long as late answers may be on
-    their way to them: closed sooner, they take along all that a slow directory tells."""
+    """Sends queries from the newest socket and keeps receiving on the replaced ones for a while.
+
+    Late answers may still arrive there: closing them at once would lose all answers of a slow directory.
+    """
 
     def __init__(self, received: Callable[[bytes], None], linger: float, metrics: Metrics) -> None:
-        """`received` is handed each datagram; `linger`: seconds that a socket that was left is kept."""
+        """`received` is called with each datagram; a replaced socket is kept for `linger` seconds."""
         self.received, self.linger, self.metrics = received, linger, metrics
         self.transports: list[asyncio.DatagramTransport] = []
         self.address: tuple[str, int] | None = None
-        # Queries in a row without an answer, and when the socket that asks was opened.
+        # Consecutive queries without an answer, and when the sending socket was opened.
         self.silent_queries, self.renewed_at = 0, 0.0
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Ask at that address from now on. The one asked before is let go only once the new one stands."""
+        """Use that address from now on; `OSError` when no socket can be opened.
+
+        Sockets to the previous address are closed only once the new one is open.
+        """
         transport = await self.connect(address)
         self.close()
         self.transports, self.address = [transport], address
         self.silent_queries, self.renewed_at = 0, clock.now()
 
     async def connect(self, address: tuple[str, int]) -> asyncio.DatagramTransport:
-        """A new socket that sends to that address and hears it alone."""
+        """Open a socket connected to that address, so that it receives from no other."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: DirectoryProtocol(self), remote_addr=address
@@ -44,16 +49,16 @@
         return transport
 
     def send(self, query: bytes) -> None:
-        """Send a query by the last socket opened; without one it goes unanswered."""
+        """Send a query from the newest socket; without a socket the query is lost."""
         if self.transports:
             self.transports[-1].sendto(query)
 
     def note_answer(self) -> None:
-        """Something has come."""
+        """Record that a datagram has arrived."""
         self.silent_queries = 0
 
     def note_timeout(self) -> bool:
-        """A query got no answer in time; whether a new socket should ask from now on."""
+        """Record that a query got no answer in time; return whether a new socket should be opened."""
         self.silent_queries += 1
         if self.silent_queries < MAX_SILENT_QUERIES or clock.now() < self.renewed_at + MIN_RENEWAL_INTERVAL:
             return False
@@ -61,8 +66,11 @@
         return True
 
     async def renew(self) -> bool:
-        """The same address by a new socket; whether there is one. Risk: an address that was left meanwhile
-        takes the next one's place."""
+        """Open a new socket to the same address; return whether there is one.
+
+        The address may change while the socket is being opened; the socket is then closed, or it would
+        replace one to the new address.
+        """
         address = self.address
         with suppress(OSError):
             transport = await self.connect(address)
@@ -77,34 +85,34 @@
         return False
 
     def close_replaced(self, transport: asyncio.DatagramTransport) -> None:
-        """Close a socket that another has taken the place of."""
+        """Close a socket that was replaced."""
         if transport in self.transports:
             self.transports.remove(transport)
             transport.close()
 
     def close(self) -> None:
-        """Close all."""
+        """Close all sockets."""
         for transport in self.transports:
             transport.close()
         self.transports = []
 
 
 class DirectoryProtocol(asyncio.DatagramProtocol):
-    """One socket. What comes on one that was closed counts no more."""
+    """The protocol of one socket; datagrams on a socket that was closed are ignored."""
 
     def __init__(self, sockets: DirectorySockets) -> None:
-        """A socket of these."""
+        """Belong to `sockets`."""
         self.sockets = sockets
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket stands."""
+        """Keep the transport."""
         self.transport = transport
 
     def error_received(self, why: OSError) -> None:
-        """A call on the socket failed; the query counts as one without an answer."""
+        """Count a failed system call on the socket; its query is handled as unanswered."""
         self.sockets.metrics.add("directory out of reach")
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
-        """Hand on what came."""
+        """Pass a datagram on."""
         if self.transport in self.sockets.transports:
             self.sockets.received(data)
--- a/thistlelever/carrier/distributor_connection.py
+++ b/thistlelever/carrier/distributor_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a distributor: HTTP/1.1 calls with MessagePack bodies, one at a time."""
+"""A connection to a distributor: HTTP/1.1 calls with MessagePack bodies, one at a time."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 Address = tuple[str, int]
 Answer = TypeVar("Answer", codec.Reply, codec.VersionReply)
 
-# What the buffer starts with, and the longest answer that is read: 22,000 engines take some 1.6 MB.
+# Initial size of the buffer, and the maximum size of an answer: 22,000 engines take about 1.6 MB.
 BUFFER_BYTES, LONGEST_ANSWER_BYTES = 4_096, 16_777_216
-# What is read from the socket at once, where much comes.
+# Maximum size of a single read from the socket.
 READ_CHUNK_BYTES = 65_536
 CONTENT_TYPE = "application/msgpack"
 
 
 class DistributorError(Exception):
-    """The distributor gave no answer of use; the next one is to be asked."""
+    """The distributor gave no usable answer; another one should be tried."""
 
 
 class DistributorBusyError(DistributorError):
-    """It asks to come again after so many seconds."""
+    """The distributor is overloaded and asks to retry later."""
 
     def __init__(self, retry_after: float) -> None:
-        """It is busy for `retry_after` seconds."""
+        """Retry after `retry_after` seconds."""
         super().__init__(f"busy for {retry_after:g} s")
         self.retry_after = retry_after
 
 
 class DistributorBehindError(DistributorError):
-    """It holds an older version than the one that was shown to it."""
+    """The distributor has an older version than the client."""
 
 
 class DistributorConnection:
-    """Calls over one connection, which is closed by the first call that fails."""
+    """Makes calls over one connection, which must not be used after a call that failed."""
 
     def __init__(self, stream: Stream, address: Address) -> None:
         """Use `open`."""
@@ -52,7 +52,7 @@
 
     @classmethod
     async def open(cls, address: Address, within: float) -> DistributorConnection:
-        """A new connection; `DistributorError` where none comes up in `within` seconds."""
+        """Open a connection within `within` seconds; `DistributorError` if that fails."""
         try:
             raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
@@ -71,7 +71,7 @@
         return cls(stream, address)
 
     async def call(self, path: str, request: codec.Request, kind: type[Answer], within: float) -> Answer:
-        """POST a request and read its answer, in `within` seconds."""
+        """POST a request and decode its answer, within `within` seconds; `DistributorError` if that fails."""
         try:
             async with asyncio.timeout(within):
                 return codec.decode((await self.exchange(path, request)).body, kind)
@@ -81,7 +81,7 @@
             raise DistributorError(f"{type(error).__name__}: {error}") from None
 
     async def exchange(self, path: str, request: codec.Request) -> http.Reply:
-        """POST a request and read the HTTP reply; `DistributorError` for any status but 200."""
+        """POST a request and read the HTTP reply; `DistributorError` for any status other than 200."""
         fields = {"Content-Type": CONTENT_TYPE}
         data = http.encode_request("POST", path, self.address, fields, codec.encode(request))
         await self.stream.write(data)
@@ -101,5 +101,5 @@
         return reply
 
     def close(self) -> None:
-        """Close the connection; a call that is under way fails."""
+        """Close the connection; a pending call fails."""
         self.stream.close()
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -1,5 +1,5 @@
-"""The engine list of a front that subscribes to it: what the subscription holds, told to the engine registry
-and to the decisions."""
+"""The engine list of a subscribing front: passes the subscription's records to the engine registry and to the
+decisions."""
 
 from __future__ import annotations
 
@@ -17,22 +17,21 @@
 
 
 class UnknownNameError(Exception):
-    """A record names a zone or a kind that this front's settings do not have."""
+    """A record has a zone or a kind that is not in this front's settings."""
 
 
 class KnownNames(NamedTuple):
-    """The zones and kinds of the settings, each at its place there."""
+    """The zones and kinds of the settings, in the order of the settings."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
 
 
 class SubscribedList:
-    """Hands each change of the subscription on: to the registry (which connections follow) and to the
-    decisions, which are told the subset alone.
+    """Passes each change of the subscription to the registry (which connections follow) and to the decisions.
 
-    An engine that has left the subset while queries of this front are out there is told as draining until
-    they have ended, so that they keep their polls, pages and cancels, and nothing new goes there.
+    An engine that has left the subset while queries of this front run on it is listed as draining until they
+    have ended: they can still be polled, paged and cancelled, and no new dispatch goes there.
     """
 
     def __init__(
@@ -43,7 +42,7 @@
         desk: Desk,
         names: KnownNames,
     ) -> None:
-        """`drop_connections` closes the connections to an engine."""
+        """Listen to `subscription`; `drop_connections` closes the connections to an engine."""
         self.subscription, self.registry, self.drop_connections, self.desk = (
             subscription,
             registry,
@@ -52,20 +51,20 @@
         )
         self.zones = {name: index for index, name in enumerate(names.zones)}
         self.kinds = {name: index for index, name in enumerate(names.kinds)}
-        # Records that have left the subset, of engines that queries are still out at.
+        # Records that have left the subset, of engines with running queries of this front.
         self.leaving: dict[str, EngineRecord] = {}
-        # The registry's entries of what is held, made once for each record.
+        # The registry's entries of the records, built once for each record.
         self.entries: dict[str, tuple[EngineRecord, Entry]] = {}
         subscription.listener = self.changed
         subscription.retained = self.retained
 
     @property
     def heard_at(self) -> float:
-        """When a distributor last answered, on the front's clock."""
+        """Time of the last answer of a distributor, in seconds on the front's clock."""
         return self.subscription.heard_at
 
     def retained(self) -> tuple[str, ...]:
-        """Engines that queries are out at and that are not in the subset."""
+        """Return the engines outside the subset that run queries of this front."""
         held = self.held()
         outside = [engine for engine in self.leaving if self.has_dispatches(engine)]
         outside += [
@@ -74,15 +73,15 @@
         return tuple(sorted(set(outside)))
 
     def held(self) -> dict[str, EngineRecord]:
-        """The engines that the subscription holds."""
+        """Return the engines of the subscription by id."""
         return {record.id: record for record in engines_of(self.subscription.replica.records.values())}
 
     def has_dispatches(self, engine: str) -> bool:
-        """Whether queries of this front are out at the engine."""
+        """Return whether the engine runs queries of this front."""
         return self.registry.dispatches[engine.encode()] > 0
 
     def changed(self, listing: Listing) -> None:
-        """The subscription holds something else than before."""
+        """Process a change of the subscription's records."""
         self.registry.sharing_fronts = listing.fronts
         held = self.held()
         for engine, (record, _) in self.entries.items():
@@ -95,7 +94,7 @@
         self.notify()
 
     def notify(self) -> None:
-        """Tell the registry and the decisions what is held now."""
+        """Update the registry and notify the decisions."""
         held = self.held()
         self.leaving = self.retained_leavers(held)
         self.entries = {
@@ -122,7 +121,7 @@
         )
 
     def retained_leavers(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
-        """Of the engines that have left, those that queries are out at and whose address is still theirs."""
+        """Return the engines that have left, still run queries and whose address no other engine has."""
         owners = {record.address: record.id for record in held.values()}
         return {
             engine: record
@@ -131,7 +130,7 @@
         }
 
     def entry_for(self, record: EngineRecord) -> tuple[EngineRecord, Entry] | None:
-        """The record with its registry entry; None where this front can't use it."""
+        """Return the record with its registry entry, or None when this front cannot use it."""
         cached = self.entries.get(record.id)
         if cached and cached[0] == record:
             return cached
@@ -143,7 +142,11 @@
             return None
 
     def build_entry(self, record: EngineRecord) -> Entry:
-        """The registry's entry of a record; `UnknownNameError` where its zone or kind is not known here."""
+        """Build the registry entry of a record.
+
+        Raises `UnknownNameError` when its zone or kind is not in the settings, `ValueError` when its address
+        has no port number.
+        """
         if record.zone not in self.zones or record.kind not in self.kinds:
             raise UnknownNameError(f"zone {record.zone!r} or kind {record.kind!r} is not in the settings")
         host, _, port = record.address.rpartition(":")
--- a/thistlelever/carrier/subscription.py
+++ b/thistlelever/carrier/subscription.py
@@ -1,5 +1,4 @@
-"""A front's subscription to its part of the engine list: watches one distributor, and goes on at another
-where that one fails."""
+"""A front's subscription to its subset of the engine list: watches one distributor, fails over to others."""
 
 from __future__ import annotations
 
@@ -25,18 +24,21 @@
 from thistlelever.subsetting import FrontPlace, Requirement
 
 WATCH_PATH = "/v1/watch"
-# So many updates in a row that can't be applied, and another distributor is asked.
+# Consecutive updates that cannot be applied before failing over to another distributor.
 MAX_FAULTS = 2
-# How long a connection may take to come up.
+# Connect timeout in seconds.
 CONNECT_TIMEOUT = 0.5
-# A connection is given up after this long, a part of it drawn by chance, and the preferred distributor is
-# tried again: otherwise one that was restarted stays without fronts.
+# Maximum age of a connection in seconds, reduced by a random share of up to a half. Then the preferred
+# distributor is tried again; one that was restarted would otherwise stay without fronts.
 MAX_CONNECTION_AGE = 600.0
 
 
 class SubscriptionTerms(NamedTuple):
-    """`heartbeat` is how long a distributor may hold a watch back for want of news, `patience` how much
-    longer the answer may take; both in seconds."""
+    """Addresses and timing of the distributors.
+
+    `heartbeat` is how long a distributor may hold back the answer to a watch while nothing changes,
+    `patience` how much longer the answer may take; both in seconds.
+    """
 
     distributors: tuple[Address, ...]
     heartbeat: float = 2.0
@@ -45,17 +47,19 @@
 
 
 class Listing(NamedTuple):
-    """What a listener is told: engines that have ended for good, by the last update, and how many fronts may
-    send to any one of the engines held."""
+    """A notification to the listener: engines that ended permanently by the last update, and the maximum
+    number of fronts that may send to any one of the subscribed engines."""
 
     gone: tuple[str, ...]
     fronts: int
 
 
 class Subscription:
-    """Keeps `replica` at the newest version that any distributor tells. `listener` is called after each
-    update that changes records; `retained` is asked before each watch for engines that this front still has
-    queries at."""
+    """Keeps `replica` at the newest version that a distributor sends.
+
+    `listener` is called after each update that changes records, `retained` before each watch: it returns the
+    engines that still run queries of this front.
+    """
 
     def __init__(
         self,
@@ -65,7 +69,7 @@
         whole_cells: bool,
         listener: Callable[[Listing], None],
     ) -> None:
-        """Nothing is asked before `run`."""
+        """Prepare the subscription; `run` connects."""
         self.terms, self.place, self.listener = terms, place, listener
         self.requirements = tuple(requirement_field(requirement) for requirement in requirements)
         self.whole_cells = whole_cells
@@ -73,12 +77,12 @@
         self.replica = Replica(strict=False)
         self.failover = Failover(len(terms.distributors), place.name, terms.seed)
         self.counts: Counter[str] = Counter()
-        # Told of each connection, and why it ended.
+        # Logs each connection and why it ended.
         self.log: Callable[..., None] = lambda event, **facts: None
         self.connected_to: Address | None = None
         self.connection: DistributorConnection | None = None
         self.last_error = ""
-        # When a distributor last answered, and how old its content was then by its own word.
+        # When a distributor last answered, and the age of its content that it reported with that answer.
         self.heard_at, self.age_when_heard = -float("inf"), float("inf")
         self.fronts = 0
 
@@ -89,11 +93,11 @@
             await asyncio.sleep(delay)
 
     def age(self) -> float:
-        """Seconds since what is held was known to be the newest; infinite before the first answer."""
+        """Return the seconds since the replica was known to be current; infinite before the first answer."""
         return clock.now() - self.heard_at + self.age_when_heard
 
     async def watch_one(self) -> float:
-        """Watch one distributor for as long as it serves; seconds to wait before the next is tried."""
+        """Watch one distributor until it fails; return the delay in seconds before the next attempt."""
         address = self.terms.distributors[self.failover.current]
         try:
             self.connection = await DistributorConnection.open(address, CONNECT_TIMEOUT)
@@ -116,7 +120,7 @@
             self.disconnect()
 
     def disconnect(self) -> None:
-        """Close the connection and keep its counts."""
+        """Close the connection and add its byte counts to `counts`."""
         connection, self.connection, self.connected_to = self.connection, None, None
         if connection:
             self.counts["bytes_sent"] += connection.bytes_sent
@@ -124,18 +128,18 @@
             connection.close()
 
     def connection_bytes(self) -> tuple[int, int]:
-        """Bytes sent and received by the connection that is open, which are not in `counts` yet."""
+        """Return the bytes sent and received by the open connection, which are not in `counts` yet."""
         connection = self.connection
         return (connection.bytes_sent, connection.bytes_received) if connection else (0, 0)
 
     def failed(self, error: DistributorError, retry_after: float = 0.0) -> float:
-        """Note a failure; seconds to wait before the next distributor is tried."""
+        """Record a failure; return the delay in seconds before the next distributor is tried."""
         self.last_error = str(error)
         self.log("distributor left", why=self.last_error, version=str(self.replica.version))
         return self.failover.failed(retry_after)
 
     async def watch(self, connection: DistributorConnection) -> None:
-        """Watch by one connection until it is old; `DistributorError` as soon as it is of no use."""
+        """Watch over a connection until its maximum age; `DistributorError` when it is unusable."""
         till = clock.now() + MAX_CONNECTION_AGE * (0.5 + 0.5 * self.failover.chance())
         everything, faults = True, 0
         while clock.now() < till:
@@ -148,17 +152,17 @@
             faults = faults + 1 if outcome in (Outcome.GAP, Outcome.DAMAGED) else 0
             if faults > MAX_FAULTS:
                 raise DistributorError(f"its updates are {outcome.name.lower()}")
-            # After a gap or a damaged update the distributor is told anew what is held.
+            # After a gap or a damaged update the next request lists all held records again.
             everything = faults > 0
 
     def watch_times(self) -> tuple[float, float]:
-        """How long the next watch may be held back, and how long its answer may take, in seconds.
+        """Return how long the next watch may be held back, and the timeout of its answer, in seconds.
 
-        After a failure the first one is answered at once, so that a silence is known for one after the
-        patience alone: with heartbeats between, three answers that are lost in a row would keep a change from
-        this front for longer than the 9 s in which it is to be in force. From one failure to the next the
-        patience is doubled, as distributors may be slow rather than silent. Who holds nothing yet is told
-        whole subsets, which are admitted at a rate, and is as patient as ever.
+        After a failure the first watch is to be answered at once, so that a silent distributor is detected
+        after `patience` alone: with the heartbeat added, three lost answers in a row would delay a change for
+        longer than the 9 s within which it must be in force. The timeout doubles with each failure, as
+        distributors may be slow rather than silent. A front without any records keeps the usual timeout: it
+        is sent whole subsets, which distributors admit at a limited rate.
         """
         failures, longest = self.failover.failures, self.terms.heartbeat + self.terms.patience
         if not failures or self.replica.version == NO_VERSION:
@@ -166,7 +170,10 @@
         return 0.0, doubled(self.terms.patience, failures, longest)
 
     def request(self, wait: float, everything: bool) -> codec.WatchRequest:
-        """The next watch, held back for `wait` seconds at most; with `everything` it tells what is held."""
+        """Build the next watch, held back for at most `wait` seconds.
+
+        With `everything` it lists the held records and the requirements.
+        """
         replica = self.replica
         return codec.WatchRequest(
             front=self.place.name,
@@ -183,7 +190,7 @@
         )
 
     def receive(self, reply: codec.Reply) -> Outcome:
-        """Apply a reply; the listener hears of it where records have changed."""
+        """Apply a reply and notify the listener when records or the number of fronts have changed."""
         outcome = Outcome.UNCHANGED
         if reply.update is not None:
             update = codec.update_from(reply.update)
@@ -201,18 +208,18 @@
 
 
 def listing(reply: codec.Reply) -> Listing:
-    """What a reply says to a listener."""
+    """Convert a reply to a notification of the listener."""
     removals = reply.update.removals if isinstance(reply.update, codec.DeltaBody) else ()
     return Listing(tuple(removal.id for removal in removals if removal.gone), reply.fronts)
 
 
 def held_records(replica: Replica) -> tuple[codec.HeldRecord, ...]:
-    """What a replica holds, as a distributor is told it."""
+    """Return the records of a replica as sent to a distributor."""
     return tuple(codec.HeldRecord(engine, short_digest(record)) for engine, record in replica.records.items())
 
 
 def requirement_field(requirement: Requirement) -> codec.RequirementField:
-    """A requirement as it travels."""
+    """Convert a requirement to its wire form."""
     zones, kinds = requirement
     return codec.RequirementField(
         None if zones is None else tuple(sorted(zones)), None if kinds is None else tuple(sorted(kinds))
