--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -16,7 +16,7 @@
 from thistlelever.carrier import directory
 
 
-def states(stage, *names):
+def list_entries(stage, *names):
     """Entries of the directory: `a` is ready, `a-` drains."""
     return {name.strip("-"): (stage.port(name.strip("-")), name.endswith("-")) for name in names}
 
@@ -33,30 +33,30 @@
 def test_an_answer_from_before_the_restart_reopens_no_engine(count):
     """`b` drains, then come answers from before the restart, then a drain of `c` under the next number."""
 
-    async def whole():
+    async def scenario():
         async with served("engine a\nengine b\nengine c\nfront\nlist 4 a b- c\nlisted a c") as stage:
-            stage.directory.former = 9, states(stage, "a", "b", "c")
+            stage.directory.former = 9, list_entries(stage, "a", "b", "c")
             await stage.do_directory(*["former"] * count)
             await pace_answers(stage, count + 1)
             async with asyncio.timeout(DRAIN_GRACE):
                 while stage.office.registry.accepts_dispatches(b"b"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"b", 5)
-            stage.directory.serial, stage.directory.entries = 5, states(stage, "a", "b-", "c-")
+            stage.directory.serial, stage.directory.entries = 5, list_entries(stage, "a", "b-", "c-")
             async with asyncio.timeout(directory.POLL_INTERVAL + DRAIN_GRACE):
                 while stage.office.registry.accepts_dispatches(b"c"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"c", 5)
             await play(stage, "submit 1 pay\nanswer 1 result rows\ncalls b POST 0\ncalls c POST 0")
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 @moment("engine a\nengine b\nfront")
-async def test_a_drain_holds_although_an_old_answer_follows_it_at_once(stage, monkeypatch):
+async def test_a_drain_holds_when_an_old_answer_follows_it(stage, monkeypatch):
     """The first answer that names the drain is followed by one from before it."""
-    stage.directory.former = 3, states(stage, "a", "b")
-    stage.directory.serial, stage.directory.entries = 4, states(stage, "a", "b-")
+    stage.directory.former = 3, list_entries(stage, "a", "b")
+    stage.directory.serial, stage.directory.entries = 4, list_entries(stage, "a", "b-")
     await stage.do_directory("", "former")
     await pace_answers(stage, 1)
     await stage.do_listed("a")
@@ -64,19 +64,19 @@
 
 
 @moment("engine a\nengine b\nfront\nlist 4 a")
-async def test_a_new_engine_is_used_once_the_directory_has_said_so_twice(stage, monkeypatch):
+async def test_a_new_engine_is_used_after_two_equal_answers(stage, monkeypatch):
     """A single answer may be one from before a restart; the second is asked for at once."""
-    stage.directory.former = 9, states(stage, "a", "b")
+    stage.directory.former = 9, list_entries(stage, "a", "b")
     await stage.do_directory("former")
     await stays_closed(stage, b"b", 4)
     await play(stage, "list 5 a b\nlisted a b")
 
 
 @moment("engine a\nengine b\nfront\nlist 5 a b\nlisted a b")
-async def test_numbers_that_begin_anew_are_believed_after_a_while(stage, monkeypatch):
+async def test_restarted_serials_are_accepted_after_a_while(stage, monkeypatch):
     """The directory goes on contradicting: drains are heeded at once, the rest is once it has lasted."""
     monkeypatch.setattr("thistlelever.store.list_agreement.CONTRADICTED_FOR", 0.5)
-    stage.directory.serial, stage.directory.entries = 1, states(stage, "a-", "b")
+    stage.directory.serial, stage.directory.entries = 1, list_entries(stage, "a-", "b")
     await pace_answers(stage, 3)
     await stage.do_listed("b")
     assert stage.office.registry.serial == 5
--- a/tests/test_engine_registry.py
+++ b/tests/test_engine_registry.py
@@ -21,7 +21,7 @@
     return Entry(it.Engine(name, 0, 0, 0, state, 0.0, 1.0), address)
 
 
-def test_a_gone_engine_is_not_reached_at_an_address_that_is_another_engines():
+def test_a_gone_engine_is_unreachable_once_another_engine_has_its_address():
     registry, old, new = EngineRegistry(), entry(b"old"), entry(b"new")
     registry.replace(1, [old], 0.0)
     registry.dispatch_started(b"old")
@@ -31,7 +31,7 @@
     assert not registry.is_reachable(old) and registry.is_reachable(new)
 
 
-def test_a_gone_engine_whose_address_is_nobodys_is_still_asked_for_what_is_out():
+def test_a_gone_engine_with_dispatches_stays_reachable_while_its_address_is_free():
     registry, old = EngineRegistry(), entry(b"old")
     registry.replace(1, [old], 0.0)
     registry.dispatch_started(b"old")
@@ -39,7 +39,7 @@
     assert registry.is_reachable(old)
 
 
-def test_an_engine_whose_process_has_ended_is_not_reached_at_all():
+def test_an_engine_whose_process_has_ended_is_unreachable():
     registry, old = EngineRegistry(), entry(b"old")
     registry.replace(1, [old], 0.0)
     registry.dispatch_started(b"old")
@@ -53,8 +53,8 @@
     assert not registry.entries and not registry.ended_engines
 
 
-def test_no_connection_is_opened_to_an_address_that_is_another_engines():
-    async def play():
+def test_no_connection_is_opened_to_an_address_of_another_engine():
+    async def scenario():
         accepted = []
         server = await asyncio.start_server(lambda reader, writer: accepted.append(writer), "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
@@ -70,10 +70,10 @@
         assert not accepted
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_budgets_count_the_threads_of_another_list_under_the_same_serial():
+def test_budgets_count_threads_anew_for_another_list_with_the_same_serial():
     """The directory's numbers may begin anew, so that a serial and a size tell no two lists apart."""
     settings = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     registry, plan = EngineRegistry(), Plan({}, Share(weight=1.0))
--- a/tests/test_lost_updates.py
+++ b/tests/test_lost_updates.py
@@ -20,7 +20,7 @@
 
 # The product's defaults, in seconds, and the operators' bound on a change.
 HEARTBEAT, PATIENCE, IN_FORCE_WITHIN = 2.0, 1.0, 9.0
-PIECE = 2**16
+READ_BYTES = 2**16
 
 
 @pytest.mark.parametrize(
@@ -35,9 +35,9 @@
         (NO_VERSION, 5, HEARTBEAT, HEARTBEAT + PATIENCE),
     ],
 )
-def test_after_a_failure_a_silence_is_known_for_one_sooner(version, failures, wait, within):
+def test_after_a_failure_a_silent_distributor_is_detected_sooner(version, failures, wait, within):
     terms = SubscriptionTerms((("127.0.0.1", 9),), HEARTBEAT, PATIENCE)
-    subscription = Subscription(terms, FrontPlace("front-0", "zone-0", 0), (), False, lambda told: None)
+    subscription = Subscription(terms, FrontPlace("front-0", "zone-0", 0), (), False, lambda listing: None)
     subscription.replica.version, subscription.failover.failures = version, failures
     assert subscription.watch_times() == (wait, within)
 
@@ -63,45 +63,45 @@
             server.close()
 
     async def serve(self, reader, writer, target):
-        upstream, onward = await asyncio.open_connection(*target)
-        asking = asyncio.create_task(self.pass_on(reader, onward))
+        upstream, to_target = await asyncio.open_connection(*target)
+        forwarding = asyncio.create_task(self.forward(reader, to_target))
         silent = False
         with suppress(ConnectionError):
-            while answer := await upstream.read(PIECE):
+            while answer := await upstream.read(READ_BYTES):
                 if self.to_lose and not silent:
                     self.to_lose, self.lost, silent = self.to_lose - 1, self.lost + 1, True
                 if not silent:
                     writer.write(answer)
-        await asking
+        await forwarding
         writer.close()
 
-    async def pass_on(self, reader, writer):
+    async def forward(self, reader, writer):
         with suppress(ConnectionError):
-            while asked := await reader.read(PIECE):
-                writer.write(asked)
+            while data := await reader.read(READ_BYTES):
+                writer.write(data)
         writer.close()
 
 
-def test_a_change_is_in_force_in_time_though_three_answers_in_a_row_are_lost():
+def test_a_change_is_in_force_in_time_when_three_answers_in_a_row_are_lost():
     async def scenario():
         async with tier(4, engines=10, heartbeat_s=HEARTBEAT) as stage:
             relays = LossyRelays(stage.addresses)
             async with relays as addresses:
                 terms = SubscriptionTerms(addresses, HEARTBEAT, PATIENCE, seed=3)
                 subscription = Subscription(
-                    terms, FrontPlace("front-0", "zone-0", 0), (), True, lambda told: None
+                    terms, FrontPlace("front-0", "zone-0", 0), (), True, lambda listing: None
                 )
                 running = asyncio.create_task(subscription.run())
                 await stage.until(lambda: subscription.replica.records)
                 relays.to_lose = 3
-                began = monotonic()
+                started = monotonic()
                 version = await stage.publish(upserts=[engine(0, draining=True)])
                 async with asyncio.timeout(2 * IN_FORCE_WITHIN):
                     while str(subscription.replica.version) != version:
                         await asyncio.sleep(0.01)
-                took = monotonic() - began
+                elapsed = monotonic() - started
                 running.cancel()
         assert relays.lost == 3
-        assert took < IN_FORCE_WITHIN, took
+        assert elapsed < IN_FORCE_WITHIN, elapsed
 
     asyncio.run(scenario())
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -13,18 +13,18 @@
 
 from thistlelever.carrier import directory
 
-SERVICE_PACE = directory.POLL_INTERVAL
+SERVICE_INTERVAL = directory.POLL_INTERVAL
 
 
 @pytest.mark.parametrize("delay", (0.3, 1.0, 2.0, 3.0, 4.0))
-def test_a_drain_is_known_soon_after_a_slow_directory_told_it(delay, monkeypatch):
+def test_a_drain_is_known_soon_after_a_slow_directory_sent_it(delay, monkeypatch):
     """Answers begin to be slow just before the drain, at the pace of the service."""
 
-    async def whole():
+    async def scenario():
         async with served("engine a\nengine b\nfront") as stage:
-            monkeypatch.setattr(directory, "POLL_INTERVAL", SERVICE_PACE)
+            monkeypatch.setattr(directory, "POLL_INTERVAL", SERVICE_INTERVAL)
             loop, office = asyncio.get_running_loop(), stage.office
-            await asyncio.sleep(2 * SERVICE_PACE)
+            await asyncio.sleep(2 * SERVICE_INTERVAL)
             stage.directory.delay = delay
             stage.directory.serial = 4
             stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
@@ -33,4 +33,4 @@
                     await asyncio.sleep(0.005)
             assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -33,12 +33,14 @@
     """A `SubscribedList` whose subscription is fed by hand, with all that it tells."""
 
     def __init__(self):
-        self.replica, self.told, self.forgotten = Replica(strict=False), [], []
+        self.replica, self.notifications, self.dropped = Replica(strict=False), [], []
         self.subscription = SimpleNamespace(replica=self.replica, heard_at=0.0)
         self.registry = EngineRegistry()
-        desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, metrics=Metrics())
+        desk = SimpleNamespace(
+            log=lambda event, **facts: None, tell=self.notifications.append, metrics=Metrics()
+        )
         names = KnownNames(("nord", "sud"), ("std",))
-        self.list = SubscribedList(self.subscription, self.registry, self.forgotten.append, desk, names)
+        self.list = SubscribedList(self.subscription, self.registry, self.dropped.append, desk, names)
         self.fronts = 4
 
     def holds(self, *records, gone=()):
@@ -54,38 +56,38 @@
 
     def states(self):
         """What the decisions were told last."""
-        return {engine.id.decode(): engine.state for engine in self.told[-1].engines}
+        return {engine.id.decode(): engine.state for engine in self.notifications[-1].engines}
 
 
 READY, DRAINING = it.EngineState.READY, it.EngineState.DRAINING
 
 
-def test_the_decisions_are_told_the_subset_with_how_many_fronts_share_it():
+def test_the_decisions_get_the_subset_and_the_number_of_fronts_that_share_it():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, draining=True))
     assert front.states() == {"a": READY, "b": DRAINING}
-    assert front.told[-1].fronts == 4 and front.registry.sharing_fronts == 4
-    assert front.told[-1].kind is it.ListKind.WHOLE
+    assert front.notifications[-1].fronts == 4 and front.registry.sharing_fronts == 4
+    assert front.notifications[-1].kind is it.ListKind.WHOLE
 
 
-def test_an_engine_that_leaves_the_subset_is_kept_as_draining_while_queries_are_out_there():
+def test_an_engine_that_leaves_the_subset_drains_while_it_runs_queries():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
     front.registry.dispatch_started(b"a")
     front.holds(record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY}
     assert front.list.retained() == ("a",) and not front.registry.accepts_dispatches(b"a")
-    assert front.registry.is_reachable(front.registry.entries[b"a"]) and not front.forgotten
+    assert front.registry.is_reachable(front.registry.entries[b"a"]) and not front.dropped
     # The distributor goes on telling of it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
     front.registry.dispatch_ended(b"a")
     assert front.list.retained() == ()
     front.holds(record("b", 2))
-    assert front.states() == {"b": READY} and front.forgotten == [b"a"]
+    assert front.states() == {"b": READY} and front.dropped == [b"a"]
 
 
-def test_a_retained_engine_that_is_gone_is_not_reached_any_more():
+def test_a_retained_engine_that_is_gone_is_unreachable():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
     front.registry.dispatch_started(b"a")
@@ -95,7 +97,7 @@
     assert front.states() == {"b": READY} and not front.registry.is_reachable(entry)
 
 
-def test_an_address_that_another_engine_has_now_is_not_the_former_ones():
+def test_an_engine_is_unreachable_once_another_engine_has_its_address():
     front = Subscribed()
     front.holds(record("a", 1))
     front.registry.dispatch_started(b"a")
@@ -147,7 +149,7 @@
         await self.distributors.until(lambda: str(replica.version) == version)
 
 
-def play(scenario, engines):
+def run_scenario(scenario, engines):
     """Run a scenario with a whole front and these engines, published by two distributors."""
 
     async def staged():
@@ -167,19 +169,19 @@
     asyncio.run(asyncio.wait_for(staged(), 60))
 
 
-def test_a_front_serves_by_its_subscription_and_never_asks_the_directory():
+def test_a_subscribed_front_never_queries_the_directory():
     async def scenario(stage, distributors):
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert stage.directory.asked == 0
-        shown = stage.office.questions()["engines.show"]()
-        assert shown["engines"] == 2 and shown["distributor"] and shown["age_s"] < 2
-        assert shown["version"] == str(distributors.running[0].catalog.version)
+        status = stage.office.questions()["engines.show"]()
+        assert status["engines"] == 2 and status["distributor"] and status["age_s"] < 2
+        assert status["version"] == str(distributors.running[0].catalog.version)
 
-    play(scenario, ("cala", "duna"))
+    run_scenario(scenario, ("cala", "duna"))
 
 
-def test_nothing_new_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
+def test_no_dispatch_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
     async def scenario(stage, distributors):
         discovery = stage.office.discovery
         # Cut off: the front reaches no distributor.
@@ -192,8 +194,8 @@
         await distributors.publish(removals=["cala"])
         # Its address is another engine's by now.
         await stage.do_engine("elba")
-        heir = stage.published("elba", address=f"127.0.0.1:{stage.port('cala')}")
-        version = await distributors.publish(upserts=[heir])
+        successor = stage.published("elba", address=f"127.0.0.1:{stage.port('cala')}")
+        version = await distributors.publish(upserts=[successor])
         await asyncio.sleep(2 * HEARTBEAT)
         # The front goes on by what it has, and says how old that is.
         await stage.do_submit("1", "lookup")
@@ -206,13 +208,13 @@
         assert not stage.office.registry.accepts_dispatches(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
-    play(scenario, ("cala", "duna"))
+    run_scenario(scenario, ("cala", "duna"))
 
 
-def test_switched_off_nothing_of_it_is_imported():
+def test_no_module_of_the_distribution_is_imported_when_it_is_off():
     program = (
         "import sys, thistlelever.cli.main, thistlelever.lifecycle.run;"
         "print([name for name in sys.modules if 'distribut' in name or 'subset' in name])"
     )
-    said = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert json.loads(said.stdout.replace("'", '"')) == []
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert json.loads(result.stdout.replace("'", '"')) == []
