--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -1,10 +1,10 @@
-"""Answers of the directory that are not its newest list, whatever number they carry.
+"""Answers of the directory that are not its newest list, whatever serial they have.
 
-The story. During a release of the engines fronts were killed and started again. Seconds later one of them
-sent a query or two each second to an engine that it knew to drain, for several lists; other fronts did not.
-The directory numbers its lists from 1 at each start of a front. That front was told an answer made for it
-before its restart: the highest number so far, over states in which the engine was still ready. It took that
-for the newest list, and every true one, with a lower number, for an old one.
+Guards against dispatches to a draining engine after a restart of a front. The directory numbers its lists
+from 1 at each start of a front. A restarted front received an answer made for it before the restart: the
+highest serial so far, with states in which the engine was still ready. It adopted that list and ignored
+every true one, as its serial was lower, and kept sending one or two queries per second to the draining
+engine.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 
 
 def list_entries(stage, *names):
-    """Entries of the directory: `a` is ready, `a-` drains."""
+    """Build entries of the directory: `a` is ready, `a-` is draining."""
     return {name.strip("-"): (stage.port(name.strip("-")), name.endswith("-")) for name in names}
 
 
 async def stays_closed(stage, engine, answers):
-    """Nothing new may go to the engine while the directory answers so many further queries."""
+    """The engine stays closed to new dispatches while the directory answers that many further queries."""
     until = stage.directory.asked + answers
     while stage.directory.asked < until:
         assert not stage.office.registry.accepts_dispatches(engine)
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("count", (1, 2, 3))
 def test_an_answer_from_before_the_restart_reopens_no_engine(count):
-    """`b` drains, then come answers from before the restart, then a drain of `c` under the next number."""
+    """`b` drains, then answers from before the restart arrive, then a drain of `c` with the next serial."""
 
     async def scenario():
         async with served("engine a\nengine b\nengine c\nfront\nlist 4 a b- c\nlisted a c") as stage:
@@ -54,7 +54,7 @@
 
 @moment("engine a\nengine b\nfront")
 async def test_a_drain_holds_when_an_old_answer_follows_it(stage, monkeypatch):
-    """The first answer that names the drain is followed by one from before it."""
+    """The first answer with the drain is followed by one from before it."""
     stage.directory.former = 3, list_entries(stage, "a", "b")
     stage.directory.serial, stage.directory.entries = 4, list_entries(stage, "a", "b-")
     await stage.do_directory("", "former")
@@ -65,7 +65,7 @@
 
 @moment("engine a\nengine b\nfront\nlist 4 a")
 async def test_a_new_engine_is_used_after_two_equal_answers(stage, monkeypatch):
-    """A single answer may be one from before a restart; the second is asked for at once."""
+    """A single answer may be from before a restart; the second one is requested at once."""
     stage.directory.former = 9, list_entries(stage, "a", "b")
     await stage.do_directory("former")
     await stays_closed(stage, b"b", 4)
@@ -74,7 +74,7 @@
 
 @moment("engine a\nengine b\nfront\nlist 5 a b\nlisted a b")
 async def test_restarted_serials_are_accepted_after_a_while(stage, monkeypatch):
-    """The directory goes on contradicting: drains are heeded at once, the rest is once it has lasted."""
+    """While the directory keeps contradicting, drains apply at once and the rest after some time."""
     monkeypatch.setattr("thistlelever.store.list_agreement.CONTRADICTED_FOR", 0.5)
     stage.directory.serial, stage.directory.entries = 1, list_entries(stage, "a-", "b")
     await pace_answers(stage, 3)
--- a/tests/test_engine_registry.py
+++ b/tests/test_engine_registry.py
@@ -1,4 +1,4 @@
-"""The list of engines, and that nothing is sent to an address that now belongs to another engine."""
+"""The engine registry: nothing is sent to an address that now belongs to another engine."""
 
 import asyncio
 from types import SimpleNamespace
@@ -46,7 +46,7 @@
     registry.ended_engines.add(b"old")
     registry.update(1, [], 1.0)
     assert not registry.is_reachable(old)
-    # Once nothing is out there it is forgotten.
+    # It is removed once it has no running dispatches.
     registry.dispatch_ended(b"old")
     registry.update(2, [], 2.0)
     registry.update(3, [], 3.0)
@@ -74,7 +74,7 @@
 
 
 def test_budgets_count_threads_anew_for_another_list_with_the_same_serial():
-    """The directory's numbers may begin anew, so that a serial and a size tell no two lists apart."""
+    """The directory may restart its serials, so serial and size do not identify a list."""
     settings = SimpleNamespace(tariffs=(), fronts=1, kind_cores=(16,))
     registry, plan = EngineRegistry(), Plan({}, Share(weight=1.0))
     registry.update(2, [entry(b"a"), entry(b"b")], 0.0)
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement on the engine list: every order of a few true, late and misnumbered answers."""
+"""Agreement on the engine list: every sequence of a few current, late and wrongly numbered answers."""
 
 from itertools import product
 
@@ -11,7 +11,7 @@
 
 
 def answer(serial, *names):
-    """A list: `a` is ready, `a-` drains."""
+    """Build a list: `a` is ready, `a-` is draining."""
     entries = {}
     for name in names:
         engine = name.strip("-").encode()
@@ -22,12 +22,12 @@
 
 CURRENT = answer(3, "a", "b", "c")
 NEWER = answer(4, "a", "b-", "c")
-# From before the restart: a higher number over older states.
+# From before the restart of the front: a higher serial with older states.
 BEFORE_RESTART = answer(9, "a", "b", "c", "d")
 
 
 class FrontView:
-    """What a front holds after some answers."""
+    """The list in force at a front after some answers."""
 
     def __init__(self, current=CURRENT):
         self.agreement, self.current, self.now, self.decision = ListAgreement(), current, 0.0, None
@@ -52,8 +52,8 @@
 
 
 def test_a_drain_stays_in_effect_for_any_sequence_of_answers():
-    """From the first true answer on, in all orders with one misnumbered answer, unless three late ones come
-    after one another."""
+    """From the first newer answer on, for all sequences with at most one wrongly numbered answer, up to three
+    consecutive late ones."""
     for answers in SEQUENCES:
         view, late, drain_seen = FrontView(), 0, False
         for item in answers:
@@ -93,7 +93,7 @@
 
 
 def test_a_restarted_engine_is_closed_until_the_list_is_in_force():
-    """Else it is sent to as a warm one until the second answer has come."""
+    """Otherwise it would get dispatches as a warm engine until the second answer."""
     entries = dict(CURRENT.entries)
     entries[b"b"] = entries[b"b"]._replace(engine=entries[b"b"].engine._replace(started=7.0))
     view = FrontView().receive(Answer(4, entries))
@@ -102,7 +102,7 @@
 
 
 def test_an_empty_list_with_an_old_serial_closes_nothing():
-    """A directory that lost what it knew must not take all engines away."""
+    """A directory that lost its data must not take all engines out of service."""
     assert FrontView().receive(*[answer(1)] * 5).is_open(b"a")
 
 
@@ -116,7 +116,7 @@
 
 
 def test_restarted_serials_are_accepted_once_the_contradiction_has_lasted():
-    """Drains under the new numbers count from the second answer on, also those that come meanwhile."""
+    """Drains in lists with the new serials take effect from the second answer on."""
     view = FrontView(answer(9, "a", "b", "c")).receive(answer(1, "a", "b-", "d"))
     assert view.is_open(b"b")
     assert not view.receive(answer(1, "a", "b-", "d")).is_open(b"b")
--- a/tests/test_lost_updates.py
+++ b/tests/test_lost_updates.py
@@ -1,10 +1,11 @@
-"""A change reaches a front within the operators' 9 s though answers on its way are lost without a word.
-
-Seen: `rigs.scale --seed 90417` beside other rigs, one change in force everywhere after over 9 s; of four more
-runs side by side two had 7.4 and 7.7 s, both in the step that loses one answer in twenty, at one front of 300
-whose process had not stood still. A front that hears nothing gives up after heartbeat and patience, 3 s, and
-asks the next distributor, whose answer may be lost too: each silence cost 3 s more, so three of them 9 s and
-the backoff. That comes in about one run in a hundred.
+"""A change reaches a front within 9 s, the operators' limit, when answers on the way to it are lost silently.
+
+Guards against a delay by lost answers: a front that receives nothing gives up after heartbeat and patience,
+3 s, and asks the next distributor, whose answer may be lost too. Each silence cost 3 s more, so three of
+them took 9 s and the backoff. Observed in `rigs.scale --seed 90417` beside other rigs: a change in force
+everywhere after more than 9 s; of four more runs side by side two took 7.4 and 7.7 s. Both were in the step
+that loses one answer in twenty, at one front of 300 whose process had not stalled. About one run in a
+hundred is affected.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 from thistlelever.distribution.versions import NO_VERSION, Version
 from thistlelever.subsetting import FrontPlace
 
-# The product's defaults, in seconds, and the operators' bound on a change.
+# The default settings and the operators' limit for a change to be in force, in seconds.
 HEARTBEAT, PATIENCE, IN_FORCE_WITHIN = 2.0, 1.0, 9.0
 READ_BYTES = 2**16
 
@@ -31,7 +32,7 @@
         (Version(1, 2), 2, 0.0, 2 * PATIENCE),
         (Version(1, 2), 3, 0.0, HEARTBEAT + PATIENCE),
         (Version(1, 2), 10_000, 0.0, HEARTBEAT + PATIENCE),
-        # Whole subsets take longer, and are admitted at a rate.
+        # Whole subsets take longer and are admitted at a limited rate.
         (NO_VERSION, 5, HEARTBEAT, HEARTBEAT + PATIENCE),
     ],
 )
@@ -43,8 +44,8 @@
 
 
 class LossyRelays:
-    """A relay before each distributor; `to_lose` of the next answers are swallowed, each connection silent
-    from then on."""
+    """A relay in front of each distributor. The next `to_lose` answers are dropped, and each connection that
+    lost one stays silent."""
 
     def __init__(self, targets):
         self.targets, self.to_lose, self.servers, self.lost = targets, 0, [], 0
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -1,8 +1,8 @@
-"""A directory whose answers come late: what it tells of drains is heeded soon after it was told.
+"""A directory with late answers: the front learns of a drain soon after the directory sent it.
 
-The story. Under fault injection queries went to engines that drain, 0.4 to 1.1 s after the front counted as
-told. It counts as told when the directory sends the answer. Seen here: once each answer takes 2 s, the front
-knows of a drain a second after that, and where answers take longer than 3.25 s it never hears of one again.
+Guards against queries to draining engines 0.4 to 1.1 s after the front counted as informed, which is the
+moment when the directory sends the answer. Observed under fault injection: with answers delayed by 2 s the
+front learned of a drain a second after that, and with delays over 3.25 s it never learned of another drain.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("delay", (0.3, 1.0, 2.0, 3.0, 4.0))
 def test_a_drain_is_known_soon_after_a_slow_directory_sent_it(delay, monkeypatch):
-    """Answers begin to be slow just before the drain, at the pace of the service."""
+    """Answers become slow just before the drain, at the poll interval used in production."""
 
     async def scenario():
         async with served("engine a\nengine b\nfront") as stage:
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -1,4 +1,4 @@
-"""A front that subscribes to its engine list: in place of DNS, across cuts, as engines leave its subset."""
+"""A front that subscribes to its engine list: instead of DNS, when cut off, as engines leave its subset."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 class Subscribed:
-    """A `SubscribedList` whose subscription is fed by hand, with all that it tells."""
+    """A `SubscribedList` with a fake subscription, which records its notifications."""
 
     def __init__(self):
         self.replica, self.notifications, self.dropped = Replica(strict=False), [], []
@@ -44,7 +44,7 @@
         self.fronts = 4
 
     def holds(self, *records, gone=()):
-        """The subscription now holds just these."""
+        """Make these the only records of the subscription."""
         wanted = {one.id: one for one in records}
         removals = tuple(Removal(name, name in gone) for name in self.replica.records if name not in wanted)
         removals += tuple(Removal(name, True) for name in gone if name not in self.replica.records)
@@ -55,7 +55,7 @@
         self.list.changed(Listing(tuple(gone), self.fronts))
 
     def states(self):
-        """What the decisions were told last."""
+        """Return the engine states of the last notification to the decisions."""
         return {engine.id.decode(): engine.state for engine in self.notifications[-1].engines}
 
 
@@ -78,7 +78,7 @@
     assert front.states() == {"a": DRAINING, "b": READY}
     assert front.list.retained() == ("a",) and not front.registry.accepts_dispatches(b"a")
     assert front.registry.is_reachable(front.registry.entries[b"a"]) and not front.dropped
-    # The distributor goes on telling of it, as an engine outside the subset.
+    # The distributor keeps listing it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
     front.registry.dispatch_ended(b"a")
@@ -116,7 +116,7 @@
 
 
 class SubscribedStage(Stage):
-    """A whole front on a stage whose operator file names a tier of distributors."""
+    """A stage with a whole front whose operator file has a tier of distributors."""
 
     def __init__(self, distributors):
         super().__init__()
@@ -132,7 +132,7 @@
         return facts | {"address": f"127.0.0.1:{self.port(name)}"} | fields
 
     async def serve(self):
-        """Start the front with no engine known."""
+        """Start the front without a known engine."""
         self.config = configuration((), settings=self.settings)
         await self.open_directory()
         read = front_config.read(self.config, {})
@@ -144,7 +144,7 @@
         self.hearing = asyncio.create_task(self.hear())
 
     async def holds(self, version):
-        """The front is at this version."""
+        """Wait until the front is at this version."""
         replica = self.office.discovery.subscription.replica
         await self.distributors.until(lambda: str(replica.version) == version)
 
@@ -192,12 +192,12 @@
             await distributor.server.close_all_connections()
         await distributors.publish(upserts=[stage.published("cala", draining=True)])
         await distributors.publish(removals=["cala"])
-        # Its address is another engine's by now.
+        # Another engine gets its address.
         await stage.do_engine("elba")
         successor = stage.published("elba", address=f"127.0.0.1:{stage.port('cala')}")
         version = await distributors.publish(upserts=[successor])
         await asyncio.sleep(2 * HEARTBEAT)
-        # The front goes on by what it has, and says how old that is.
+        # The front continues with the list that it has, and reports its age.
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert discovery.show()["distributor"] is None and discovery.show()["age_s"] >= HEARTBEAT
