--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -14,9 +14,9 @@
 from thistlelever.carrier.recollection import goes_on_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.log import Log
 from thistlelever.ground.commands import TakenOver
 from thistlelever.ground.config import Entry
+from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Name
 from thistlelever.store.roll import Roll
@@ -210,7 +210,7 @@
     ) -> it.PushBack | it.Error | None:
         """Decide what the result of a claim means for the batch when no other front owns it: an answer, or
         None when it continues here."""
-        once_only = query_class.repeat is it.Idempotency.NON_IDEMPOTENT
+        non_idempotent = query_class.repeat is it.Idempotency.NON_IDEMPOTENT
         requires_protection = self.manager.query_classes[lease.class_index].requires_protection
         # Where unprotected batches are dispatched all the same, the absence of a record proves nothing.
         unknown = result.outcome in (QuorumOutcome.UNSURE, QuorumOutcome.ALONE) or (
@@ -221,7 +221,7 @@
             # Also without a majority: a batch that is known to have started is not started again.
             if not self.adopt_run(batch, result.value, query_class):
                 return self.unknown_outcome(batch, result, "its engine is gone")
-        elif unknown and once_only and batch.asked.is_retry:
+        elif unknown and non_idempotent and batch.asked.is_retry:
             # It may have run at a front whose records cannot be reached.
             return self.unknown_outcome(batch, result, lease.unprotected_reason or "nobody would know")
         elif unknown and requires_protection:
