--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -16,8 +16,8 @@
 from thistlelever.distribution.records import EngineRecord, digest_of
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
-from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
+from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
 from thistlelever.standins.papers import configuration
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from thistlelever.ground import interface as it
 from thistlelever.carrier.desk import Desk
 from thistlelever.carrier.directory_sockets import DirectorySockets
 from thistlelever.ground import clock
+from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
-from thistlelever.store.list_agreement import Answer, ListAgreement
-from thistlelever.store.engine_registry import EngineRegistry, transitions
 from thistlelever.ground.metrics import Metrics
+from thistlelever.store.engine_registry import EngineRegistry, transitions
+from thistlelever.store.list_agreement import Answer, ListAgreement
 from thistlelever.wire import dns
 
 if TYPE_CHECKING:
@@ -51,12 +51,8 @@
         `drop_connections` closes the connections to an engine that is gone or was restarted. `zones` and
         `kinds` are those of the settings, `seed` seeds the query ids.
         """
-        self.registry, self.drop_connections, self.desk, self.metrics = (
-            registry,
-            drop_connections,
-            desk,
-            metrics,
-        )
+        self.registry, self.drop_connections = registry, drop_connections
+        self.desk, self.metrics = desk, metrics
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.polls = seed, 0
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -96,7 +96,7 @@
     def notify(self) -> None:
         """Update the registry and notify the decisions."""
         held = self.held()
-        self.leaving = self.retained_leavers(held)
+        self.leaving = self.retained_records(held)
         self.entries = {
             record.id: cached
             for record in (*held.values(), *self.leaving.values())
@@ -120,7 +120,7 @@
             )
         )
 
-    def retained_leavers(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
+    def retained_records(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Return the engines that have left, still run queries and whose address no other engine has."""
         owners = {record.address: record.id for record in held.values()}
         return {
--- a/thistlelever/store/connections.py
+++ b/thistlelever/store/connections.py
@@ -13,8 +13,8 @@
 
 from tornado.iostream import StreamClosedError
 
-from thistlelever.ground.interface import EngineId
 from thistlelever.ground.config import Entry
+from thistlelever.ground.interface import EngineId
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.stream import Stream
 from thistlelever.wire import http
--- a/thistlelever/store/engine_registry.py
+++ b/thistlelever/store/engine_registry.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.store.engine_starts import EngineStarts
