--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -116,7 +116,7 @@
 
 
 class SubscribedStage(Stage):
-    """A stage with a whole front whose operator file has a tier of distributors."""
+    """A stage with a front whose operator file has a tier of distributors."""
 
     def __init__(self, distributors):
         super().__init__()
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -262,7 +262,7 @@
 
     def adopt(self, serial: int, entries: list[Entry]) -> None:
         """Bring a list into force, close connections to changed engines and notify the decisions."""
-        before, held = self.registry.states(), self.registry.serial
+        before, previous_serial = self.registry.states(), self.registry.serial
         last_heard = self.heard_at or None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.drop_connections(engine)
@@ -271,7 +271,7 @@
             serial=serial,
             engines=len(entries),
             changed=transitions(before, self.registry.states()),
-            after_serial=held,
+            after_serial=previous_serial,
             asked=self.polls,
             unheard_s=round(clock.now() - self.heard_at, 3) if self.heard_at else None,
         )
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -65,14 +65,16 @@
 
     def retained(self) -> tuple[str, ...]:
         """Return the engines outside the subset that run queries of this front."""
-        held = self.held()
+        records = self.engine_records()
         outside = [engine for engine in self.leaving if self.has_dispatches(engine)]
         outside += [
-            engine for engine, record in held.items() if not record.in_subset and self.has_dispatches(engine)
+            engine
+            for engine, record in records.items()
+            if not record.in_subset and self.has_dispatches(engine)
         ]
         return tuple(sorted(set(outside)))
 
-    def held(self) -> dict[str, EngineRecord]:
+    def engine_records(self) -> dict[str, EngineRecord]:
         """Return the engines of the subscription by id."""
         return {record.id: record for record in engines_of(self.subscription.replica.records.values())}
 
@@ -83,9 +85,9 @@
     def changed(self, listing: Listing) -> None:
         """Process a change of the subscription's records."""
         self.registry.sharing_fronts = listing.fronts
-        held = self.held()
+        records = self.engine_records()
         for engine, (record, _) in self.entries.items():
-            if engine not in held and engine not in self.leaving and self.has_dispatches(engine):
+            if engine not in records and engine not in self.leaving and self.has_dispatches(engine):
                 self.leaving[engine] = record._replace(in_subset=False)
         for engine in listing.gone:
             self.leaving.pop(engine, None)
@@ -95,11 +97,11 @@
 
     def notify(self) -> None:
         """Update the registry and notify the decisions."""
-        held = self.held()
-        self.leaving = self.retained_records(held)
+        records = self.engine_records()
+        self.leaving = self.retained_records(records)
         self.entries = {
             record.id: cached
-            for record in (*held.values(), *self.leaving.values())
+            for record in (*records.values(), *self.leaving.values())
             if (cached := self.entry_for(record))
         }
         serial = self.subscription.replica.version.packed()
@@ -120,13 +122,13 @@
             )
         )
 
-    def retained_records(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
+    def retained_records(self, records: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Return the engines that have left, still run queries and whose address no other engine has."""
-        owners = {record.address: record.id for record in held.values()}
+        owners = {record.address: record.id for record in records.values()}
         return {
             engine: record
             for engine, record in self.leaving.items()
-            if engine not in held and self.has_dispatches(engine) and record.address not in owners
+            if engine not in records and self.has_dispatches(engine) and record.address not in owners
         }
 
     def entry_for(self, record: EngineRecord) -> tuple[EngineRecord, Entry] | None:
