--- a/thistlelever/ground/submission.py
+++ b/thistlelever/ground/submission.py
@@ -21,7 +21,7 @@
 class Submission(NamedTuple):
     """One batch as submitted; times in seconds, memory in MB, the statement as the client wrote it.
 
-    `wait` is how long the client waits for the answer, `work` its estimate of the cost in core-seconds (None:
+    `wait` is how long the client waits, `work` its estimate of the run time in thread-seconds (None:
     not given), `is_retry` whether this is a retry, and `reference` the idempotency key ("": none).
     """
 
