--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.wards import Wards, groups
+from thistlelever.carrier.leases import LeaseService, query_class_policies
 from thistlelever.ground import clock
 from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator, Takeover
@@ -13,8 +13,8 @@
 from thistlelever.lifecycle.membership import MembershipSide
 from thistlelever.lifecycle.parts import Parts
 from thistlelever.takeover import views
-from thistlelever.takeover.facts import Address, Standing, Terms
-from thistlelever.takeover.judge import Judge
+from thistlelever.takeover.facts import Address, Liveness, TakeoverConfig
+from thistlelever.takeover.lease_manager import LeaseManager
 from thistlelever.wire.peers import State
 
 # Before a front ends what is out is handed over, with time left to tell its clients.
@@ -43,29 +43,30 @@
         config = parts.config
         sound(section, config)
         self.parts, self.members = parts, membership.members.detector
-        terms = Terms(
-            places=section.places,
-            lease=section.lease_s,
-            renew=section.lease_s * 0.4,
-            wait=section.wait_s,
-            keep=section.keep_s,
-            most_kept=section.most_kept,
-            most_taken=section.most_taken,
+        takeover_config = TakeoverConfig(
+            replicas=section.places,
+            lease_s=section.lease_s,
+            renew_interval_s=section.lease_s * 0.4,
+            quorum_timeout_s=section.wait_s,
+            retention_s=section.keep_s,
+            max_records=section.most_kept,
+            max_keep_alives=section.most_taken,
         )
         me = self.members.identity
-        self.judge = Judge(
-            terms,
+        self.manager = LeaseManager(
+            takeover_config,
             me.address,
             me.life,
             config.peers,
-            groups(config.settings, section.demand),
+            query_class_policies(config.settings, section.demand),
             config.seed,
             clock.now(),
         )
-        heirs = self.judge.heirs
-        heirs.standing, heirs.alive, heirs.alone = self.standing, self.alive, self.alone
-        self.wards = parts.courses.wards = Wards(
-            self.judge,
+        successor = self.manager.successor
+        successor.liveness, successor.is_alive = self.liveness, self.is_alive
+        successor.is_isolated = self.is_isolated
+        self.leases = parts.courses.leases = LeaseService(
+            self.manager,
             membership.peers,
             config.settings,
             parts.roll,
@@ -74,47 +75,48 @@
             parts.log,
         )
 
-    def standing(self, address: Address, life: int) -> Standing:
+    def liveness(self, address: Address, life: int) -> Liveness:
         """What membership holds a front in that life for. Another life at its address: that one is gone."""
         if address == self.members.identity.address:
-            return Standing.ALIVE if life == self.members.identity.life else Standing.GONE
+            return Liveness.ALIVE if life == self.members.identity.life else Liveness.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE:
-            return Standing.GONE
-        return Standing.SUSPECTED if member.state is State.SUSPECTED else Standing.ALIVE
+            return Liveness.GONE
+        return Liveness.SUSPECTED if member.state is State.SUSPECTED else Liveness.ALIVE
 
-    def alive(self, address: Address) -> bool:
+    def is_alive(self, address: Address) -> bool:
         member = self.members.table.at_address(address)
         return member is not None and member.is_alive
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
-        others = sorted(self.judge.catchup.others())
-        self.judge.catchup.begin(clock.now(), others)
-        self.wards.open()
-        return {"takeover": len(self.judge.places.fronts)}
+        others = sorted(self.manager.catchup.other_fronts())
+        self.manager.catchup.start(clock.now(), others)
+        self.leases.open()
+        return {"takeover": len(self.manager.placement.fronts)}
 
     def renew(self, operator: Operator, config: Config) -> None:
-        self.judge.places.renew((*config.peers, self.members.identity.address))
+        self.manager.placement.set_fronts((*config.peers, self.members.identity.address))
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {
-            "inhand.show": lambda: views.show(self.judge, clock.now()) | {"waits_ms": self.wards.waits_ms()},
-            "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
+            "inhand.show": lambda: views.show(self.manager, clock.now())
+            | {"waits_ms": self.leases.waits_ms()},
+            "inhand.explain": lambda batch: views.explain(self.manager, batch, clock.now()),
         }
 
     def failing(self, why: str) -> None:
         """This front's store keeps nothing, or does again: as a place it says so and is passed by."""
-        self.judge.holder.failing = why
+        self.manager.replica.failure = why
 
     def stopping(self) -> None:
         at = clock.on_loop(self.parts.intake.stop_at) - HAND_OVER
-        asyncio.get_running_loop().call_at(at, self.wards.hand_over)
+        asyncio.get_running_loop().call_at(at, self.leases.hand_over)
 
     async def close(self, grace: float) -> None:
         # What was handed over last may not have been heard yet; nothing is waited for longer than that.
-        if self.judge.asked:
-            await asyncio.sleep(min(grace, self.judge.terms.wait))
-        self.wards.close()
+        if self.manager.leases_by_nonce:
+            await asyncio.sleep(min(grace, self.manager.config.quorum_timeout_s))
+        self.leases.close()
--- a/thistlelever/takeover/facts.py
+++ b/thistlelever/takeover/facts.py
@@ -1,90 +1,94 @@
-"""What passes between the judgement of takeover and whatever carries it."""
+"""Settings, commands and results that pass between the lease manager and the code that runs it."""
 
 from __future__ import annotations
 
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-from thistlelever.wire.work import Owner, State, Value, Word
+from thistlelever.wire.work import Message, Owner, RunState, RunStatus
 
 Address = tuple[str, int]
 
 
-class Terms(NamedTuple):
-    """Times in seconds; `docs/takeover.md` says how they follow from each other."""
-
-    # How many fronts keep the record of a batch that somebody can come back for.
-    places: int = 3
-    # How long an owner may answer and call off unasked after a majority last confirmed it, and when it asks
-    # for that again.
-    lease: float = 1.0
-    renew: float = 0.4
-    # How long a batch's path waits for a majority at most, and when a word without an answer is sent again.
-    wait: float = 0.06
-    again: float = 0.015
-    # How long the record of what is over is kept, and how often an heir asks an engine for what it took over.
-    keep: float = 5.0
-    ask: float = 0.5
-    # A batch that nobody can come back for is told of only once it has been out for so long.
-    lazy: float = 0.05
-    # The most records that are kept for others, and batches that are asked on for at once.
-    most_kept: int = 20_000
-    most_taken: int = 256
-
-
-class Standing(IntEnum):
-    """What membership holds a front for."""
+class TakeoverConfig(NamedTuple):
+    """Settings of one front. Times are in seconds; `docs/takeover.md` derives them from each other."""
+
+    # Fronts that keep the record of a batch with an idempotency key.
+    replicas: int = 3
+    # How long an owner may answer and cancel without asking after a majority last confirmed its lease, and
+    # how often it renews the lease.
+    lease_s: float = 1.0
+    renew_interval_s: float = 0.4
+    # The longest that a batch waits for a majority, and the delay before an unanswered message is sent again.
+    quorum_timeout_s: float = 0.06
+    resend_interval_s: float = 0.015
+    # How long the record of a finished batch is kept, and how often a successor polls an engine for a run
+    # that it keeps alive.
+    retention_s: float = 5.0
+    keep_alive_interval_s: float = 0.5
+    # A batch without an idempotency key is reported to a replica once a dispatch has run for this long.
+    lazy_report_delay_s: float = 0.05
+    # The most records kept for other fronts, and the most runs kept alive at once.
+    max_records: int = 20_000
+    max_keep_alives: int = 256
+
+
+class Liveness(IntEnum):
+    """The state of a front according to membership."""
 
     ALIVE = 0
     SUSPECTED = 1
     GONE = 2
 
 
-class Group(NamedTuple):
-    """What matters here of a service group."""
+class QueryClassPolicy(NamedTuple):
+    """The properties of a query class that takeover needs; `time_limit` is in seconds."""
 
     name: str
-    utility: float
-    repeatable: bool
-    referenced: bool
+    value: float
+    idempotent: bool
+    deduplicated: bool
     time_limit: float
-    # Whether a batch of it that can't be protected is refused.
-    demands: bool
+    # Whether a batch is refused when no majority of replicas can record it.
+    requires_protection: bool
 
 
-class Say(Enum):
-    """How a question to the places ended."""
+class QuorumOutcome(Enum):
+    """How a request to the replicas of a batch ended."""
 
-    # Of a claim: nothing of it ever ran; it ran or may be running, and is now this front's; another owns it;
-    # nothing is known, and those asked are too young for that to mean anything; no majority answered.
+    # For a claim: the batch never ran; it ran or may be running and now belongs to this front; another front
+    # owns it; no record was found, but the replicas restarted too recently for that to prove anything; no
+    # majority answered.
     FRESH = "fresh"
     FOUND = "found"
     TAKEN = "taken"
     UNSURE = "unsure"
     ALONE = "alone"
-    # Of what was put: a majority has it; another has taken the batch over.
+    # For a put: a majority has stored it; another front has taken the batch over.
     SURE = "sure"
     LOST = "lost"
 
 
-class Told(NamedTuple):
-    """The answer to one question. `value` is what is known of the batch, `owner` who has it where it is
-    another's, `regained` whether it had been an heir's meanwhile."""
+class QuorumResult(NamedTuple):
+    """The result of one request. `value` is the latest known status of the batch, `owner` its present owner
+    if that is another front, `regained` whether a successor had held it in between."""
 
-    say: Say
-    value: Value | None = None
+    outcome: QuorumOutcome
+    value: RunStatus | None = None
     owner: Owner | None = None
     regained: bool = False
 
 
 class Send(NamedTuple):
+    """A message to be sent to another front."""
+
     address: Address
-    word: Word
+    message: Message
 
 
-class AskOn(NamedTuple):
-    """Go on asking the engine for a batch whose front is lost, so that it goes on running, and its result on
-    lying there."""
+class KeepAlive(NamedTuple):
+    """Command to poll the engine for a batch whose front is lost: an engine stops a run and drops a result
+    that nobody asks for."""
 
     key: bytes
     engine: str
@@ -92,8 +96,8 @@
     number: int
 
 
-class CallOff(NamedTuple):
-    """Nobody can come back for it: the engine is to be free at once."""
+class CancelRun(NamedTuple):
+    """Command to cancel a run that no client can ask for again, so that its engine is free at once."""
 
     key: bytes
     engine: str
@@ -101,19 +105,20 @@
     number: int
 
 
-class Enough(NamedTuple):
-    """Ask on no longer."""
+class StopKeepAlive(NamedTuple):
+    """Command to stop polling for a batch."""
 
     key: bytes
 
 
-class Note(NamedTuple):
-    """Something that befell a batch, for log and counters."""
+class LeaseEvent(NamedTuple):
+    """An event of a batch, for the log and the counters; `name` and the keys of `fields` are written out."""
 
-    what: str
+    name: str
     key: bytes
-    facts: dict
+    fields: dict
 
 
-def may_have_run(value: Value | None) -> bool:
-    return value is not None and value.state is not State.HELD
+def may_have_run(value: RunStatus | None) -> bool:
+    """Whether a known status says that a dispatch was sent, so that the batch may have run."""
+    return value is not None and value.state is not RunState.HELD
--- a/thistlelever/wire/dns.py
+++ b/thistlelever/wire/dns.py
@@ -1,4 +1,4 @@
-"""DNS (RFC 1035, SRV by RFC 2782): the query for the list of engines, and its answer."""
+"""DNS (RFC 1035, SRV records by RFC 2782): the query for the engine list, and its answer."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 HEADER, QUESTION, RECORD = Struct(">HHHHHH"), Struct(">HH"), Struct(">HHIH")
 SRV_DATA, SOA_DATA = Struct(">HHH"), Struct(">IIIII")
 A, SOA, TXT, SRV, IN = 1, 6, 16, 33, 1
-RECURSE, IS_ANSWER, CUT, RCODE = 0x0100, 0x8000, 0x0200, 0x000F
-LONGEST_NAME = 255
+RECURSION_DESIRED, RESPONSE, TRUNCATED, RCODE_MASK = 0x0100, 0x8000, 0x0200, 0x000F
+MAX_NAME_BYTES = 255
 
 
 class Unreadable(Exception):
-    """The message is no answer to the query, or not a whole one."""
+    """The message is not an answer to the query, or is truncated or malformed."""
 
 
-class Found(NamedTuple):
-    """One engine of the list, in the wire's words."""
+class EngineRecord(NamedTuple):
+    """An engine as the answer describes it; `facts` holds the `name=value` pairs of its TXT record."""
 
     id: str
     zone: str
@@ -27,74 +27,81 @@
     facts: dict[str, str]
 
 
-class Listing(NamedTuple):
+class EngineList(NamedTuple):
+    """The engines of an answer, and the serial number of its SOA record."""
+
     serial: int
-    engines: list[Found]
+    engines: list[EngineRecord]
 
 
-def query(number: int, name: str) -> bytes:
-    """The query for the SRV records of a name."""
+def encode_query(number: int, name: str) -> bytes:
+    """Encode the query for the SRV records of a name."""
     labels = b"".join(bytes((len(label),)) + label.encode("ascii") for label in name.split("."))
-    return HEADER.pack(number, RECURSE, 1, 0, 0, 0) + labels + b"\0" + QUESTION.pack(SRV, IN)
+    return HEADER.pack(number, RECURSION_DESIRED, 1, 0, 0, 0) + labels + b"\0" + QUESTION.pack(SRV, IN)
 
 
-def listing(message: bytes, number: int, name: str) -> Listing:
-    """The list that an answer to `query(number, name)` holds."""
+def decode_list(message: bytes, number: int, name: str) -> EngineList:
+    """Decode the answer to `encode_query(number, name)`; raises `Unreadable`."""
     try:
-        return read(message, number, name.lower())
+        return decode(message, number, name.lower())
     except (error, IndexError, UnicodeDecodeError, ValueError) as why:
-        raise Unreadable(f"cut short or out of form: {why}") from None
+        raise Unreadable(f"truncated or malformed: {why}") from None
 
 
-def read(message: bytes, number: int, name: str) -> Listing:
+def decode(message: bytes, number: int, name: str) -> EngineList:
+    """Decode an answer; a truncated one may raise any of the errors that `decode_list` converts."""
     given, flags, questions, *counts = HEADER.unpack_from(message)
-    if given != number or not flags & IS_ANSWER:
-        raise Unreadable("no answer to this query")
-    if flags & CUT or flags & RCODE:
-        raise Unreadable(f"cut by its sender, or refused with code {flags & RCODE}")
+    if given != number or not flags & RESPONSE:
+        raise Unreadable("not an answer to this query")
+    if flags & TRUNCATED or flags & RCODE_MASK:
+        raise Unreadable(f"truncated by the server, or refused with code {flags & RCODE_MASK}")
     at = HEADER.size
     for _ in range(questions):
-        _, at = name_at(message, at)
+        _, at = read_name(message, at)
         at += QUESTION.size
     services, addresses, texts, serial = [], {}, {}, None
     for _ in range(sum(counts)):
-        owner, at = name_at(message, at)
+        owner, at = read_name(message, at)
         owner = owner.lower()
         kind, _, _, size = RECORD.unpack_from(message, at)
         at += RECORD.size
         end = at + size
         if end > len(message):
-            raise Unreadable("a record past the end")
+            raise Unreadable("record beyond the end of the message")
         if kind == SRV and owner == name:
             priority, weight, port = SRV_DATA.unpack_from(message, at)
-            services.append((name_at(message, at + SRV_DATA.size)[0], priority, weight, port))
+            services.append((read_name(message, at + SRV_DATA.size)[0], priority, weight, port))
         elif kind == A:
             if size != 4:
-                raise Unreadable("an address that has not four bytes")
+                raise Unreadable("address that is not four bytes long")
             addresses[owner] = ".".join(map(str, message[at:end]))
         elif kind == TXT:
-            texts[owner] = texts.get(owner, []) + strings(message, at, end)
+            texts[owner] = texts.get(owner, []) + read_strings(message, at, end)
         elif kind == SOA:
-            after = name_at(message, name_at(message, at)[1])[1]
+            after = read_name(message, read_name(message, at)[1])[1]
             serial = SOA_DATA.unpack_from(message, after)[0]
         at = end
     if serial is None:
-        raise Unreadable("no SOA record")
-    return Listing(serial, [found(service, addresses, texts) for service in services])
+        raise Unreadable("missing SOA record")
+    return EngineList(serial, [engine_record(service, addresses, texts) for service in services])
 
 
-def found(service: tuple[str, int, int, int], addresses: dict, texts: dict) -> Found:
+def engine_record(service: tuple[str, int, int, int], addresses: dict, texts: dict) -> EngineRecord:
+    """Combine an SRV record with the address and the texts of its target; raises `Unreadable`."""
     target, priority, weight, port = service
     key = target.lower()
     labels = target.split(".")
     if key not in addresses or key not in texts or len(labels) < 2:
-        raise Unreadable(f"{target}: no address, no text or no zone")
+        raise Unreadable(f"{target}: missing address, TXT record or zone")
     facts = dict(text.split("=", 1) for text in texts[key] if "=" in text)
-    return Found(labels[0], labels[1], (addresses[key], port), priority > 0, weight / 10, facts)
+    return EngineRecord(labels[0], labels[1], (addresses[key], port), priority > 0, weight / 10, facts)
+
 
+def read_name(message: bytes, at: int) -> tuple[str, int]:
+    """Return the name at an offset and the offset after it; raises `Unreadable`.
 
-def name_at(message: bytes, at: int) -> tuple[str, int]:
-    """The name at a place, and the place after it. Each jump must go back, so none can go round."""
+    Each compression pointer must point further back than the last one, which rules out loops.
+    """
     labels, after, lowest, length = [], None, at, 0
     while True:
         size = message[at]
@@ -102,27 +109,28 @@
             target = (size & 0x3F) << 8 | message[at + 1]
             after = at + 2 if after is None else after
             if target >= lowest:
-                raise Unreadable("a pointer that does not go back")
+                raise Unreadable("compression pointer that does not point back")
             at = lowest = target
         elif size >= 0x40:
-            raise Unreadable("a label of unknown form")
+            raise Unreadable("label of unknown type")
         elif size == 0:
             return ".".join(labels), at + 1 if after is None else after
         else:
             label = message[at + 1 : at + 1 + size]
             length += size + 1
-            if len(label) < size or length > LONGEST_NAME:
-                raise Unreadable("a name cut short or too long")
+            if len(label) < size or length > MAX_NAME_BYTES:
+                raise Unreadable("name that is truncated or too long")
             labels.append(label.decode("ascii"))
             at += 1 + size
 
 
-def strings(message: bytes, at: int, end: int) -> list[str]:
+def read_strings(message: bytes, at: int, end: int) -> list[str]:
+    """Return the character strings of a TXT record; raises `Unreadable`."""
     found = []
     while at < end:
         size = message[at]
         if at + 1 + size > end:
-            raise Unreadable("a text past its record")
+            raise Unreadable("text beyond the end of its record")
         found.append(message[at + 1 : at + 1 + size].decode("utf-8"))
         at += 1 + size
     return found
