--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -19,7 +19,7 @@
 from thistlelever.budgets.wait_estimator import MIN_SCORED_WAIT, WaitEstimator
 from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Operator, read
-from thistlelever.lifecycle.run import Office
+from thistlelever.lifecycle.run import FrontServer
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import GROUP, SETTINGS, configuration
@@ -137,8 +137,8 @@
                 self.failures.append((event, facts))
 
         operator = read(json.dumps(self.section).encode()) if self.section else Operator()
-        self.office = Office(told, heard, operator=operator)
-        self.running = asyncio.create_task(self.office.run())
+        self.server = FrontServer(told, heard, operator=operator)
+        self.running = asyncio.create_task(self.server.run())
         self.listen = await ready
 
     async def play(self):
@@ -147,7 +147,7 @@
         watch = asyncio.create_task(self.watch())
         await asyncio.gather(*clients)
         watch.cancel()
-        self.office.stop.set()
+        self.server.stop.set()
         await self.running
         for engine in self.engines.values():
             await engine.stop()
@@ -159,7 +159,7 @@
         begun = asyncio.get_running_loop().time()
         while self.section:
             await asyncio.sleep(0.1)
-            fair_queue = self.office.courses.gate.fair_queue
+            fair_queue = self.server.courses.gate.fair_queue
             out = Counter()
             for batch in fair_queue.running.values():
                 out[batch.spec.team] += batch.spec.width
@@ -251,7 +251,7 @@
         for name, place in (("", 1), ("naive_", 3))
         for share in (50, 90, 99)
     }
-    fair_queue = flooded.office.courses.gate.fair_queue
+    fair_queue = flooded.server.courses.gate.fair_queue
     shares = {
         "alone": alone.in_time(VICTIM),
         "with_budgets": flooded.in_time(VICTIM),
@@ -265,7 +265,7 @@
     for name, day in (("alone", alone), ("flooded", flooded), ("without", without)):
         if day.late or day.answers["2+"]:
             broken.append(f"{name}: one final answer")
-        broken += [f"{name}: {n}" for n in day.office.metrics.counts if n.startswith("broken")]
+        broken += [f"{name}: {n}" for n in day.server.metrics.counts if n.startswith("broken")]
         broken += [f"{name}: {event}" for event, _ in day.failures]
     if not fair_queue.is_conserved() or fair_queue.batches:
         broken.append("something is still held")
--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -37,7 +37,7 @@
 from rigs.verdict import Chance, close
 from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Flight, Operator
-from thistlelever.lifecycle.run import Office
+from thistlelever.lifecycle.run import FrontServer
 from thistlelever.standins import flight_client
 from thistlelever.standins.book import Book, Common
 from thistlelever.standins.directory import Directory
@@ -137,8 +137,8 @@
                 self.failures.append((event, facts))
 
         self.failures = []
-        self.office = Office(told, log, operator=Operator(flight=terms))
-        self.running = asyncio.create_task(self.office.run())
+        self.server = FrontServer(told, log, operator=Operator(flight=terms))
+        self.running = asyncio.create_task(self.server.run())
         facts = await ready
         self.listen, self.flight_port = facts["listen"], facts["flight"][1]
         self.channels = [self.channel() for _ in range(4)]
@@ -303,11 +303,11 @@
 
     async def shut(self):
         async with asyncio.timeout(LIMIT_MS / 1e3 + 5):
-            while self.office.batches.by_number:
+            while self.server.batches.by_number:
                 await asyncio.sleep(0.02)
         # What would come after the one answer has come by now: it has no cause left.
         await asyncio.sleep(0.1)
-        self.office.stop.set()
+        self.server.stop.set()
         async with asyncio.timeout(15):
             await self.running
         for channel in self.channels:
@@ -341,14 +341,14 @@
         if most > 1:
             broken.append("one dispatch out at a time")
         broken += self.after_drains() + self.by_key(lines) + self.further(lines)
-        counts = self.office.metrics.counts
+        counts = self.server.metrics.counts
         broken += [f"must: {name}" for name in counts if name.startswith("broken")]
         broken += [f"fault: {event}" for event, _ in self.failures]
         told = sum(counts[name] for name in ("End", "Begun", "PushBack", "Error"))
         left = counts["taken"] - told
         if not 0 <= left <= sum(a.manner in LEAVERS for a in self.asked):
             broken.append("the front's own book")
-        if self.office.flight.engines.purse.spent or self.office.flight.door.open:
+        if self.server.flight.engines.purse.spent or self.server.flight.door.open:
             broken.append("something is still held")
         by_engine = Counter()
         for name, engine in self.engines.items():
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -64,7 +64,7 @@
 
     def __init__(self):
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
-        self.settings, self.office, self.running = json.loads(json.dumps(SETTINGS)), None, None
+        self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
         self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.SLOWER
         # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
         self.sections = {}
@@ -116,14 +116,14 @@
         self.config = configuration(entries, settings=self.settings)
         await self.open_directory()
         told = front_config.read(self.config, {})._replace(sockets=int(sockets))
-        self.office = run.Office(
+        self.server = run.FrontServer(
             told,
             self.log,
             lambda: front_config.read(self.config, {}),
             self.operator(),
             self.operator if self.door is not None or self.sections else None,
         )
-        self.running = asyncio.create_task(self.office.run())
+        self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
         listen = next(facts["listen"] for event, facts in self.events if event == "ready")
         self.reader, self.writer = await asyncio.open_connection(*listen, limit=2**20)
@@ -214,14 +214,14 @@
 
     async def do_volunteers(self, name, *words):
         """The engine sends what nobody asked for on its newest connection; the front has seen it."""
-        kept = self.office.links.kept[name.encode()]
+        kept = self.server.links.kept[name.encode()]
         seen = kept[-1].reading
         self.engines[name].writers[-1].write(unescaped(words))
         async with asyncio.timeout(LONGEST_WAIT):
             await asyncio.wait((seen,))
 
     async def do_at_ease(self, name):
-        front = self.office.desk.front
+        front = self.server.desk.front
         assert not front.doubt[front.index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
@@ -247,30 +247,30 @@
         self.directory.steps.extend(steps)
 
     async def do_listed(self, *names):
-        roll = self.office.roll
+        roll = self.server.roll
         await self.until(
             lambda: sorted(names) == sorted(e.id.decode() for e in roll.told() if roll.open_to(e.id))
         )
 
     async def do_lags(self, seconds):
         """As if the loop had just come so late; remembered for as long as the scenario lasts."""
-        self.office.pulse.felt = lambda late: None
-        self.office.pulse.lag = float(seconds)
+        self.server.pulse.felt = lambda late: None
+        self.server.pulse.lag = float(seconds)
 
     async def do_up(self, name):
-        front = self.office.desk.front
+        front = self.server.desk.front
         assert not front.down[front.index[name.encode()]]
 
     async def do_kept(self, count, name):
-        assert len(self.office.links.kept.get(name.encode(), ())) == int(count)
+        assert len(self.server.links.kept.get(name.encode(), ())) == int(count)
 
     async def do_waiting(self, count):
         """So many calls wait for a connection."""
-        await self.until(lambda: sum(map(len, self.office.links.waiting)) >= int(count))
+        await self.until(lambda: sum(map(len, self.server.links.waiting)) >= int(count))
 
     async def do_counted(self, *words):
         name = " ".join(words)
-        await self.until(lambda: self.office.metrics.counts[name] > 0)
+        await self.until(lambda: self.server.metrics.counts[name] > 0)
 
     async def do_sighup(self, event, *words):
         """The configuration is read again; the log says so, with these words in what it says."""
@@ -302,7 +302,7 @@
 
     async def do_places(self, count):
         """So many clients at once, whatever the descriptors allow."""
-        self.office.reception.bounds = self.office.reception.bounds._replace(sessions=int(count))
+        self.server.reception.bounds = self.server.reception.bounds._replace(sessions=int(count))
 
     async def do_rush(self, count, silent):
         """In one moment so many clients connect with a batch each, behind them others that say nothing."""
@@ -332,7 +332,7 @@
     async def do_stopped(self):
         async with asyncio.timeout(LONGEST_WAIT):
             await self.running
-        assert not [name for name in self.office.metrics.counts if name.startswith("broken")]
+        assert not [name for name in self.server.metrics.counts if name.startswith("broken")]
 
     async def end(self):
         clients.SLOWER = self.was_slower
@@ -345,9 +345,9 @@
         for engine in (*self.engines.values(), *self.relays.values()):
             await engine.stop()
         if self.running and not self.running.done():
-            self.office.stop.set()
+            self.server.stop.set()
             await self.running
-        if self.office:
+        if self.server:
             for _, writer in [*self.crowd, (0, self.writer)]:
                 writer.close()
             self.directory.transport.close()
@@ -358,7 +358,7 @@
 
     async def do_dials_held(self):
         """No connection to an engine comes up from now on until `dials_go`."""
-        links, self.dials, self.go = self.office.links, 0, asyncio.Event()
+        links, self.dials, self.go = self.server.links, 0, asyncio.Event()
         connect = links.connect
 
         async def held(entry):
@@ -387,12 +387,12 @@
 
     async def do_given_up(self, number):
         """The front knows that nobody waits for the batch any more."""
-        batches = self.office.batches.by_txn
+        batches = self.server.batches.by_txn
         await self.look_until(lambda: batches[f"{int(number):016x}"].answered)
 
     async def do_over(self):
         """Nothing is open at the front."""
-        await self.look_until(lambda: not self.office.batches.by_number)
+        await self.look_until(lambda: not self.server.batches.by_number)
 
     async def do_floods_and_goes(self, count):
         """In one moment a client connects, submits so many batches and closes; the front is done with it."""
@@ -430,7 +430,7 @@
 
     async def do_held_back(self, count):
         """So many batches are held by their budgets by now."""
-        await self.look_until(lambda: self.office.courses.gate.fair_queue.root.queued == int(count))
+        await self.look_until(lambda: self.server.courses.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Just one of them has an answer, and it says that it may have run."""
@@ -515,7 +515,7 @@
         from grpc import aio
 
         if client not in self.channels:
-            port = self.office.flight.door.port
+            port = self.server.flight.door.port
             options = (
                 ("grpc.use_local_subchannel_pool", 1),
                 ("grpc.http2.lookahead_bytes", 65_536),
@@ -656,7 +656,7 @@
 
     async def do_fronts_out(self, count):
         """So many batches are open at the front by now."""
-        await self.look_until(lambda: len(self.office.batches.by_number) == int(count))
+        await self.look_until(lambda: len(self.server.batches.by_number) == int(count))
 
     async def do_sent_at_most(self, name, size):
         """The engine has sent no more than so many bytes of its result, as its reader is slow."""
@@ -703,7 +703,7 @@
             try:
                 await stage.line(*words)
             except Exception as why:
-                counts = stage.office.metrics.counts if stage.office else ""
+                counts = stage.server.metrics.counts if stage.server else ""
                 seen = f"{stage.events} {stage.answers} {counts}"
                 raise AssertionError(f"{line}: {' '.join(words)}: {why} {seen}") from why
         yield stage
--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -25,7 +25,7 @@
     """Nothing new may go to the engine while the directory answers so many further queries."""
     until = stage.directory.asked + answers
     while stage.directory.asked < until:
-        assert not stage.office.roll.open_to(engine)
+        assert not stage.server.roll.open_to(engine)
         await asyncio.sleep(0.001)
 
 
@@ -39,12 +39,12 @@
             await stage.do_directory(*["former"] * count)
             await pace_answers(stage, count + 1)
             async with asyncio.timeout(DRAIN_GRACE):
-                while stage.office.roll.open_to(b"b"):
+                while stage.server.roll.open_to(b"b"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"b", 5)
             stage.directory.serial, stage.directory.entries = 5, states(stage, "a", "b-", "c-")
             async with asyncio.timeout(directory.PACE + DRAIN_GRACE):
-                while stage.office.roll.open_to(b"c"):
+                while stage.server.roll.open_to(b"c"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"c", 5)
             await play(stage, "submit 1 pay\nanswer 1 result rows\ncalls b POST 0\ncalls c POST 0")
@@ -79,6 +79,6 @@
     stage.directory.serial, stage.directory.entries = 1, states(stage, "a-", "b")
     await pace_answers(stage, 3)
     await stage.do_listed("b")
-    assert stage.office.roll.serial == 5
-    await stage.look_until(lambda: stage.office.roll.serial == 1)
+    assert stage.server.roll.serial == 5
+    await stage.look_until(lambda: stage.server.roll.serial == 1)
     await play(stage, "listed b\nsubmit 1 pay\nanswer 1 result rows\ncalls a POST 0")
--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -144,8 +144,8 @@
         try:
             with brisk():
                 await front.serve()
-                gate = front.office.courses.gate
-                shown = front.office.inquiry.show
+                gate = front.server.courses.gate
+                shown = front.server.inquiry.show
 
                 def guarantees():
                     brokers = gate.fair_queue.tree.plan.brokers
@@ -184,7 +184,7 @@
             with brisk():
                 await front.serve()
                 first = await stage.publish(documents={"operator": budgets(acme=0.5)})
-                configuration = front.office.inquiry.configuration
+                configuration = front.server.inquiry.configuration
                 await stage.until(lambda: str(configuration.in_force_since) == first)
                 await stage.publish(documents={"operator": budgets(acme=0.75, zeta=0.75)})
                 await stage.until(lambda: configuration.refused)
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -40,7 +40,7 @@
 
     async def run():
         async with front(*lines) as stage:
-            return await work(stage, f"grpc://127.0.0.1:{stage.office.flight.door.port}")
+            return await work(stage, f"grpc://127.0.0.1:{stage.server.flight.door.port}")
 
     return asyncio.run(run())
 
@@ -216,7 +216,7 @@
         with pytest.raises(client.Refused) as why:
             await client.unary(stage.channel(), method, sent)
         table = await client.query(stage.channel(), STATEMENT)
-        return why.value, table.num_rows, len(stage.office.batches.by_number)
+        return why.value, table.num_rows, len(stage.server.batches.by_number)
 
     why, rows, still_open = played(work)
     assert why.code == code and words in why.details, why
@@ -247,7 +247,7 @@
 def test_tickets_of_another_front_and_of_before_a_restart():
     async def other(name):
         async with front() as stage:
-            stage.office.flight.door.seal.front = stage.office.flight.door.tickets.front = name
+            stage.server.flight.door.seal.front = stage.server.flight.door.tickets.front = name
             return (await client.info(stage.channel(), STATEMENT)).endpoint[0].ticket
 
     async def run():
@@ -288,7 +288,7 @@
             "ClosePreparedStatement",
             parcels.wrapped(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
-        assert not stage.office.flight.door.shelf.held and not stage.office.flight.door.shelf.bytes
+        assert not stage.server.flight.door.shelf.held and not stage.server.flight.door.shelf.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
 
     return played(work)
@@ -389,7 +389,7 @@
                 literal(b"content-type", b"application/grpc"),
             )
         )
-        port, socks = stage.office.flight.door.port, []
+        port, socks = stage.server.flight.door.port, []
         for _ in range(20):
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(
@@ -404,7 +404,7 @@
         found = [(await client.query(stage.channel(), STATEMENT)).num_rows for _ in range(3)]
         for sock in socks:
             sock.close()
-        return found, len(stage.office.batches.by_number)
+        return found, len(stage.server.batches.by_number)
 
     assert played(work) == ([len(ROWS)] * 3, 0)
 
@@ -427,8 +427,8 @@
     found, stage = played(work, "flight_engine f", 'door group="lookup" streams=40', "front")
     assert set(found) <= {len(ROWS), "RESOURCE_EXHAUSTED", "INTERNAL", "DEADLINE_EXCEEDED"}
     assert len(found) == 301 and found.count(len(ROWS)) >= 40
-    assert not stage.office.batches.by_number and not stage.office.flight.door.open
-    assert stage.office.flight.engines.purse.spent == 0
+    assert not stage.server.batches.by_number and not stage.server.flight.door.open
+    assert stage.server.flight.engines.purse.spent == 0
 
 
 def test_the_catalogue_and_facts():
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -67,7 +67,7 @@
             stage.writer.write(BAD_LINES)
             await stage.do_counted("clients", "that", "send", "nothing", "of", "use")
             await stage.do_client_leaves()
-            await stage.until(lambda: not stage.office.reception.sessions)
+            await stage.until(lambda: not stage.server.reception.sessions)
             stage.engines["a"].released.set()
 
     asyncio.run(whole())
@@ -94,7 +94,7 @@
             def fails(*args):
                 raise RuntimeError("a fault of this code")
 
-            monkeypatch.setattr(stage.office.dispatcher, "start", fails)
+            monkeypatch.setattr(stage.server.dispatcher, "start", fails)
             stage.writer.write(stage.submission(1, "pay"))
             await stage.until(lambda: stage.answers)
             assert "error" in stage.answers[0] and stage.answers[0]["id"] == 1
@@ -108,7 +108,7 @@
 def test_a_client_that_takes_no_answers_is_left_and_others_are_served():
     async def whole():
         async with served("engine a\nfront") as stage:
-            reception = stage.office.reception
+            reception = stage.server.reception
             bounds = reception.bounds
             reception.bounds = bounds._replace(unread=10)
             stage.writer.write(stage.submission(1, "lookup"))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -528,12 +528,12 @@
     async def run():
         with brisk():
             async with staged([(line, line.split()) for line in lines]) as stage:
-                side = stage.office.state
+                component = stage.server.state
                 await stage.until(lambda: any(e == "state not kept" for e, _ in stage.events))
-                assert not side.show()["keeps"] and side.show()["records"]["mark"] == 1
+                assert not component.show()["keeps"] and component.show()["records"]["mark"] == 1
                 (tmp_path / "none").mkdir()
                 await stage.until(lambda: any(e == "state kept again" for e, _ in stage.events))
-                assert side.show()["keeps"]
+                assert component.show()["keeps"]
                 said = [e for e, _ in stage.events if e == "state not kept"]
         return said
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -124,7 +124,7 @@
         await play(stage, f"list {serial} a c\nlisted a")
         await pace_answers(stage, 10)
         await stage.do_listed("a")
-        assert set(stage.office.roll.listing()) == {b"a", b"b"} and stage.office.roll.serial == 5
+        assert set(stage.server.roll.listing()) == {b"a", b"b"} and stage.server.roll.serial == 5
         await play(stage, "list 5 a b\nlisted a b")
     await play(stage, "list 6 b\nlisted b")
 
@@ -209,13 +209,13 @@
 async def test_a_connection_that_waits_at_the_port_when_it_is_closed_is_answered(stage, monkeypatch):
     """It comes in the very turn of the loop in which the front takes no more."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
-    finish, socks = stage.office.reception.finish, []
+    finish, socks = stage.server.reception.finish, []
 
     def crossing(within):
         socks.append(connect(stage, stage.submission(100, "lookup")))
         return finish(within)
 
-    monkeypatch.setattr(stage.office.reception, "finish", crossing)
+    monkeypatch.setattr(stage.server.reception, "finish", crossing)
     await stage.do_sigterm()
     await stage.look_until(lambda: socks)
     assert "result" in (await answer_on(socks[0]))
@@ -276,7 +276,7 @@
     line = stage.submission(2, "lookup")
     stage.writer.write(line[:40])
     await asyncio.sleep(0.05)
-    stage.office.reception.sweep()
+    stage.server.reception.sweep()
     await asyncio.sleep(0.05)
     stage.writer.write(line[40:])
     await stage.do_answer(2, "result", "rows")
@@ -302,7 +302,7 @@
     monkeypatch.setattr(clients, "SILENT", 0.2)
     stage.writer.write(b'{"jsonrpc":"2.0",')
     await asyncio.sleep(0.3)
-    stage.office.reception.sweep()
+    stage.server.reception.sweep()
     await stage.do_hung_up_in_order()
 
 
@@ -379,7 +379,7 @@
             assert "result" in stage.answers[0], stage.answers
             await play(stage, "calls a POST 1")
             # The connection on which it goes on is closed.
-            await stage.look_until(lambda: stage.office.links.count == len(stage.engines["a"].writers))
+            await stage.look_until(lambda: stage.server.links.count == len(stage.engines["a"].writers))
 
     asyncio.run(whole())
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -72,7 +72,7 @@
         "import sys, thistlelever.__main__, thistlelever.lifecycle.run, thistlelever.wirehost.host\n"
         "extra = ('grpc', 'pyarrow', 'google', 'msgspec', 'itsdangerous', 'thistlelever.flight', "
         "'thistlelever.state', 'thistlelever.standins', 'thistlelever.membership', "
-        "'thistlelever.carrier.peers', 'thistlelever.wire.peers', 'thistlelever.lifecycle.parts', "
+        "'thistlelever.carrier.peers', 'thistlelever.wire.peers', 'thistlelever.lifecycle.components', "
         "'thistlelever.takeover', 'thistlelever.wire.work', 'thistlelever.carrier.wards', 'xxhash', "
         "'thistlelever.recovery', 'thistlelever.ledger', 'thistlelever.carrier.recollection', 'apsw')\n"
         "print([m for m in sys.modules if m.startswith(extra)])"
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -23,13 +23,13 @@
     async def whole():
         async with served("engine a\nengine b\nfront") as stage:
             monkeypatch.setattr(directory, "PACE", SERVICE_PACE)
-            loop, office = asyncio.get_running_loop(), stage.office
+            loop, server = asyncio.get_running_loop(), stage.server
             await asyncio.sleep(2 * SERVICE_PACE)
             stage.directory.delay = delay
             stage.directory.serial = 4
             stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
             async with asyncio.timeout(3 * delay + 2.0):
-                while office.roll.open_to(b"b"):
+                while server.roll.open_to(b"b"):
                     await asyncio.sleep(0.005)
             assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
 
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -132,8 +132,8 @@
         self.config = configuration((), settings=self.settings)
         await self.open_directory()
         read = front_config.read(self.config, {})
-        self.office = run.Office(read, self.log, lambda: read, self.operator(), self.operator)
-        self.running = asyncio.create_task(self.office.run())
+        self.server = run.FrontServer(read, self.log, lambda: read, self.operator(), self.operator)
+        self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
         listen = next(facts["listen"] for event, facts in self.events if event == "ready")
         self.reader, self.writer = await asyncio.open_connection(*listen, limit=2**20)
@@ -141,7 +141,7 @@
 
     async def holds(self, version):
         """The front is at this version."""
-        replica = self.office.inquiry.subscription.replica
+        replica = self.server.inquiry.subscription.replica
         await self.distributors.until(lambda: str(replica.version) == version)
 
 
@@ -170,7 +170,7 @@
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert stage.directory.asked == 0
-        shown = stage.office.questions()["engines.show"]()
+        shown = stage.server.questions()["engines.show"]()
         assert shown["engines"] == 2 and shown["distributor"] and shown["age_s"] < 2
         assert shown["version"] == str(distributors.running[0].catalog.version)
 
@@ -179,7 +179,7 @@
 
 def test_nothing_new_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
     async def scenario(stage, distributors):
-        discovery = stage.office.inquiry
+        discovery = stage.server.inquiry
         # Cut off: the front reaches no distributor.
         discovery.subscription.terms = discovery.subscription.terms._replace(
             distributors=(("127.0.0.1", 9), ("127.0.0.1", 9))
@@ -201,7 +201,7 @@
             distributors=distributors.addresses
         )
         await stage.holds(version)
-        assert not stage.office.roll.open_to(b"cala")
+        assert not stage.server.roll.open_to(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
     play(scenario, ("cala", "duna"))
--- a/thistlelever/demo.py
+++ b/thistlelever/demo.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 from thistlelever.ground import config as front_config
-from thistlelever.lifecycle.run import Office
+from thistlelever.lifecycle.run import FrontServer
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine, rows
 from thistlelever.standins.papers import configuration
@@ -21,7 +21,7 @@
     """A directory and engines, and the front among them."""
 
     def __init__(self) -> None:
-        self.stir, self.engines, self.office = asyncio.Event(), {}, None
+        self.stir, self.engines, self.server = asyncio.Event(), {}, None
         self.running: asyncio.Task | None = None
 
     async def open(self, flight: bool) -> dict | None:
@@ -53,13 +53,13 @@
             if event == "ready" and not ready.done():
                 ready.set_result(facts)
 
-        self.office = Office(told, log, operator=operator)
-        self.running = asyncio.create_task(self.office.run())
+        self.server = FrontServer(told, log, operator=operator)
+        self.running = asyncio.create_task(self.server.run())
         done, _ = await asyncio.wait((ready, self.running), timeout=10, return_when=asyncio.FIRST_COMPLETED)
         return ready.result() if ready in done else None
 
     async def close(self) -> None:
-        self.office.stop.set()
+        self.server.stop.set()
         with suppress(Exception):
             await self.running
         self.directory.transport.close()
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -12,7 +12,7 @@
 from thistlelever.ground.config import Config
 from thistlelever.ground.operator import Budgets, Operator
 from thistlelever.ground.settings import ConfigError
-from thistlelever.lifecycle.parts import Parts
+from thistlelever.lifecycle.components import FrontContext
 
 
 def plan(section: Budgets) -> Plan:
@@ -32,25 +32,27 @@
         raise ConfigError(f"operator file: budgets: {why}") from None
 
 
-class BudgetsSide:
+class BudgetsComponent:
     """The gate that batches pass before the decisions hear of them."""
 
-    def __init__(self, parts: Parts, section: Budgets) -> None:
-        self.parts, config = parts, parts.config
-        self.gate = parts.courses.gate = BudgetGate(
+    start_stage = "BudgetsSide"
+
+    def __init__(self, context: FrontContext, section: Budgets) -> None:
+        self.context, config = context, context.config
+        self.gate = context.courses.gate = BudgetGate(
             config.settings,
             plan(section),
             self.policy(section),
             section.threads_a_core,
             config.seed,
-            parts.batches,
-            parts.roll,
-            parts.metrics,
-            parts.log,
+            context.batches,
+            context.roll,
+            context.metrics,
+            context.log,
         )
 
     def policy(self, section: Budgets) -> QueuePolicy:
-        settings = self.parts.config.settings
+        settings = self.context.config.settings
         longest = settings.longest_return if settings.names_return else 0.0
         return QueuePolicy(settings.cancel, section.waste, longest, section.depth)
 
@@ -69,7 +71,7 @@
 
     def explained(self, batch: str) -> dict:
         """By the client's id of the batch, or the front's number of it."""
-        found = self.parts.batches.by_txn.get(batch)
+        found = self.context.batches.by_txn.get(batch)
         number = found.number if found else int(batch) if batch.isdigit() and len(batch) < 16 else 0
         return views.explain(self.gate.fair_queue, number, clock.now())
 
--- a/thistlelever/lifecycle/parts.py
+++ b/thistlelever/lifecycle/components.py
@@ -23,7 +23,7 @@
     from thistlelever.ground.operator import Operator
 
 
-class Parts(NamedTuple):
+class FrontContext(NamedTuple):
     """What a front is made of, as far as further parts work with it."""
 
     config: Config
@@ -38,9 +38,12 @@
     inquiry: Inquiry
 
 
-class Side(Protocol):
+class Component(Protocol):
     """A part that the operator file switches on."""
 
+    # The name of its stage among the start times of the ready line.
+    start_stage: str
+
     async def open(self) -> dict:
         """Start; what the line `ready` of the log says of it."""
 
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -8,30 +8,32 @@
 from thistlelever.flight.door import Door
 from thistlelever.ground.operator import Flight, Operator, address
 from thistlelever.ground.config import Config, Entry
-from thistlelever.lifecycle.parts import Parts
+from thistlelever.lifecycle.components import FrontContext
 from thistlelever.wire.inflow import Purse
 
 # The least that may lie between an engine and its client, so that a message of usual size passes whole.
 LEAST_BETWEEN = 65_536
 
 
-class FlightSide:
+class FlightComponent:
     """The door for clients and the way to engines, either or both."""
 
-    def __init__(self, parts: Parts, terms: Flight) -> None:
-        config, self.terms = parts.config, terms
+    start_stage = "FlightSide"
+
+    def __init__(self, context: FrontContext, terms: Flight) -> None:
+        config, self.terms = context.config, terms
         between = max(terms.held_bytes_all // terms.streams, LEAST_BETWEEN)
         self.engines = FlightEngines(
             config.settings,
-            parts.roll,
-            parts.desk,
-            parts.metrics,
+            context.roll,
+            context.desk,
+            context.metrics,
             terms.held_bytes,
             between,
             Purse(terms.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
+        self.door = Door(terms, config.name, context.intake, context.courses, context.metrics, context.log)
 
     def speaks(self, entry: Entry) -> bool:
         """Whether an engine speaks Flight SQL, by its kind or its own id."""
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -12,7 +12,7 @@
 from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Membership, Operator
 from thistlelever.ground.config import Config
-from thistlelever.lifecycle.parts import Parts
+from thistlelever.lifecycle.components import FrontContext
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.facts import Identity, TierSettings, View
@@ -31,17 +31,19 @@
         raise ConfigError("operator file: membership: peer_listen in the configuration expected; found none")
 
 
-class MembershipSide:
+class MembershipComponent:
     """Who else is alive, told to whoever counts fronts."""
 
-    def __init__(self, parts: Parts, section: Membership) -> None:
-        config = parts.config
+    start_stage = "MembershipSide"
+
+    def __init__(self, context: FrontContext, section: Membership) -> None:
+        config = context.config
         sound(section, config)
-        self.parts, self.service_health = parts, ServiceHealth()
+        self.context, self.service_health = context, ServiceHealth()
         # Behind a relay or an address translation others know this front by another address than it binds.
         rank = config.rank
         known_as = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
-        self.peers = Peers(config.peer_listen, section.tier, parts.metrics)
+        self.peers = Peers(config.peer_listen, section.tier, context.metrics)
         membership_config = MembershipConfig(
             period=section.period_s,
             suspicion_timeout=section.suspect_s,
@@ -50,7 +52,7 @@
         identity = Identity(config.name, known_as, int((clock.wall() - EPOCH) * 8))
         tier = TierSettings(config.peers, config.settings.fronts)
         judge = Judge(membership_config, identity, tier, config.seed, clock.now())
-        self.members = Members(judge, self.peers, parts.metrics, parts.log, self.counted)
+        self.members = Members(judge, self.peers, context.metrics, context.log, self.counted)
         self.fronts, self.task, self.left = config.settings.fronts, None, False
 
     async def open(self) -> dict:
@@ -73,13 +75,13 @@
         """As many fronts as share the engines: a fact for the decisions and the budgets."""
         if view.fronts != self.fronts:
             self.fronts = view.fronts
-            self.parts.log("fronts counted", fronts=view.fronts, alone=view.alone)
-            self.parts.desk.tell(it.FrontCountChanged(view.fronts))
-            if self.parts.courses.gate:
-                self.parts.courses.gate.set_front_count(view.fronts)
+            self.context.log("fronts counted", fronts=view.fronts, alone=view.alone)
+            self.context.desk.tell(it.FrontCountChanged(view.fronts))
+            if self.context.courses.gate:
+                self.context.courses.gate.set_front_count(view.fronts)
 
     async def looking(self) -> None:
-        counts, batches = self.parts.metrics.counts, self.parts.batches
+        counts, batches = self.context.metrics.counts, self.context.batches
         while True:
             await asyncio.sleep(LOOK)
             answered = counts["End"] + counts["PushBack"] + counts["Error"]
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -35,11 +35,11 @@
     from thistlelever.ground.operator import Operator, Takeover
     from thistlelever.lifecycle.admin import Administration
     from thistlelever.lifecycle.distribution import SubscribedDiscovery
-    from thistlelever.lifecycle.flight import FlightSide
-    from thistlelever.lifecycle.membership import MembershipSide
-    from thistlelever.lifecycle.parts import Parts, Side
-    from thistlelever.lifecycle.state import StateSide
-    from thistlelever.lifecycle.takeover import TakeoverSide
+    from thistlelever.lifecycle.flight import FlightComponent
+    from thistlelever.lifecycle.membership import MembershipComponent
+    from thistlelever.lifecycle.components import Component, FrontContext
+    from thistlelever.lifecycle.state import StateComponent
+    from thistlelever.lifecycle.takeover import TakeoverComponent
 
 # After a SIGTERM, requests go on coming for 0.6 s; the kill comes no sooner than the longest time limit,
 # or 3 s if that is less, and 0.7 s more after it. The last answers are written before.
@@ -61,7 +61,7 @@
 T = TypeVar("T")
 
 
-class Office:
+class FrontServer:
     """The parts of one front, put together."""
 
     def __init__(
@@ -88,9 +88,9 @@
         self.dispatcher = Dispatcher(
             settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
         )
-        self.flight: FlightSide | None = None
-        self.membership: MembershipSide | None = None
-        self.state: StateSide | None = None
+        self.flight: FlightComponent | None = None
+        self.membership: MembershipComponent | None = None
+        self.state: StateComponent | None = None
         self.courses = Courses(self.desk, self.dispatcher, self.batches, self.metrics, log)
         self.pulse = Pulse()
         self.intake = Intake(settings, self.pulse, self.batches)
@@ -99,10 +99,10 @@
         self.desk.on_probe = self.dispatcher.probe
         self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
         # What the operator file switches on beside that, in the order in which it is opened.
-        self.sides: list[Side] = self.switched_on(operator) if operator else []
+        self.components: list[Component] = self.switched_on(operator) if operator else []
         if self.flight:
-            side = self.flight
-            self.dispatcher.speech = lambda entry: side.engines if side.speaks(entry) else over_http
+            component = self.flight
+            self.dispatcher.speech = lambda entry: component.engines if component.speaks(entry) else over_http
         self.admin: Administration | None = None
         self.stop, self.renew = asyncio.Event(), asyncio.Event()
         self.inquiry.on_new_configuration = self.renew.set
@@ -120,11 +120,11 @@
             self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
         )
 
-    def parts(self) -> Parts:
+    def component_context(self) -> FrontContext:
         """What further parts are handed."""
-        from thistlelever.lifecycle.parts import Parts
+        from thistlelever.lifecycle.components import FrontContext
 
-        return Parts(
+        return FrontContext(
             self.config,
             self.log,
             self.metrics,
@@ -137,41 +137,43 @@
             self.inquiry,
         )
 
-    def switched_on(self, operator: Operator) -> list[Side]:
+    def switched_on(self, operator: Operator) -> list[Component]:
         """Each section that is there, put together; the others are not even imported."""
-        parts = self.parts()
-        sides: list[Side] = []
+        context = self.component_context()
+        components: list[Component] = []
         if operator.flight:
-            from thistlelever.lifecycle.flight import FlightSide
+            from thistlelever.lifecycle.flight import FlightComponent
 
-            self.flight = FlightSide(parts, operator.flight)
-            sides.append(self.flight)
+            self.flight = FlightComponent(context, operator.flight)
+            components.append(self.flight)
         if operator.state:
-            from thistlelever.lifecycle.state import StateSide
+            from thistlelever.lifecycle.state import StateComponent
 
-            self.state = StateSide(parts, operator.state)
-            sides.append(self.state)
+            self.state = StateComponent(context, operator.state)
+            components.append(self.state)
             # Risk: a front that starts again takes an older list than it had, of a distributor that is
             # behind.
             self.inquiry.accept_from(self.state.highest_serial())
         if operator.budgets:
-            from thistlelever.lifecycle.budgets import BudgetsSide
+            from thistlelever.lifecycle.budgets import BudgetsComponent
 
-            sides.append(BudgetsSide(parts, operator.budgets))
+            components.append(BudgetsComponent(context, operator.budgets))
         if operator.membership:
-            from thistlelever.lifecycle.membership import MembershipSide
+            from thistlelever.lifecycle.membership import MembershipComponent
 
-            self.membership = MembershipSide(parts, operator.membership)
-            sides.append(self.membership)
+            self.membership = MembershipComponent(context, operator.membership)
+            components.append(self.membership)
             if operator.takeover:
-                sides.append(self.takeover(parts, operator.takeover, self.membership))
-        return sides
+                components.append(self.takeover(context, operator.takeover, self.membership))
+        return components
 
-    def takeover(self, parts: Parts, section: Takeover, membership: MembershipSide) -> TakeoverSide:
+    def takeover(
+        self, context: FrontContext, section: Takeover, membership: MembershipComponent
+    ) -> TakeoverComponent:
         """Takeover, which hears of it where the front keeps nothing on disk."""
-        from thistlelever.lifecycle.takeover import TakeoverSide
+        from thistlelever.lifecycle.takeover import TakeoverComponent
 
-        takeover = TakeoverSide(parts, section, membership)
+        takeover = TakeoverComponent(context, section, membership)
         if self.state:
             # A front that keeps nothing does not promise others to.
             self.state.on_failing.append(takeover.failing)
@@ -204,9 +206,9 @@
         self.reception.listen(raw)
         start_times.reached("listening")
         further: dict = {}
-        for side in self.sides:
-            further |= await side.open()
-            start_times.reached(type(side).__name__)
+        for component in self.components:
+            further |= await component.open()
+            start_times.reached(component.start_stage)
         if self.operator and self.operator.admin:
             from thistlelever.lifecycle.admin import Administration
 
@@ -228,8 +230,8 @@
     def questions(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked, by the parts that are on."""
         asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
-        for part in (self.inquiry, *self.sides):
-            asked |= part.questions()
+        for component in (self.inquiry, *self.components):
+            asked |= component.questions()
         return asked
 
     async def run(self, start_times: StartTimes | None = None) -> None:
@@ -244,16 +246,16 @@
         stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
-        for side in self.sides:
-            side.stopping()
+        for component in self.components:
+            component.stopping()
         self.courses.stop(stop_at)
         await asyncio.sleep(STILL_COMING)
         while self.courses.tasks and clock.now() < stop_at + LAST_BYTES:
             await asyncio.wait(self.courses.tasks, timeout=stop_at + LAST_BYTES - clock.now())
         # The last answers may still lie in the connections' buffers.
         await self.reception.finish(LAST_BYTES)
-        for side in self.sides:
-            await side.close(LAST_BYTES)
+        for component in self.components:
+            await component.close(LAST_BYTES)
         if self.admin:
             await self.admin.close()
         for task in self.tasks:
@@ -301,8 +303,8 @@
         """Take from the operator file what can change at once; the keys that wait for a restart."""
         if new is None:
             return []
-        for side in self.sides:
-            side.renew(new, self.config)
+        for component in self.components:
+            component.renew(new, self.config)
         if new == self.operator:
             return []
         from thistlelever.ground.operator import AT_ONCE, differing
@@ -343,13 +345,13 @@
     start_times: StartTimes | None = None,
 ) -> int:
     """Serve until SIGTERM and all that was taken is answered."""
-    office = Office(config, log, operator=operator, operator_again=operator_again)
+    server = FrontServer(config, log, operator=operator, operator_again=operator_again)
     # What was made at the start lives as long as the front: no collection need look at it again.
     gc.collect()
     gc.freeze()
     start_times = start_times or StartTimes()
     start_times.reached("built")
-    await office.run(start_times)
+    await server.run(start_times)
     return 0
 
 
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -18,7 +18,7 @@
 from thistlelever.ledger.file import File
 from thistlelever.ledger.keeper import Keeper
 from thistlelever.ledger.records import Learnt, Listed, Mark, Moment, Rest, Window
-from thistlelever.lifecycle.parts import Parts
+from thistlelever.lifecycle.components import FrontContext
 from thistlelever.recovery.ages import Age, Now, Terms, age
 from thistlelever.recovery.judge import Judge, Stage
 from thistlelever.store.batches import Name
@@ -70,27 +70,29 @@
         return Age(0.0, float("inf"))
 
 
-class StateSide:
+class StateComponent:
     """The store, what goes into it, and the start by what was in it."""
 
-    def __init__(self, parts: Parts, section: State, config_path: str | None = None) -> None:
-        self.parts, self.section = parts, section
+    start_stage = "StateSide"
+
+    def __init__(self, context: FrontContext, section: State, config_path: str | None = None) -> None:
+        self.context, self.section = context, section
         self.loop: asyncio.AbstractEventLoop | None = None
         # Who is told when the store begins to fail, and when it does no more.
         self.on_failing: list[Callable[[str], None]] = []
         self.keeper = Keeper(lambda: File(section.path), section.every_s, self.changed)
         self.keeper.open()
         config_path = config_path or os.environ.get("BALANCER_CONFIG")
-        entries, ages = self.remembered(parts.config, written(config_path))
+        entries, ages = self.remembered(context.config, written(config_path))
         self.judge = Judge(Terms(section.fresh_s, section.old_s), ages)
         self.entries = entries
         self.fresh_start = len(self.judge.use) == len(entries)
         if not self.fresh_start:
             self.use()
-        self.serial, self.written_at = parts.roll.serial, 0.0
+        self.serial, self.written_at = context.roll.serial, 0.0
         self.tasks: list[asyncio.Task] = []
-        parts.courses.memory = Recollection(
-            parts.config.settings, parts.roll, parts.metrics, self.remember, self.find
+        context.courses.memory = Recollection(
+            context.config.settings, context.roll, context.metrics, self.remember, self.find
         )
 
     # What a former life knew.
@@ -123,7 +125,7 @@
         """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
         serial."""
         entries = [self.entries[engine] for engine in sorted(self.judge.use)]
-        self.parts.roll.remember(entries, clock.now())
+        self.context.roll.remember(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The serial of the newest list that is kept; 0 where none is."""
@@ -145,7 +147,7 @@
             took,
             extra,
         )
-        self.parts.desk.tell(told)
+        self.context.desk.tell(told)
 
     def remember(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
         if what is None:
@@ -179,7 +181,9 @@
         """One round: all that are to be asked, side by side."""
 
         async def one(engine: bytes) -> None:
-            outcome, _ = await self.parts.dispatcher.speech(self.entries[engine]).probe(self.entries[engine])
+            outcome, _ = await self.context.dispatcher.speech(self.entries[engine]).probe(
+                self.entries[engine]
+            )
             self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
 
         asked = [asyncio.ensure_future(one(e)) for e in sorted(self.judge.ask - self.judge.answered.keys())]
@@ -190,17 +194,17 @@
         self.judge.waited()
 
     def tell_list(self) -> None:
-        if self.judge.stage is not Stage.LISTED and not self.parts.roll.serial:
+        if self.judge.stage is not Stage.LISTED and not self.context.roll.serial:
             self.use()
-            roll = self.parts.roll
-            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
-            self.parts.log("started by what was remembered", **self.judge.show())
+            roll = self.context.roll
+            self.context.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
+            self.context.log("started by what was remembered", **self.judge.show())
 
     async def finding(self) -> None:
         """Where nobody answered: again and again, until somebody does or discovery is back."""
         while not self.fresh_start:
             await asyncio.sleep(AGAIN)
-            if self.parts.roll.serial:
+            if self.context.roll.serial:
                 self.judge.listed()
                 return
             if self.judge.again():
@@ -215,7 +219,7 @@
             self.note()
 
     def note(self) -> None:
-        roll, keeper, heard = self.parts.roll, self.keeper, self.parts.inquiry.heard_at
+        roll, keeper, heard = self.context.roll, self.keeper, self.context.inquiry.heard_at
         if heard > self.written_at:
             self.written_at, at = heard, moment(clock.now() - heard)
             if self.judge.stage is not Stage.LISTED:
@@ -226,7 +230,7 @@
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
                     keeper.put("listed", engine, record(entry, roll.serial, at))
-        learnt, at = self.parts.desk.front.recall(clock.now()), moment()
+        learnt, at = self.context.desk.front.recall(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
@@ -260,8 +264,8 @@
                 self.loop.call_soon_threadsafe(self.changed_here, failing)
 
     def changed_here(self, failing: str) -> None:
-        self.parts.metrics.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
-        self.parts.log("state not kept" if failing else "state kept again", why=failing)
+        self.context.metrics.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
+        self.context.log("state not kept" if failing else "state kept again", why=failing)
         for told in self.on_failing:
             told(failing)
 
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -10,8 +10,8 @@
 from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator, Takeover
 from thistlelever.ground.config import Config
-from thistlelever.lifecycle.membership import MembershipSide
-from thistlelever.lifecycle.parts import Parts
+from thistlelever.lifecycle.membership import MembershipComponent
+from thistlelever.lifecycle.components import FrontContext
 from thistlelever.takeover import views
 from thistlelever.takeover.facts import Address, Standing, Terms
 from thistlelever.takeover.judge import Judge
@@ -36,13 +36,15 @@
         )
 
 
-class TakeoverSide:
+class TakeoverComponent:
     """Who owns which work, told to the batches' tasks."""
 
-    def __init__(self, parts: Parts, section: Takeover, membership: MembershipSide) -> None:
-        config = parts.config
+    start_stage = "TakeoverSide"
+
+    def __init__(self, context: FrontContext, section: Takeover, membership: MembershipComponent) -> None:
+        config = context.config
         sound(section, config)
-        self.parts, self.members = parts, membership.members.judge
+        self.context, self.members = context, membership.members.judge
         terms = Terms(
             places=section.places,
             lease=section.lease_s,
@@ -64,14 +66,14 @@
         )
         heirs = self.judge.heirs
         heirs.standing, heirs.alive, heirs.alone = self.standing, self.alive, self.alone
-        self.wards = parts.courses.wards = Wards(
+        self.wards = context.courses.wards = Wards(
             self.judge,
             membership.peers,
             config.settings,
-            parts.roll,
-            lambda entry: parts.dispatcher.speech(entry),
-            parts.metrics,
-            parts.log,
+            context.roll,
+            lambda entry: context.dispatcher.speech(entry),
+            context.metrics,
+            context.log,
         )
 
     def standing(self, address: Address, life: int) -> Standing:
@@ -110,7 +112,7 @@
         self.judge.holder.failing = why
 
     def stopping(self) -> None:
-        at = clock.on_loop(self.parts.intake.stop_at) - HAND_OVER
+        at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER
         asyncio.get_running_loop().call_at(at, self.wards.hand_over)
 
     async def close(self, grace: float) -> None:
