--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -150,7 +150,7 @@
     async def ask(self, question, **words):
         """What it answers over its administration's socket, or None."""
         try:
-            return (await admin.ask(self.socket, question, **words)).get("answer")
+            return (await admin.call(self.socket, question, **words)).get("answer")
         except (OSError, TimeoutError, ValueError):
             return None
 
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -170,7 +170,7 @@
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert stage.directory.asked == 0
-        shown = stage.server.questions()["engines.show"]()
+        shown = stage.server.admin_handlers()["engines.show"]()
         assert shown["engines"] == 2 and shown["distributor"] and shown["age_s"] < 2
         assert shown["version"] == str(distributors.running[0].catalog.version)
 
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -108,7 +108,7 @@
         """The operator file, of which nothing comes by DNS."""
         return operator
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked."""
         return {}
 
--- a/thistlelever/cli/budgets.py
+++ b/thistlelever/cli/budgets.py
@@ -8,7 +8,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     json_option,
     operator_option,
     print_json,
@@ -28,7 +28,7 @@
 @json_option
 def show(operator: str | None, as_json: bool) -> None:
     """Who holds what, who lends, who waits, and how true estimates were."""
-    report = ask_front(operator, "budgets.show")
+    report = call_front(operator, "budgets.show")
     if as_json:
         print_json(report)
         return
@@ -51,7 +51,7 @@
 @operator_option
 def explain(batch: str, operator: str | None) -> None:
     """Why BATCH (the client's id, or the front's number) waits."""
-    report = ask_front(operator, "budgets.explain", batch=batch)
+    report = call_front(operator, "budgets.explain", batch=batch)
     for name, value in report.items():
         click.echo(f"{name.replace('_', ' ')}: {value}")
     if report["state"].startswith("not here"):
--- a/thistlelever/cli/common.py
+++ b/thistlelever/cli/common.py
@@ -79,14 +79,14 @@
     if operator.membership:
         from thistlelever.lifecycle import membership
 
-        membership.sound(operator.membership, config)
+        membership.validate(operator.membership, config)
     if operator.takeover:
         from thistlelever.lifecycle import takeover
 
-        takeover.sound(operator.takeover, config)
+        takeover.validate(operator.takeover, config)
 
 
-def ask_front(operator_path: str | None, question: str, **arguments: object) -> dict:
+def call_front(operator_path: str | None, method: str, /, **arguments: object) -> dict:
     """The answer of a running front over its administration socket; exit 2 where it can't be asked."""
     from thistlelever.lifecycle import admin
 
@@ -95,7 +95,7 @@
         exit_with_error("operator file: admin.socket: missing; it says where to ask")
     socket_path = operator.admin.socket
     try:
-        reply = asyncio.run(admin.ask(socket_path, question, **arguments))
+        reply = asyncio.run(admin.call(socket_path, method, **arguments))
     except (OSError, TimeoutError) as error:
         exit_with_error(f"admin.socket: {socket_path}: {error}")
     if "fault" in reply:
--- a/thistlelever/cli/engines.py
+++ b/thistlelever/cli/engines.py
@@ -8,7 +8,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     json_option,
     operator_option,
     print_json,
@@ -28,7 +28,7 @@
 @json_option
 def show(operator: str | None, as_json: bool) -> None:
     """Version in force, its age and its source; exit 1 where no distributor is connected."""
-    report = ask_front(operator, "engines.show")
+    report = call_front(operator, "engines.show")
     if as_json:
         print_json(report)
     else:
@@ -46,7 +46,7 @@
 @json_option
 def list_engines(operator: str | None, as_json: bool) -> None:
     """Each engine that the front holds."""
-    report = ask_front(operator, "engines.list")
+    report = call_front(operator, "engines.list")
     if as_json:
         print_json(report)
     else:
--- a/thistlelever/cli/members.py
+++ b/thistlelever/cli/members.py
@@ -10,7 +10,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     json_option,
     operator_option,
     print_json,
@@ -33,7 +33,7 @@
 @json_option
 def show(operator: str | None, as_json: bool) -> None:
     """Who is alive, suspected, dead or has left; exit 1 where this front is alone."""
-    report = ask_front(operator, "members.show")
+    report = call_front(operator, "members.show")
     if as_json:
         print_json(report)
     else:
@@ -52,7 +52,7 @@
 @json_option
 def explain(name: str, operator: str | None, as_json: bool) -> None:
     """Why NAME is held to be what it is: who said so, over which path, how late."""
-    report = ask_front(operator, "members.explain", name=name)
+    report = call_front(operator, "members.explain", name=name)
     if as_json:
         print_json(report)
     else:
@@ -70,7 +70,7 @@
     started = monotonic()
     previous: dict[str, str] = {}
     while seconds is None or monotonic() - started < seconds:
-        report = ask_front(operator, "members.show")
+        report = call_front(operator, "members.show")
         current = {member["name"]: member["state"] for member in report["members"]}
         current[report["name"]] = report["alone"] or "together"
         print_changes(previous, current, as_json)
--- a/thistlelever/cli/state.py
+++ b/thistlelever/cli/state.py
@@ -12,7 +12,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     exit_with_error,
     json_option,
     load_operator_file,
@@ -42,7 +42,7 @@
     switched_on = load_operator_file(operator) if not path else None
     asked = switched_on and switched_on.admin and switched_on.state
     if asked and is_listening(switched_on.admin.socket):
-        report = ask_front(operator, "state.show")
+        report = call_front(operator, "state.show")
     else:
         report = report_of_file(open_store(operator, path, read_only=True))
     if as_json:
--- a/thistlelever/cli/takeover.py
+++ b/thistlelever/cli/takeover.py
@@ -8,7 +8,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     json_option,
     operator_option,
     print_json,
@@ -29,7 +29,7 @@
 @json_option
 def show(operator: str | None, as_json: bool) -> None:
     """What is its own, kept for others and taken over; exit 1 where it can keep nothing."""
-    report = ask_front(operator, "inhand.show")
+    report = call_front(operator, "inhand.show")
     if as_json:
         print_json(report)
     else:
@@ -49,7 +49,7 @@
 @json_option
 def explain(operator: str | None, batch: str, as_json: bool) -> None:
     """Whose BATCH is and what is known of its fate, by its id or its mark; exit 1 where nothing is."""
-    report = ask_front(operator, "inhand.explain", batch=batch)
+    report = call_front(operator, "inhand.explain", batch=batch)
     if as_json:
         print_json(report)
     else:
--- a/thistlelever/lifecycle/admin.py
+++ b/thistlelever/lifecycle/admin.py
@@ -11,14 +11,14 @@
 
 import orjson
 
-LONGEST, WITHIN, MOST = 4_096, 2.0, 8
+MAX_REQUEST_BYTES, TIMEOUT_S, MAX_CONNECTIONS = 4_096, 2.0, 8
 
 
-class Administration:
+class AdminServer:
     """Answers `{"ask": NAME, ...}` with what the named question returns."""
 
-    def __init__(self, path: str, questions: dict[str, Callable[..., dict]]) -> None:
-        self.path, self.questions, self.open = path, questions, 0
+    def __init__(self, path: str, handlers: dict[str, Callable[..., dict]]) -> None:
+        self.path, self.handlers, self.connections = path, handlers, 0
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
@@ -32,33 +32,33 @@
                 os.unlink(self.path)
             finally:
                 probe.close()
-        before = os.umask(0o177)
+        old_umask = os.umask(0o177)
         try:
-            self.server = await asyncio.start_unix_server(self.serve, self.path, limit=LONGEST)
+            self.server = await asyncio.start_unix_server(self.serve, self.path, limit=MAX_REQUEST_BYTES)
         finally:
-            os.umask(before)
+            os.umask(old_umask)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open += 1
+        self.connections += 1
         try:
-            if self.open > MOST:
+            if self.connections > MAX_CONNECTIONS:
                 return
-            async with asyncio.timeout(WITHIN):
-                writer.write(self.answer(await reader.readline()) + b"\n")
+            async with asyncio.timeout(TIMEOUT_S):
+                writer.write(self.reply(await reader.readline()) + b"\n")
                 await writer.drain()
         except (TimeoutError, ConnectionError, ValueError):
             pass
         finally:
-            self.open -= 1
+            self.connections -= 1
             writer.close()
 
-    def answer(self, line: bytes) -> bytes:
+    def reply(self, line: bytes) -> bytes:
         try:
-            asked = orjson.loads(line)
-            question = self.questions[asked.pop("ask")]
-            return orjson.dumps({"answer": question(**asked)})
-        except (orjson.JSONDecodeError, AttributeError, KeyError, TypeError) as why:
-            return orjson.dumps({"fault": f"no such question: {why!r}", "known": sorted(self.questions)})
+            request = orjson.loads(line)
+            handler = self.handlers[request.pop("ask")]
+            return orjson.dumps({"answer": handler(**request)})
+        except (orjson.JSONDecodeError, AttributeError, KeyError, TypeError) as error:
+            return orjson.dumps({"fault": f"no such question: {error!r}", "known": sorted(self.handlers)})
 
     async def close(self) -> None:
         if self.server:
@@ -67,11 +67,11 @@
                 os.unlink(self.path)
 
 
-async def ask(path: str, question: str, **words) -> dict:
+async def call(path: str, method: str, /, **arguments: object) -> dict:
     """The answer of a living front; `ConnectionError` or `FileNotFoundError` where none is there."""
     reader, writer = await asyncio.open_unix_connection(path, limit=16 << 20)
-    writer.write(orjson.dumps({"ask": question, **words}) + b"\n")
-    async with asyncio.timeout(WITHIN + 1):
+    writer.write(orjson.dumps({"ask": method, **arguments}) + b"\n")
+    async with asyncio.timeout(TIMEOUT_S + 1):
         line = await reader.readline()
     writer.close()
     return orjson.loads(line)
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -59,11 +59,11 @@
     async def open(self) -> dict:
         return {}
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         if section := operator.budgets:
             self.gate.reconfigure(plan(section), self.policy(section), section.threads_a_core)
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {
             "budgets.show": lambda: views.show(self.gate.fair_queue, clock.now()),
             "budgets.explain": self.explained,
@@ -75,7 +75,7 @@
         number = found.number if found else int(batch) if batch.isdigit() and len(batch) < 16 else 0
         return views.explain(self.gate.fair_queue, number, clock.now())
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         """The courses tell the gate themselves."""
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/lifecycle/components.py
+++ b/thistlelever/lifecycle/components.py
@@ -47,13 +47,13 @@
     async def open(self) -> dict:
         """Start; what the line `ready` of the log says of it."""
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         """Take from what was read again what can change at once."""
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked of it."""
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM has come: what is open is answered first."""
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -106,7 +106,7 @@
         if self.task:
             self.task.cancel()
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked."""
         return {"engines.show": self.show, "engines.list": self.engines}
 
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -47,14 +47,14 @@
         await self.door.listen(address(self.terms.listen))
         return {"flight": (address(self.terms.listen)[0], self.door.port)}
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         if operator.flight:
             self.terms = self.door.terms = operator.flight
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {}
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         self.door.stopping = True
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -25,7 +25,7 @@
 LOOK = 0.5
 
 
-def sound(section: Membership, config: Config) -> None:
+def validate(section: Membership, config: Config) -> None:
     """`ConfigError` with the key where the section can't be kept."""
     if config.peer_listen is None:
         raise ConfigError("operator file: membership: peer_listen in the configuration expected; found none")
@@ -38,7 +38,7 @@
 
     def __init__(self, context: FrontContext, section: Membership) -> None:
         config = context.config
-        sound(section, config)
+        validate(section, config)
         self.context, self.service_health = context, ServiceHealth()
         # Behind a relay or an address translation others know this front by another address than it binds.
         rank = config.rank
@@ -61,10 +61,10 @@
         self.task = asyncio.get_running_loop().create_task(self.looking())
         return {"membership": self.members.judge.me.address}
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         self.members.judge.renew(clock.now(), config.peers)
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         judge = self.members.judge
         return {
             "members.show": lambda: views.show(judge, clock.now()),
@@ -96,7 +96,7 @@
             serves = self.service_health.observe(observation)
             self.members.judge.set_serving(clock.now(), serves)
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         self.left = True
         self.members.leave()
 
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator, Takeover
-    from thistlelever.lifecycle.admin import Administration
+    from thistlelever.lifecycle.admin import AdminServer
     from thistlelever.lifecycle.distribution import SubscribedDiscovery
     from thistlelever.lifecycle.flight import FlightComponent
     from thistlelever.lifecycle.membership import MembershipComponent
@@ -49,9 +49,9 @@
 # Many clients come at once when a front is taken in.
 BACKLOG = 512
 # What a SIGHUP renews, and what means something at a start only: neither waits for a restart.
-RENEWED = ("directory", "serial", "known", "seed", "peers")
+RELOADED_FIELDS = ("directory", "serial", "known", "seed", "peers")
 # The keys of the file that hold what goes by another name here.
-KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
+FILE_KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
     ("zones", "kinds", "idle", "answer_slack", "settings"), "settings"
 )
 HOUSEKEEPING, COUNTS_EVERY = 0.5, 6.0
@@ -68,13 +68,13 @@
         self,
         config: Config,
         log: Log,
-        read_again: Callable[[], Config] = load,
+        reread_config: Callable[[], Config] = load,
         operator: Operator | None = None,
-        operator_again: Callable[[], Operator] | None = None,
+        reread_operator: Callable[[], Operator] | None = None,
     ) -> None:
-        self.config, self.log, self.read_again = config, log, read_again
+        self.config, self.log, self.reread_config = config, log, reread_config
         # The operator file, where there is one: what is switched on beyond the platform's own front.
-        self.operator, self.operator_again = operator, operator_again
+        self.operator, self.reread_operator = operator, reread_operator
         self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
         self.roll.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
@@ -95,20 +95,20 @@
         self.pulse = Pulse()
         self.intake = Intake(settings, self.pulse, self.batches)
         self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
-        self.inquiry = self.discovery(operator)
+        self.inquiry = self.build_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
         self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
         # What the operator file switches on beside that, in the order in which it is opened.
-        self.components: list[Component] = self.switched_on(operator) if operator else []
+        self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
             component = self.flight
             self.dispatcher.speech = lambda entry: component.engines if component.speaks(entry) else over_http
-        self.admin: Administration | None = None
-        self.stop, self.renew = asyncio.Event(), asyncio.Event()
-        self.inquiry.on_new_configuration = self.renew.set
+        self.admin: AdminServer | None = None
+        self.stop, self.reload_requested = asyncio.Event(), asyncio.Event()
+        self.inquiry.on_new_configuration = self.reload_requested.set
         self.tasks: list[asyncio.Task] = []
 
-    def discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
+    def build_discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
         """Where the list of engines comes from: DNS, or distributors where the operator file names them."""
         config = self.config
         if operator and operator.distribution:
@@ -137,7 +137,7 @@
             self.inquiry,
         )
 
-    def switched_on(self, operator: Operator) -> list[Component]:
+    def build_components(self, operator: Operator) -> list[Component]:
         """Each section that is there, put together; the others are not even imported."""
         context = self.component_context()
         components: list[Component] = []
@@ -164,10 +164,10 @@
             self.membership = MembershipComponent(context, operator.membership)
             components.append(self.membership)
             if operator.takeover:
-                components.append(self.takeover(context, operator.takeover, self.membership))
+                components.append(self.build_takeover(context, operator.takeover, self.membership))
         return components
 
-    def takeover(
+    def build_takeover(
         self, context: FrontContext, section: Takeover, membership: MembershipComponent
     ) -> TakeoverComponent:
         """Takeover, which hears of it where the front keeps nothing on disk."""
@@ -189,50 +189,50 @@
         """Ready only when the list is read, the decisions are made and the port listens."""
         start_times = start_times or StartTimes()
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.unforeseen)
+        loop.set_exception_handler(self.log_unhandled_exception)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self.renew.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.inquiry.open(self.config.directory)
         start_times.reached("directory")
         address = self.config.peer_listen
         if address and not self.membership:
-            await patiently(
+            await retry_while_out_of_resources(
                 lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
             )
         self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
-        raw = await patiently(lambda: listener(self.config.listen))
-        self.reception.listen(raw)
+        sock = await retry_while_out_of_resources(lambda: listening_socket(self.config.listen))
+        self.reception.listen(sock)
         start_times.reached("listening")
-        further: dict = {}
+        facts: dict = {}
         for component in self.components:
-            further |= await component.open()
+            facts |= await component.open()
             start_times.reached(component.start_stage)
         if self.operator and self.operator.admin:
-            from thistlelever.lifecycle.admin import Administration
+            from thistlelever.lifecycle.admin import AdminServer
 
-            self.admin = Administration(self.operator.admin.socket, self.questions())
+            self.admin = AdminServer(self.operator.admin.socket, self.admin_handlers())
             await self.admin.listen()
         self.reception.ready = lambda: not self.stop.is_set()
-        works = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.renewing()
-        self.tasks = [loop.create_task(work) for work in works]
+        coroutines = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.reload_on_request()
+        self.tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         self.log(
             "ready",
-            listen=raw.getsockname(),
+            listen=sock.getsockname(),
             engines=len(self.roll.entries),
             serial=self.roll.serial,
             links=self.links.most,
             start=start_times.stages,
-            **further,
+            **facts,
         )
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """What the administration may be asked, by the parts that are on."""
-        asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
+        handlers: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
         for component in (self.inquiry, *self.components):
-            asked |= component.questions()
-        return asked
+            handlers |= component.admin_handlers()
+        return handlers
 
     async def run(self, start_times: StartTimes | None = None) -> None:
         """From the start to the end; `start_times` has the stages that were before."""
@@ -247,7 +247,7 @@
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
         for component in self.components:
-            component.stopping()
+            component.begin_shutdown()
         self.courses.stop(stop_at)
         await asyncio.sleep(STILL_COMING)
         while self.courses.tasks and clock.now() < stop_at + LAST_BYTES:
@@ -264,16 +264,16 @@
         self.metrics.check_invariant(not self.batches.by_number, "all answered at the end")
         self.log("stopped", counts=self.metrics.counts)
 
-    async def renewing(self) -> None:
+    async def reload_on_request(self) -> None:
         """At each SIGHUP the configuration is read again; what can't be used leaves the old one in force."""
         while True:
-            await self.renew.wait()
-            self.renew.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             if self.stop.is_set():
                 continue
             try:
-                new = self.read_again()
-                operator = self.inquiry.overlay(self.operator_again()) if self.operator_again else None
+                new = self.reread_config()
+                operator = self.inquiry.overlay(self.reread_operator()) if self.reread_operator else None
                 if operator and operator.budgets:
                     from thistlelever.lifecycle.budgets import plan
 
@@ -282,48 +282,48 @@
                     await self.inquiry.open(new.directory)
                 # Risk: a drain that it names is known only once the directory's new address has answered.
                 self.inquiry.hold(new.serial, list(new.known))
-            except ConfigError as why:
-                self.log("reload refused", why=str(why))
+            except ConfigError as error:
+                self.log("reload refused", why=str(error))
                 continue
-            except OSError as why:
-                self.log("reload refused", why=f"dns: can't be reached: {why}")
+            except OSError as error:
+                self.log("reload refused", why=f"dns: can't be reached: {error}")
                 continue
-            waiting = sorted(
+            needs_restart = sorted(
                 {
-                    KEYS.get(name, name)
-                    for name, was in self.config._asdict().items()
-                    if name not in RENEWED and getattr(new, name) != was
+                    FILE_KEYS.get(name, name)
+                    for name, old_value in self.config._asdict().items()
+                    if name not in RELOADED_FIELDS and getattr(new, name) != old_value
                 }
             )
             self.config = self.config._replace(directory=new.directory, peers=new.peers)
-            waiting += self.renewed(operator)
-            self.log("reloaded", dns=new.directory, needs_restart=waiting)
+            needs_restart += self.reload_operator_file(operator)
+            self.log("reloaded", dns=new.directory, needs_restart=needs_restart)
 
-    def renewed(self, new: Operator | None) -> list[str]:
+    def reload_operator_file(self, new: Operator | None) -> list[str]:
         """Take from the operator file what can change at once; the keys that wait for a restart."""
         if new is None:
             return []
         for component in self.components:
-            component.renew(new, self.config)
+            component.reload(new, self.config)
         if new == self.operator:
             return []
         from thistlelever.ground.operator import AT_ONCE, differing
 
         return differing(self.operator, new, AT_ONCE)
 
-    def unforeseen(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
+    def log_unhandled_exception(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """What no task heeded: logged and counted, and the front goes on."""
         self.metrics.add("unforeseen")
         self.log("unforeseen failed", why=repr(context.get("exception") or context["message"]))
 
     async def housekeeping(self) -> None:
         """Closes what idles and writes the counters where they have changed."""
-        written, due = None, clock.now() + COUNTS_EVERY
+        written, next_log_at = None, clock.now() + COUNTS_EVERY
         while True:
             await asyncio.sleep(HOUSEKEEPING)
             self.links.sweep()
             self.reception.sweep()
-            if clock.now() >= due and self.metrics.counts != written:
+            if clock.now() >= next_log_at and self.metrics.counts != written:
                 written = self.metrics.counts.copy()
                 self.log(
                     "counts",
@@ -334,18 +334,18 @@
                     cpu=round(process_time(), 3),
                     lag=round(self.pulse.worst, 4),
                 )
-                due, self.pulse.worst = clock.now() + COUNTS_EVERY, 0.0
+                next_log_at, self.pulse.worst = clock.now() + COUNTS_EVERY, 0.0
 
 
 async def serve(
     config: Config,
     log: Log,
     operator: Operator | None = None,
-    operator_again: Callable[[], Operator] | None = None,
+    reread_operator: Callable[[], Operator] | None = None,
     start_times: StartTimes | None = None,
 ) -> int:
     """Serve until SIGTERM and all that was taken is answered."""
-    server = FrontServer(config, log, operator=operator, operator_again=operator_again)
+    server = FrontServer(config, log, operator=operator, reread_operator=reread_operator)
     # What was made at the start lives as long as the front: no collection need look at it again.
     gc.collect()
     gc.freeze()
@@ -355,28 +355,28 @@
     return 0
 
 
-async def patiently(make: Callable[[], Awaitable[T]]) -> T:
+async def retry_while_out_of_resources(make: Callable[[], Awaitable[T]]) -> T:
     """What `make` makes, tried for again while the machine is short of sockets or memory. Risk: a front that
     starts beside hundreds of others in one moment ends for want of what is there in the next."""
     for _ in range(MOST_STARTS):
         try:
             return await make()
-        except OSError as why:
-            if why.errno not in OWN_WANT:
+        except OSError as error:
+            if error.errno not in OWN_WANT:
                 raise
             await asyncio.sleep(START_AGAIN)
     return await make()
 
 
-async def listener(address: tuple[str, int]) -> socket.socket:
+async def listening_socket(address: tuple[str, int]) -> socket.socket:
     """The socket that listens for clients."""
-    raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        raw.setblocking(False)
-        raw.bind(address)
-        raw.listen(BACKLOG)
-    except OSError as why:
-        raw.close()
-        raise OSError(why.errno, f"listen: {address[0]}:{address[1]}: {why.strerror}") from None
-    return raw
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setblocking(False)
+        sock.bind(address)
+        sock.listen(BACKLOG)
+    except OSError as error:
+        sock.close()
+        raise OSError(error.errno, f"listen: {address[0]}:{address[1]}: {error.strerror}") from None
+    return sock
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -269,10 +269,10 @@
         for told in self.on_failing:
             told(failing)
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         """All of it waits for a restart."""
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {"state.show": self.show}
 
     def show(self) -> dict:
@@ -293,7 +293,7 @@
             "records": {kind: len(kept) for kind, kept in keeper.records.items()},
         }
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         self.note()
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -22,7 +22,7 @@
 GONE = frozenset((State.DEAD, State.LEFT))
 
 
-def sound(section: Takeover, config: Config) -> None:
+def validate(section: Takeover, config: Config) -> None:
     """`ConfigError` with the key where the section can't be kept."""
     known = {query_class.name for query_class in config.settings.tariffs}
     if unknown := sorted(set(section.demand or ()) - known):
@@ -43,7 +43,7 @@
 
     def __init__(self, context: FrontContext, section: Takeover, membership: MembershipComponent) -> None:
         config = context.config
-        sound(section, config)
+        validate(section, config)
         self.context, self.members = context, membership.members.judge
         terms = Terms(
             places=section.places,
@@ -98,10 +98,10 @@
         self.wards.open()
         return {"takeover": len(self.judge.places.fronts)}
 
-    def renew(self, operator: Operator, config: Config) -> None:
+    def reload(self, operator: Operator, config: Config) -> None:
         self.judge.places.renew((*config.peers, self.members.me.address))
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {
             "inhand.show": lambda: views.show(self.judge, clock.now()) | {"waits_ms": self.wards.waits_ms()},
             "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
@@ -111,7 +111,7 @@
         """This front's store keeps nothing, or does again: as a place it says so and is passed by."""
         self.judge.holder.failing = why
 
-    def stopping(self) -> None:
+    def begin_shutdown(self) -> None:
         at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER
         asyncio.get_running_loop().call_at(at, self.wards.hand_over)
 
