--- a/tests/stage.py
+++ b/tests/stage.py
@@ -686,12 +686,12 @@
 @contextmanager
 def brisk():
     """A stop and a directory's pace shorter than in service, so that tests wait less."""
-    was = run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE
-    run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE = 0.05, 0.3, 0.05
+    was = run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE
+    run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE = 0.05, 0.3, 0.05
     try:
         yield
     finally:
-        run.STILL_COMING, run.LONGEST_LIMIT, directory.PACE = was
+        run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE = was
 
 
 @asynccontextmanager
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -198,7 +198,7 @@
 @moment("engine a\nfront")
 async def test_sigterm_right_behind_accepts_with_requests_in_the_sockets(stage, monkeypatch):
     """More connections than are taken in one turn of the loop, none of them seen before the signal."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
     socks = [connect(stage, stage.submission(100 + n, "lookup")) for n in range(clients.TAKEN_A_TURN + 8)]
     os.kill(os.getpid(), signal.SIGTERM)
     assert all("result" in (answer or ()) for answer in await asyncio.gather(*map(answer_on, socks)))
@@ -208,7 +208,7 @@
 @moment("engine a\nfront")
 async def test_a_connection_that_waits_at_the_port_when_it_is_closed_is_answered(stage, monkeypatch):
     """It comes in the very turn of the loop in which the front takes no more."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
     finish, socks = stage.server.reception.finish, []
 
     def crossing(within):
@@ -225,11 +225,11 @@
 @moment("engine a\nfront")
 async def test_a_request_in_pieces_across_sigterm_is_answered(stage, monkeypatch):
     """Its last byte comes when all else is answered and nothing new is expected any more."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
     line = stage.submission(1, "lookup")
     stage.writer.write(line[:40])
     await stage.do_sigterm()
-    await asyncio.sleep(run.STILL_COMING + 0.1)
+    await asyncio.sleep(run.ACCEPT_AFTER_SIGTERM_S + 0.1)
     stage.writer.write(line[40:])
     await play(stage, "answer 1 result rows\nhung_up_in_order\nstopped")
 
@@ -310,7 +310,7 @@
 async def test_an_idle_process_still_answers(stage, monkeypatch):
     """All its connections to the engine were closed meanwhile, by either side; its client has come back."""
     stage.writer.close()
-    await asyncio.sleep(2 * run.HOUSEKEEPING)
+    await asyncio.sleep(2 * run.HOUSEKEEPING_INTERVAL_S)
     await play(stage, "hangs_up a")
     status = b'{"jsonrpc":"2.0","id":7,"method":"status"}\n'
     assert (await answer_on(connect(stage, status)))["result"] == {"ready": True}
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -18,13 +18,13 @@
 
 def test_a_stage_that_waits_is_told_from_one_that_works():
     times = StartTimes()
-    times.reached("loaded")
+    times.finish_stage("loaded")
     sleep(0.2)
-    times.reached("waits")
+    times.finish_stage("waits")
     till = process_time() + 0.2
     while process_time() < till:
         pass
-    times.reached("works")
+    times.finish_stage("works")
     waits, works = times.stages["waits"], times.stages["works"]
     assert waits["s"] >= 0.2 and waits["cpu_s"] < 0.1
     assert works["cpu_s"] >= 0.2
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -96,11 +96,11 @@
 def test_a_kept_start_is_as_long_ago_after_a_step_between_two_lives(by, monkeypatch):
     real = clock.wall
     monkeypatch.setattr(clock, "wall", lambda: real() - by)
-    at = state.moment()
+    at = state.moment_ago()
     kept = Learnt(b"a", 1.0, 1.0, at.wall - 3.0, at)
     monkeypatch.setattr(clock, "wall", real)
-    assert state.start_since(kept) == pytest.approx(clock.now() - 3.0, abs=0.1)
-    assert not state.start_since(Learnt(b"a", 1.0, 1.0, 0.0, at))
+    assert state.local_start(kept) == pytest.approx(clock.now() - 3.0, abs=0.1)
+    assert not state.local_start(Learnt(b"a", 1.0, 1.0, 0.0, at))
 
 
 class Client:
--- a/thistlelever/cli/common.py
+++ b/thistlelever/cli/common.py
@@ -68,9 +68,9 @@
 
     operator = operator_file.load(path)
     if operator.budgets:
-        from thistlelever.lifecycle.budgets import plan
+        from thistlelever.lifecycle.budgets import build_plan
 
-        plan(operator.budgets)
+        build_plan(operator.budgets)
     return operator
 
 
--- a/thistlelever/cli/configuration.py
+++ b/thistlelever/cli/configuration.py
@@ -15,15 +15,15 @@
 def check(operator: str | None) -> None:
     """Read the configuration, say what it holds, and start nothing."""
     config = load_config()
-    switched_on = load_operator_file(operator, config)
+    operator_file = load_operator_file(operator, config)
     click.echo(
         f"{config.name}: listens at {config.listen[0]}:{config.listen[1]}, "
         f"{len(config.settings.tariffs)} service groups, {len(config.known)} engines known"
     )
-    if switched_on is None:
+    if operator_file is None:
         return
-    for section in switched_on.__struct_fields__:
-        if getattr(switched_on, section):
+    for section in operator_file.__struct_fields__:
+        if getattr(operator_file, section):
             click.echo(f"operator file: {section} is on")
 
 
--- a/thistlelever/cli/distributor.py
+++ b/thistlelever/cli/distributor.py
@@ -95,7 +95,7 @@
     body = {"engines": change} if isinstance(change, list) else change
     if expected:
         body["expected"] = expected
-    publish_body(at, body)
+    publish_and_exit(at, body)
 
 
 @distributor.command("configure")
@@ -112,10 +112,10 @@
     body: dict = {"documents": {"operator": text}}
     if expected:
         body["expected"] = expected
-    publish_body(at, body)
+    publish_and_exit(at, body)
 
 
-def publish_body(at: str, body: dict) -> None:
+def publish_and_exit(at: str, body: dict) -> None:
     """Publish, print the version and exit: 1 where it is refused or no majority holds it yet."""
     answer = call(at, "POST", "/v1/publish", body)
     confirmed = answer["confirmed"]
--- a/thistlelever/cli/serve.py
+++ b/thistlelever/cli/serve.py
@@ -31,14 +31,14 @@
     from thistlelever.lifecycle.start_times import StartTimes
 
     start_times = StartTimes()
-    start_times.reached("loaded")
+    start_times.finish_stage("loaded")
     config = load_config()
-    switched_on = load_operator_file(operator, config)
-    start_times.reached("configured")
+    operator_file = load_operator_file(operator, config)
+    start_times.finish_stage("configured")
     log = Log(config.name)
     logging.basicConfig(handlers=[Libraries(log)], level=logging.WARNING)
-    reread = (lambda: read_operator_file(operator)) if operator else None
+    reread_operator = (lambda: read_operator_file(operator)) if operator else None
     try:
-        sys.exit(asyncio.run(run(config, log, switched_on, reread, start_times)))
+        sys.exit(asyncio.run(run(config, log, operator_file, reread_operator, start_times)))
     except OSError as error:
         exit_with_error(error, EXIT_FAILURE)
--- a/thistlelever/cli/state.py
+++ b/thistlelever/cli/state.py
@@ -39,9 +39,9 @@
 def show(operator: str | None, path: str | None, as_json: bool) -> None:
     """How many records of each kind there are; of a living front also how it started, and whether it keeps
     what it is told (exit 1 where it does not)."""
-    switched_on = load_operator_file(operator) if not path else None
-    asked = switched_on and switched_on.admin and switched_on.state
-    if asked and is_listening(switched_on.admin.socket):
+    operator_file = load_operator_file(operator) if not path else None
+    has_socket = operator_file and operator_file.admin and operator_file.state
+    if has_socket and is_listening(operator_file.admin.socket):
         report = call_front(operator, "state.show")
     else:
         report = report_of_file(open_store(operator, path, read_only=True))
--- a/thistlelever/cli/tools.py
+++ b/thistlelever/cli/tools.py
@@ -25,7 +25,7 @@
     """Start one front among stand-ins on loopback and return a batch; no configuration is wanted."""
     from thistlelever import demo as demonstration
 
-    succeeded = asyncio.run(demonstration.play(seconds, flight, click.echo))
+    succeeded = asyncio.run(demonstration.run(seconds, flight, click.echo))
     sys.exit(0 if succeeded else EXIT_FAILURE)
 
 
--- a/thistlelever/demo.py
+++ b/thistlelever/demo.py
@@ -17,22 +17,22 @@
 RESULT = rows("olive-oil_120_Porto", "cork_75_Catania", "marble_900_Augusta")
 
 
-class Yard:
+class DemoPool:
     """A directory and engines, and the front among them."""
 
     def __init__(self) -> None:
-        self.stir, self.engines, self.server = asyncio.Event(), {}, None
+        self.activity, self.engines, self.server = asyncio.Event(), {}, None
         self.running: asyncio.Task | None = None
 
     async def open(self, flight: bool) -> dict | None:
         """Start all; what the front says of where it listens, or None where it did not start."""
-        self.engines = {"s-alba": Engine(self.stir), "s-bruma": Engine(self.stir)}
+        self.engines = {"s-alba": Engine(self.activity), "s-bruma": Engine(self.activity)}
         operator = None
         if flight:
             from thistlelever.ground.operator import Flight, Operator, Table
             from thistlelever.standins.flight_engine import Engine as FlightEngine
 
-            self.engines |= {"f-cala": FlightEngine(self.stir), "f-duna": FlightEngine(self.stir)}
+            self.engines |= {"f-cala": FlightEngine(self.activity), "f-duna": FlightEngine(self.activity)}
             operator = Operator(
                 flight=Flight(
                     listen="127.0.0.1:0",
@@ -45,15 +45,15 @@
         for engine in self.engines.values():
             engine.text = RESULT
             await engine.start()
-        self.directory, known = await directory.beside(self.stir, self.engines)
-        told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}"), {})
+        self.directory, known = await directory.beside(self.activity, self.engines)
+        config = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}"), {})
         ready = asyncio.get_running_loop().create_future()
 
-        def log(event, **facts) -> None:
+        def log(event, **fields) -> None:
             if event == "ready" and not ready.done():
-                ready.set_result(facts)
+                ready.set_result(fields)
 
-        self.server = FrontServer(told, log, operator=operator)
+        self.server = FrontServer(config, log, operator=operator)
         self.running = asyncio.create_task(self.server.run())
         done, _ = await asyncio.wait((ready, self.running), timeout=10, return_when=asyncio.FIRST_COMPLETED)
         return ready.result() if ready in done else None
@@ -67,37 +67,37 @@
             await engine.stop()
 
 
-async def play(seconds: float | None, flight: bool, say) -> bool:
+async def run(seconds: float | None, flight: bool, echo) -> bool:
     """Start everything, return one batch by each door, and serve until the seconds are over or ^C; whether
-    the batches were returned. `say` gets lines of text."""
-    yard = Yard()
+    the batches were returned. `echo` gets lines of text."""
+    pool = DemoPool()
     try:
-        ready = await yard.open(flight)
+        ready = await pool.open(flight)
         if ready is None:
-            say("the front did not start")
+            echo("the front did not start")
             return False
         host, port = ready["listen"]
-        say(f"directory  127.0.0.1:{yard.directory.port} (DNS over UDP)")
-        for name, engine in yard.engines.items():
-            speaks = "HTTP/1.1" if isinstance(engine, Engine) else "Flight SQL"
-            say(f"engine     127.0.0.1:{engine.port} ({name}, {speaks}, a stand-in)")
-        say(f"front      {host}:{port} (JSON-RPC, one message a line)")
+        echo(f"directory  127.0.0.1:{pool.directory.port} (DNS over UDP)")
+        for name, engine in pool.engines.items():
+            protocol = "HTTP/1.1" if isinstance(engine, Engine) else "Flight SQL"
+            echo(f"engine     127.0.0.1:{engine.port} ({name}, {protocol}, a stand-in)")
+        echo(f"front      {host}:{port} (JSON-RPC, one message a line)")
         if flight:
-            say(f"front      grpc://{host}:{ready['flight'][1]} (Arrow Flight SQL)")
-        returned = await one_batch(host, port, say)
+            echo(f"front      grpc://{host}:{ready['flight'][1]} (Arrow Flight SQL)")
+        returned = await submit_batch(host, port, echo)
         if flight:
-            returned &= await one_batch_by_flight(ready["flight"], say)
+            returned &= await submit_flight_batch(ready["flight"], echo)
         if seconds is None:
-            say("serving until ^C")
+            echo("serving until ^C")
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await asyncio.shield(yard.running)
+                await asyncio.shield(pool.running)
         return returned
     finally:
-        await yard.close()
+        await pool.close()
 
 
-async def one_batch(host: str, port: int, say) -> bool:
+async def submit_batch(host: str, port: int, echo) -> bool:
     """Submit a batch as a client would, show the line that did it and what came back."""
     params = {
         "id": "00000000000000a1",
@@ -114,19 +114,19 @@
     except TimeoutError:
         answer = {}
     writer.close()
-    say(f"statement  {STATEMENT}")
+    echo(f"statement  {STATEMENT}")
     if "result" not in answer:
-        say(f"answer     {answer.get('error', 'none')}")
+        echo(f"answer     {answer.get('error', 'none')}")
         return False
     for row in b64decode(answer["result"]["bytes"]).decode().splitlines():
-        say("returned   " + row.replace("\t", "  "))
-    again = line.replace("00000000000000a1", "00000000000000a2")
-    talk = f"exec 3<>/dev/tcp/{host}/{port}; cat >&3; head -1 <&3"
-    say(f"try        echo '{again}' | timeout 3 bash -c '{talk}'")
+        echo("returned   " + row.replace("\t", "  "))
+    next_line = line.replace("00000000000000a1", "00000000000000a2")
+    command = f"exec 3<>/dev/tcp/{host}/{port}; cat >&3; head -1 <&3"
+    echo(f"try        echo '{next_line}' | timeout 3 bash -c '{command}'")
     return True
 
 
-async def one_batch_by_flight(address: tuple[str, int], say) -> bool:
+async def submit_flight_batch(address: tuple[str, int], echo) -> bool:
     """The same by the other door, as any Flight SQL client would."""
     from grpc import aio
 
@@ -135,10 +135,10 @@
     async with aio.insecure_channel(f"{address[0]}:{address[1]}") as channel:
         try:
             table = await query(channel, STATEMENT, timeout=5)
-        except Refused as why:
-            say(f"by Flight  {why}")
+        except Refused as error:
+            echo(f"by Flight  {error}")
             return False
     for row in table.to_pylist():
-        say("by Flight  " + "  ".join(map(str, row.values())))
-    say(f"try        adbc_driver_flightsql.dbapi.connect('grpc://{address[0]}:{address[1]}').cursor()")
+        echo("by Flight  " + "  ".join(map(str, row.values())))
+    echo(f"try        adbc_driver_flightsql.dbapi.connect('grpc://{address[0]}:{address[1]}').cursor()")
     return True
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -15,21 +15,21 @@
 from thistlelever.lifecycle.components import FrontContext
 
 
-def plan(section: Budgets) -> Plan:
+def build_plan(section: Budgets) -> Plan:
     """The tree that a section describes; `ConfigError` with the path of what can't be kept."""
 
     def plan_node(node, children: str | None = None, grandchildren: str | None = None) -> PlanNode:
-        inner = getattr(node, children) if children else {}
+        child_nodes = getattr(node, children) if children else {}
         return PlanNode(
             Share(node.guarantee, node.ceiling, node.burst, node.weight),
-            {name: plan_node(child, grandchildren) for name, child in inner.items()},
+            {name: plan_node(child, grandchildren) for name, child in child_nodes.items()},
         )
 
     try:
         brokers = {name: plan_node(node, "teams", "groups") for name, node in section.brokers.items()}
         return Plan(brokers, plan_node(section.other).share)
-    except PlanError as why:
-        raise ConfigError(f"operator file: budgets: {why}") from None
+    except PlanError as error:
+        raise ConfigError(f"operator file: budgets: {error}") from None
 
 
 class BudgetsComponent:
@@ -41,8 +41,8 @@
         self.context, config = context, context.config
         self.gate = context.courses.gate = BudgetGate(
             config.settings,
-            plan(section),
-            self.policy(section),
+            build_plan(section),
+            self.queue_policy(section),
             section.threads_a_core,
             config.seed,
             context.batches,
@@ -51,28 +51,28 @@
             context.log,
         )
 
-    def policy(self, section: Budgets) -> QueuePolicy:
+    def queue_policy(self, section: Budgets) -> QueuePolicy:
         settings = self.context.config.settings
-        longest = settings.longest_return if settings.names_return else 0.0
-        return QueuePolicy(settings.cancel, section.waste, longest, section.depth)
+        longest_return = settings.longest_return if settings.names_return else 0.0
+        return QueuePolicy(settings.cancel, section.waste, longest_return, section.depth)
 
     async def open(self) -> dict:
         return {}
 
     def reload(self, operator: Operator, config: Config) -> None:
         if section := operator.budgets:
-            self.gate.reconfigure(plan(section), self.policy(section), section.threads_a_core)
+            self.gate.reconfigure(build_plan(section), self.queue_policy(section), section.threads_a_core)
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {
             "budgets.show": lambda: views.show(self.gate.fair_queue, clock.now()),
-            "budgets.explain": self.explained,
+            "budgets.explain": self.explain,
         }
 
-    def explained(self, batch: str) -> dict:
+    def explain(self, batch: str) -> dict:
         """By the client's id of the batch, or the front's number of it."""
-        found = self.context.batches.by_txn.get(batch)
-        number = found.number if found else int(batch) if batch.isdigit() and len(batch) < 16 else 0
+        open_batch = self.context.batches.by_txn.get(batch)
+        number = open_batch.number if open_batch else int(batch) if batch.isdigit() and len(batch) < 16 else 0
         return views.explain(self.gate.fair_queue, number, clock.now())
 
     def begin_shutdown(self) -> None:
--- a/thistlelever/lifecycle/distributed_configuration.py
+++ b/thistlelever/lifecycle/distributed_configuration.py
@@ -10,7 +10,7 @@
 from thistlelever.ground import operator as operator_file
 from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator
-from thistlelever.lifecycle.budgets import plan
+from thistlelever.lifecycle.budgets import build_plan
 
 # The document that holds sections of the operator file, and the sections that it may hold: those of which
 # all or most takes effect without a restart.
@@ -20,13 +20,17 @@
 
 def read_document(text: str) -> dict[str, msgspec.Struct]:
     """The sections that the document holds; `ConfigError`, a `ValueError`, with the path of what can't be."""
-    told = operator_file.read(text.encode())
-    held = {name: getattr(told, name) for name in told.__struct_fields__ if getattr(told, name) is not None}
-    if unknown := sorted(held.keys() - SECTIONS):
+    operator = operator_file.read(text.encode())
+    sections = {
+        name: getattr(operator, name)
+        for name in operator.__struct_fields__
+        if getattr(operator, name) is not None
+    }
+    if unknown := sorted(sections.keys() - SECTIONS):
         raise ConfigError(f"{unknown[0]}: one of {', '.join(sorted(SECTIONS))} expected")
-    if "budgets" in held:
-        plan(held["budgets"])
-    return held
+    if "budgets" in sections:
+        build_plan(sections["budgets"])
+    return sections
 
 
 def check_document(text: str) -> None:
@@ -45,29 +49,29 @@
         self.replica = replica
         self.in_force: DocumentRecord | None = None
         self.in_force_since, self.refused = NO_VERSION, ""
-        self.seen: DocumentRecord | None = None
+        self.last_document: DocumentRecord | None = None
 
-    def held(self) -> DocumentRecord | None:
+    def current_document(self) -> DocumentRecord | None:
         """The document, where there is one."""
-        found = self.replica.records.get(DOCUMENT_PREFIX + OPERATOR_DOCUMENT)
-        return found if isinstance(found, DocumentRecord) else None
+        document = self.replica.records.get(DOCUMENT_PREFIX + OPERATOR_DOCUMENT)
+        return document if isinstance(document, DocumentRecord) else None
 
-    def differs(self) -> bool:
+    def has_changed(self) -> bool:
         """Whether the document is another one than the last that was looked at."""
-        return self.held() != self.seen
+        return self.current_document() != self.last_document
 
     def overlay(self, local: Operator) -> Operator:
         """The operator file with the document's sections in place of its own. `ConfigError` where the
         document can't be used here: what is in force stays."""
-        self.seen = found = self.held()
+        self.last_document = document = self.current_document()
         try:
-            sections = read_document(found.content) if found else {}
+            sections = read_document(document.content) if document else {}
         except ConfigError as error:
             self.refused = f"{self.replica.version}: {error}"
             raise
-        if found != self.in_force:
+        if document != self.in_force:
             self.in_force_since = self.replica.version
-        self.in_force, self.refused = found, ""
+        self.in_force, self.refused = document, ""
         return msgspec.structs.replace(local, **sections)
 
     def show(self) -> dict:
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -33,7 +33,7 @@
         desk: Desk,
     ) -> None:
         """Nothing is asked before `open`."""
-        self.roll, self.desk, self.start_within = roll, desk, section.start_within_s
+        self.roll, self.desk, self.first_list_timeout = roll, desk, section.start_within_s
         terms = SubscriptionTerms(
             tuple(address(text) for text in section.distributors),
             section.heartbeat_s,
@@ -42,18 +42,18 @@
         )
         self.subscription = Subscription(
             terms,
-            place_of(config, section.zone_rank),
-            requirements_of(config),
-            drops_repeats_by_cell(config),
-            self.changed,
+            front_place(config, section.zone_rank),
+            engine_requirements(config),
+            deduplicates_by_cell(config),
+            self.on_list_change,
         )
         names = KnownNames(config.zones, config.kinds)
         self.list = SubscribedList(self.subscription, roll, forget, desk, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the configuration is to be read again.
         self.on_new_configuration: Callable[[], None] = lambda: None
-        self.first = asyncio.Event()
-        self.subscription.listener, self.subscription.log = self.changed, desk.log
+        self.first_list = asyncio.Event()
+        self.subscription.listener, self.subscription.log = self.on_list_change, desk.log
         self.task: asyncio.Task[None] | None = None
 
     @property
@@ -61,11 +61,11 @@
         """When a distributor last answered, on the front's clock."""
         return self.subscription.heard_at
 
-    def changed(self, listing) -> None:
+    def on_list_change(self, listing) -> None:
         """Hand a change on."""
         self.list.changed(listing)
-        self.first.set()
-        if self.configuration.differs():
+        self.first_list.set()
+        if self.configuration.has_changed():
             self.on_new_configuration()
 
     def hold(self, serial: int, entries: list[Entry]) -> None:
@@ -74,11 +74,11 @@
     def overlay(self, operator: Operator) -> Operator:
         """The operator file with the sections that distributors tell; `ConfigError` where these can't be
         used."""
-        before = self.configuration.in_force
-        found = self.configuration.overlay(operator)
-        if self.configuration.in_force != before:
+        previous = self.configuration.in_force
+        overlaid = self.configuration.overlay(operator)
+        if self.configuration.in_force != previous:
             self.desk.log("configuration in force", version=str(self.configuration.in_force_since))
-        return found
+        return overlaid
 
     def accept_from(self, serial: int) -> None:
         """A former life of this front held that version: nothing older is taken."""
@@ -92,7 +92,7 @@
         self.task = asyncio.get_running_loop().create_task(self.subscription.run())
         if not self.roll.entries:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.first.wait(), self.start_within)
+                await asyncio.wait_for(self.first_list.wait(), self.first_list_timeout)
 
     def ask(self, by_order: bool) -> None:
         """The list is told as it changes; there is nothing to ask for."""
@@ -134,16 +134,16 @@
         return {"version": str(self.subscription.replica.version), "engines": [r._asdict() for r in records]}
 
 
-def place_of(config: Config, zone_rank: int) -> FrontPlace:
+def front_place(config: Config, zone_rank: int) -> FrontPlace:
     """Which front this is, for its subset."""
     zone = config.settings.zone
     name = config.zones[zone] if zone < len(config.zones) else ""
     return FrontPlace(config.name, name, config.rank, zone_rank)
 
 
-def requirements_of(config: Config) -> tuple[Requirement, ...]:
+def engine_requirements(config: Config) -> tuple[Requirement, ...]:
     """The zones and kinds that some query class is bound to, each pair once."""
-    found = {}
+    requirements: dict[Requirement, None] = {}
     for query_class in config.settings.tariffs:
         zones, kinds = query_class.zones, query_class.kinds
         if zones is None and kinds is None:
@@ -152,11 +152,11 @@
             None if zones is None else frozenset(config.zones[zone] for zone in zones),
             None if kinds is None else frozenset(config.kinds[kind] for kind in kinds),
         )
-        found[requirement] = None
-    return tuple(found)
+        requirements[requirement] = None
+    return tuple(requirements)
 
 
-def drops_repeats_by_cell(config: Config) -> bool:
+def deduplicates_by_cell(config: Config) -> bool:
     """Whether some class may be retried in the cell of its first attempt alone."""
     return any(
         query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.CELL
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -12,7 +12,7 @@
 from thistlelever.wire.inflow import Purse
 
 # The least that may lie between an engine and its client, so that a message of usual size passes whole.
-LEAST_BETWEEN = 65_536
+MIN_BUFFERED_BYTES = 65_536
 
 
 class FlightComponent:
@@ -20,36 +20,36 @@
 
     start_stage = "FlightSide"
 
-    def __init__(self, context: FrontContext, terms: Flight) -> None:
-        config, self.terms = context.config, terms
-        between = max(terms.held_bytes_all // terms.streams, LEAST_BETWEEN)
+    def __init__(self, context: FrontContext, section: Flight) -> None:
+        config, self.section = context.config, section
+        buffered_bytes = max(section.held_bytes_all // section.streams, MIN_BUFFERED_BYTES)
         self.engines = FlightEngines(
             config.settings,
             context.roll,
             context.desk,
             context.metrics,
-            terms.held_bytes,
-            between,
-            Purse(terms.held_bytes_all),
+            section.held_bytes,
+            buffered_bytes,
+            Purse(section.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(terms, config.name, context.intake, context.courses, context.metrics, context.log)
+        self.door = Door(section, config.name, context.intake, context.courses, context.metrics, context.log)
 
-    def speaks(self, entry: Entry) -> bool:
+    def speaks_flight(self, entry: Entry) -> bool:
         """Whether an engine speaks Flight SQL, by its kind or its own id."""
-        by_kind = self.kinds[entry.engine.kind] in self.terms.kinds
-        return by_kind or entry.engine.id.decode("latin-1") in self.terms.engines
+        by_kind = self.kinds[entry.engine.kind] in self.section.kinds
+        return by_kind or entry.engine.id.decode("latin-1") in self.section.engines
 
     async def open(self) -> dict:
         """Listen, where the section says so; what the log says of it."""
-        if not self.terms.listen:
+        if not self.section.listen:
             return {}
-        await self.door.listen(address(self.terms.listen))
-        return {"flight": (address(self.terms.listen)[0], self.door.port)}
+        await self.door.listen(address(self.section.listen))
+        return {"flight": (address(self.section.listen)[0], self.door.port)}
 
     def reload(self, operator: Operator, config: Config) -> None:
         if operator.flight:
-            self.terms = self.door.terms = operator.flight
+            self.section = self.door.terms = operator.flight
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         return {}
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -20,9 +20,9 @@
 from thistlelever.membership.service_health import Observation, ServiceHealth
 
 # Lives are counted from here, in eighths of a second: the Unix second of 2020's first.
-EPOCH = 1_577_836_800
+LIFE_EPOCH_S = 1_577_836_800
 # How often the front looks whether it serves whom it takes.
-LOOK = 0.5
+SERVICE_CHECK_INTERVAL_S = 0.5
 
 
 def validate(section: Membership, config: Config) -> None:
@@ -42,23 +42,23 @@
         self.context, self.service_health = context, ServiceHealth()
         # Behind a relay or an address translation others know this front by another address than it binds.
         rank = config.rank
-        known_as = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
+        advertised_address = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
         self.peers = Peers(config.peer_listen, section.tier, context.metrics)
         membership_config = MembershipConfig(
             period=section.period_s,
             suspicion_timeout=section.suspect_s,
             reconnect_interval=section.knock_s,
         )
-        identity = Identity(config.name, known_as, int((clock.wall() - EPOCH) * 8))
+        identity = Identity(config.name, advertised_address, int((clock.wall() - LIFE_EPOCH_S) * 8))
         tier = TierSettings(config.peers, config.settings.fronts)
         judge = Judge(membership_config, identity, tier, config.seed, clock.now())
-        self.members = Members(judge, self.peers, context.metrics, context.log, self.counted)
-        self.fronts, self.task, self.left = config.settings.fronts, None, False
+        self.members = Members(judge, self.peers, context.metrics, context.log, self.on_view_change)
+        self.fronts, self.task, self.leaving = config.settings.fronts, None, False
 
     async def open(self) -> dict:
         self.peers.open()
         self.members.open()
-        self.task = asyncio.get_running_loop().create_task(self.looking())
+        self.task = asyncio.get_running_loop().create_task(self.observe_service())
         return {"membership": self.members.judge.me.address}
 
     def reload(self, operator: Operator, config: Config) -> None:
@@ -71,7 +71,7 @@
             "members.explain": lambda name: views.explain(judge, name, clock.now()),
         }
 
-    def counted(self, view: View) -> None:
+    def on_view_change(self, view: View) -> None:
         """As many fronts as share the engines: a fact for the decisions and the budgets."""
         if view.fronts != self.fronts:
             self.fronts = view.fronts
@@ -80,24 +80,24 @@
             if self.context.courses.gate:
                 self.context.courses.gate.set_front_count(view.fronts)
 
-    async def looking(self) -> None:
+    async def observe_service(self) -> None:
         counts, batches = self.context.metrics.counts, self.context.batches
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(SERVICE_CHECK_INTERVAL_S)
             answered = counts["End"] + counts["PushBack"] + counts["Error"]
             observation = Observation(
                 at=clock.now(),
-                ready=not self.left,
+                ready=not self.leaving,
                 taken=counts["taken"],
                 answered=answered,
                 returned=counts["End"],
                 open_queries=len(batches.by_number),
             )
-            serves = self.service_health.observe(observation)
-            self.members.judge.set_serving(clock.now(), serves)
+            serving = self.service_health.observe(observation)
+            self.members.judge.set_serving(clock.now(), serving)
 
     def begin_shutdown(self) -> None:
-        self.left = True
+        self.leaving = True
         self.members.leave()
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -43,9 +43,9 @@
 
 # After a SIGTERM, requests go on coming for 0.6 s; the kill comes no sooner than the longest time limit,
 # or 3 s if that is less, and 0.7 s more after it. The last answers are written before.
-STILL_COMING, LONGEST_LIMIT, LAST_ANSWER = 0.75, 3.0, 0.3
+ACCEPT_AFTER_SIGTERM_S, MAX_DRAIN_S, ANSWER_GRACE_S = 0.75, 3.0, 0.3
 # What the last answers may take to leave the connections' buffers.
-LAST_BYTES = 0.2
+FLUSH_TIMEOUT_S = 0.2
 # Many clients come at once when a front is taken in.
 BACKLOG = 512
 # What a SIGHUP renews, and what means something at a start only: neither waits for a restart.
@@ -54,9 +54,9 @@
 FILE_KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
     ("zones", "kinds", "idle", "answer_slack", "settings"), "settings"
 )
-HOUSEKEEPING, COUNTS_EVERY = 0.5, 6.0
+HOUSEKEEPING_INTERVAL_S, COUNTS_LOG_INTERVAL_S = 0.5, 6.0
 # What a start is short of is tried for again so often, this far apart.
-MOST_STARTS, START_AGAIN = 50, 0.1
+MAX_RETRIES, RETRY_INTERVAL_S = 50, 0.1
 
 T = TypeVar("T")
 
@@ -102,7 +102,9 @@
         self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
             component = self.flight
-            self.dispatcher.speech = lambda entry: component.engines if component.speaks(entry) else over_http
+            self.dispatcher.speech = (
+                lambda entry: component.engines if component.speaks_flight(entry) else over_http
+            )
         self.admin: AdminServer | None = None
         self.stop, self.reload_requested = asyncio.Event(), asyncio.Event()
         self.inquiry.on_new_configuration = self.reload_requested.set
@@ -176,7 +178,7 @@
         takeover = TakeoverComponent(context, section, membership)
         if self.state:
             # A front that keeps nothing does not promise others to.
-            self.state.on_failing.append(takeover.failing)
+            self.state.on_failing.append(takeover.set_storage_failure)
         return takeover
 
     def forget(self, engine: it.EngineId) -> None:
@@ -195,7 +197,7 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.inquiry.open(self.config.directory)
-        start_times.reached("directory")
+        start_times.finish_stage("directory")
         address = self.config.peer_listen
         if address and not self.membership:
             await retry_while_out_of_resources(
@@ -204,11 +206,11 @@
         self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
         sock = await retry_while_out_of_resources(lambda: listening_socket(self.config.listen))
         self.reception.listen(sock)
-        start_times.reached("listening")
+        start_times.finish_stage("listening")
         facts: dict = {}
         for component in self.components:
             facts |= await component.open()
-            start_times.reached(component.start_stage)
+            start_times.finish_stage(component.start_stage)
         if self.operator and self.operator.admin:
             from thistlelever.lifecycle.admin import AdminServer
 
@@ -242,20 +244,20 @@
 
     async def close(self) -> None:
         """Take what still comes, answer all that was taken, and be gone before the kill."""
-        longest = max(query_class.time_limit for query_class in self.config.settings.tariffs)
-        stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
+        longest_time_limit = max(query_class.time_limit for query_class in self.config.settings.tariffs)
+        stop_at = clock.now() + min(longest_time_limit, MAX_DRAIN_S) + ANSWER_GRACE_S
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
         for component in self.components:
             component.begin_shutdown()
         self.courses.stop(stop_at)
-        await asyncio.sleep(STILL_COMING)
-        while self.courses.tasks and clock.now() < stop_at + LAST_BYTES:
-            await asyncio.wait(self.courses.tasks, timeout=stop_at + LAST_BYTES - clock.now())
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        while self.courses.tasks and clock.now() < stop_at + FLUSH_TIMEOUT_S:
+            await asyncio.wait(self.courses.tasks, timeout=stop_at + FLUSH_TIMEOUT_S - clock.now())
         # The last answers may still lie in the connections' buffers.
-        await self.reception.finish(LAST_BYTES)
+        await self.reception.finish(FLUSH_TIMEOUT_S)
         for component in self.components:
-            await component.close(LAST_BYTES)
+            await component.close(FLUSH_TIMEOUT_S)
         if self.admin:
             await self.admin.close()
         for task in self.tasks:
@@ -272,16 +274,16 @@
             if self.stop.is_set():
                 continue
             try:
-                new = self.reread_config()
+                new_config = self.reread_config()
                 operator = self.inquiry.overlay(self.reread_operator()) if self.reread_operator else None
                 if operator and operator.budgets:
-                    from thistlelever.lifecycle.budgets import plan
+                    from thistlelever.lifecycle.budgets import build_plan
 
-                    plan(operator.budgets)
-                if new.directory != self.config.directory:
-                    await self.inquiry.open(new.directory)
+                    build_plan(operator.budgets)
+                if new_config.directory != self.config.directory:
+                    await self.inquiry.open(new_config.directory)
                 # Risk: a drain that it names is known only once the directory's new address has answered.
-                self.inquiry.hold(new.serial, list(new.known))
+                self.inquiry.hold(new_config.serial, list(new_config.known))
             except ConfigError as error:
                 self.log("reload refused", why=str(error))
                 continue
@@ -292,24 +294,24 @@
                 {
                     FILE_KEYS.get(name, name)
                     for name, old_value in self.config._asdict().items()
-                    if name not in RELOADED_FIELDS and getattr(new, name) != old_value
+                    if name not in RELOADED_FIELDS and getattr(new_config, name) != old_value
                 }
             )
-            self.config = self.config._replace(directory=new.directory, peers=new.peers)
+            self.config = self.config._replace(directory=new_config.directory, peers=new_config.peers)
             needs_restart += self.reload_operator_file(operator)
-            self.log("reloaded", dns=new.directory, needs_restart=needs_restart)
+            self.log("reloaded", dns=new_config.directory, needs_restart=needs_restart)
 
-    def reload_operator_file(self, new: Operator | None) -> list[str]:
+    def reload_operator_file(self, operator: Operator | None) -> list[str]:
         """Take from the operator file what can change at once; the keys that wait for a restart."""
-        if new is None:
+        if operator is None:
             return []
         for component in self.components:
-            component.reload(new, self.config)
-        if new == self.operator:
+            component.reload(operator, self.config)
+        if operator == self.operator:
             return []
         from thistlelever.ground.operator import AT_ONCE, differing
 
-        return differing(self.operator, new, AT_ONCE)
+        return differing(self.operator, operator, AT_ONCE)
 
     def log_unhandled_exception(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """What no task heeded: logged and counted, and the front goes on."""
@@ -318,23 +320,23 @@
 
     async def housekeeping(self) -> None:
         """Closes what idles and writes the counters where they have changed."""
-        written, next_log_at = None, clock.now() + COUNTS_EVERY
+        logged, next_log_at = None, clock.now() + COUNTS_LOG_INTERVAL_S
         while True:
-            await asyncio.sleep(HOUSEKEEPING)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.links.sweep()
             self.reception.sweep()
-            if clock.now() >= next_log_at and self.metrics.counts != written:
-                written = self.metrics.counts.copy()
+            if clock.now() >= next_log_at and self.metrics.counts != logged:
+                logged = self.metrics.counts.copy()
                 self.log(
                     "counts",
                     links=self.links.count,
-                    counts=written,
+                    counts=logged,
                     turns=self.desk.turns,
                     deciding=round(self.desk.spent, 3),
                     cpu=round(process_time(), 3),
                     lag=round(self.pulse.worst, 4),
                 )
-                next_log_at, self.pulse.worst = clock.now() + COUNTS_EVERY, 0.0
+                next_log_at, self.pulse.worst = clock.now() + COUNTS_LOG_INTERVAL_S, 0.0
 
 
 async def serve(
@@ -350,7 +352,7 @@
     gc.collect()
     gc.freeze()
     start_times = start_times or StartTimes()
-    start_times.reached("built")
+    start_times.finish_stage("built")
     await server.run(start_times)
     return 0
 
@@ -358,13 +360,13 @@
 async def retry_while_out_of_resources(make: Callable[[], Awaitable[T]]) -> T:
     """What `make` makes, tried for again while the machine is short of sockets or memory. Risk: a front that
     starts beside hundreds of others in one moment ends for want of what is there in the next."""
-    for _ in range(MOST_STARTS):
+    for _ in range(MAX_RETRIES):
         try:
             return await make()
         except OSError as error:
             if error.errno not in OWN_WANT:
                 raise
-            await asyncio.sleep(START_AGAIN)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     return await make()
 
 
--- a/thistlelever/lifecycle/start_times.py
+++ b/thistlelever/lifecycle/start_times.py
@@ -31,10 +31,13 @@
     def __init__(self) -> None:
         """Count from the moment at which the process was made."""
         self.stages: dict[str, dict[str, float]] = {}
-        self._since, self._cpu = clock.now() - process_age(), 0.0
+        self._stage_started_at, self._cpu_at_stage_start = clock.now() - process_age(), 0.0
 
-    def reached(self, stage: str) -> None:
+    def finish_stage(self, stage: str) -> None:
         """The named stage is over; what follows belongs to the next one."""
         now, cpu = clock.now(), process_time()
-        self.stages[stage] = {"s": round(now - self._since, 3), "cpu_s": round(cpu - self._cpu, 3)}
-        self._since, self._cpu = now, cpu
+        self.stages[stage] = {
+            "s": round(now - self._stage_started_at, 3),
+            "cpu_s": round(cpu - self._cpu_at_stage_start, 3),
+        }
+        self._stage_started_at, self._cpu_at_stage_start = now, cpu
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -24,48 +24,48 @@
 from thistlelever.store.batches import Name
 
 # What is learnt and confirmed is written down this often, and a start that found nobody is tried again.
-NOTE, AGAIN = 1.0, 1.0
-ALWAYS = Age(0.0, 0.0)
+RECORD_INTERVAL_S, RETRY_INTERVAL_S = 1.0, 1.0
+NO_AGE = Age(0.0, 0.0)
 
 
-def boot() -> str:
-    with suppress(OSError), open("/proc/sys/kernel/random/boot_id") as told:
-        return told.read().strip()
+def read_boot_id() -> str:
+    with suppress(OSError), open("/proc/sys/kernel/random/boot_id") as boot_id_file:
+        return boot_id_file.read().strip()
     return ""
 
 
 # One for the life of a process, which asks for the time at each referenced batch.
-BOOT = boot()
+BOOT_ID = read_boot_id()
 
 
-def now() -> Now:
+def time_now() -> Now:
     """By both clocks."""
-    return Now(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT)
+    return Now(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT_ID)
 
 
-def moment(ago: float = 0.0) -> Moment:
-    at = now()
-    return Moment(at.wall - ago, at.since_boot - ago, at.boot)
+def moment_ago(ago: float = 0.0) -> Moment:
+    now = time_now()
+    return Moment(now.wall - ago, now.since_boot - ago, now.boot)
 
 
-def since(then: Moment) -> Age:
-    return age(then.wall, then.since_boot, then.boot, now())
+def age_of(then: Moment) -> Age:
+    return age(then.wall, then.since_boot, then.boot, time_now())
 
 
-def start_since(learnt: Learnt) -> float:
+def local_start(learnt: Learnt) -> float:
     """When an engine of a former life started, on this front's clock; 0.0 for none. Risk: the wall clock was
     stepped between the lives, and a start that seems to lie ahead is cold until then."""
     if not learnt.started:
         return 0.0
-    return clock.now() - max(learnt.at.wall - learnt.started, 0.0) - since(learnt.at).least
+    return clock.now() - max(learnt.at.wall - learnt.started, 0.0) - age_of(learnt.at).least
 
 
-def written(path: str | None) -> Age:
+def configuration_age(path: str | None) -> Age:
     """Since when the configuration may be as it is."""
     if not path:
-        return ALWAYS
+        return NO_AGE
     try:
-        return age(os.path.getmtime(path), 0.0, "", now())
+        return age(os.path.getmtime(path), 0.0, "", time_now())
     except OSError:
         return Age(0.0, float("inf"))
 
@@ -80,28 +80,30 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         # Who is told when the store begins to fail, and when it does no more.
         self.on_failing: list[Callable[[str], None]] = []
-        self.keeper = Keeper(lambda: File(section.path), section.every_s, self.changed)
+        self.keeper = Keeper(lambda: File(section.path), section.every_s, self.on_writer_status)
         self.keeper.open()
         config_path = config_path or os.environ.get("BALANCER_CONFIG")
-        entries, ages = self.remembered(context.config, written(config_path))
+        entries, ages = self.remembered_engines(context.config, configuration_age(config_path))
         self.judge = Judge(Terms(section.fresh_s, section.old_s), ages)
         self.entries = entries
         self.fresh_start = len(self.judge.use) == len(entries)
         if not self.fresh_start:
-            self.use()
+            self.use_remembered()
         self.serial, self.written_at = context.roll.serial, 0.0
         self.tasks: list[asyncio.Task] = []
         context.courses.memory = Recollection(
-            context.config.settings, context.roll, context.metrics, self.remember, self.find
+            context.config.settings, context.roll, context.metrics, self.remember_dispatch, self.find_dispatch
         )
 
     # What a former life knew.
 
-    def remembered(self, config: Config, config_age: Age) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
+    def remembered_engines(
+        self, config: Config, config_age: Age
+    ) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
         """Each engine that either list names, with the age of the younger word of it. What the younger of
         the two lists does not name any more is gone."""
         stored = {record.id: record for record in self.keeper.records["listed"].values()}
-        ages = {engine: since(record.confirmed) for engine, record in stored.items()}
+        ages = {engine: age_of(record.confirmed) for engine, record in stored.items()}
         newest = min((found.most for found in ages.values()), default=float("inf"))
         entries: dict[bytes, Entry] = {}
         found: dict[bytes, Age] = {}
@@ -112,16 +114,16 @@
             if ages[engine].most < found.get(engine, Age(0.0, float("inf"))).most and (
                 newest < config_age.most or engine in entries
             ):
-                entries[engine], found[engine] = listed(record), ages[engine]
+                entries[engine], found[engine] = entry_of(record), ages[engine]
         # Two under one address: the one that was heard of last is there.
-        place: dict[tuple[str, int], bytes] = {}
+        by_address: dict[tuple[str, int], bytes] = {}
         for engine in sorted(entries, key=lambda e: (found[e].most, e)):
-            if place.setdefault(entries[engine].address, engine) != engine:
+            if by_address.setdefault(entries[engine].address, engine) != engine:
                 del found[engine]
         ready = {e: entries[e] for e in found if entries[e].engine.state is it.EngineState.READY}
         return ready, {e: found[e] for e in ready}
 
-    def use(self) -> None:
+    def use_remembered(self) -> None:
         """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
         serial."""
         entries = [self.entries[engine] for engine in sorted(self.judge.use)]
@@ -131,35 +133,37 @@
         """The serial of the newest list that is kept; 0 where none is."""
         return max((record.serial for record in self.keeper.records["listed"].values()), default=0)
 
-    def recall(self) -> None:
+    def restore_learned_state(self) -> None:
         """What the decisions had learnt, told to them again."""
         kept = self.keeper.records
-        rests = [(int(rest.key, 16), rest.left - since(rest.at).least) for rest in kept["rest"].values()]
+        cooldowns = [(int(rest.key, 16), rest.left - age_of(rest.at).least) for rest in kept["rest"].values()]
         took: tuple[float, ...] = ()
         extra: tuple[float, ...] = ()
         if window := kept["window"].get(b"window"):
-            passed = since(window.at).least
-            took, extra = (tuple(ago + passed for ago in times) for times in (window.took, window.extra))
-        fresh = [one for one in kept["learnt"].values() if since(one.at).most <= self.section.old_s]
-        told = it.LearnedState(
-            tuple((one.id, one.bound, one.pace, start_since(one)) for one in fresh),
-            tuple((key, left) for key, left in rests if left > 0),
+            elapsed = age_of(window.at).least
+            took, extra = (tuple(ago + elapsed for ago in times) for times in (window.took, window.extra))
+        recent = [
+            record for record in kept["learnt"].values() if age_of(record.at).most <= self.section.old_s
+        ]
+        state = it.LearnedState(
+            tuple((record.id, record.bound, record.pace, local_start(record)) for record in recent),
+            tuple((key, left) for key, left in cooldowns if left > 0),
             took,
             extra,
         )
-        self.context.desk.tell(told)
+        self.context.desk.tell(state)
 
-    def remember(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
+    def remember_dispatch(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
         if what is None:
             self.keeper.drop("mark", mark)
             return
         engine, name, window = what
-        self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment()))
+        self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment_ago()))
 
-    def find(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
+    def find_dispatch(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
         found = self.keeper.records["mark"].get(mark)
         # By the least that it may be its repeats would still be dropped; by the most they are not.
-        return found and (found.engine, Name(found.txn, found.number), since(found.ran).most)
+        return found and (found.engine, Name(found.txn, found.number), age_of(found.ran).most)
 
     # Its life.
 
@@ -168,60 +172,66 @@
         self.loop = asyncio.get_running_loop()
         self.keeper.start()
         if self.keeper.failing:
-            self.changed_here(self.keeper.failing)
+            self.report_status(self.keeper.failing)
         if not self.fresh_start:
             while self.judge.stage in (Stage.ASKING, Stage.ASKING_LAST):
-                await self.asking()
-            self.tell_list()
-        self.recall()
-        self.tasks = [self.loop.create_task(self.noting()), self.loop.create_task(self.finding())]
+                await self.probe_remembered()
+            self.announce_remembered()
+        self.restore_learned_state()
+        self.tasks = [
+            self.loop.create_task(self.record_periodically()),
+            self.loop.create_task(self.retry_until_found()),
+        ]
         return {"state": self.judge.stage.value, "engines_remembered": len(self.entries)}
 
-    async def asking(self) -> None:
+    async def probe_remembered(self) -> None:
         """One round: all that are to be asked, side by side."""
 
-        async def one(engine: bytes) -> None:
+        async def probe(engine: bytes) -> None:
             outcome, _ = await self.context.dispatcher.speech(self.entries[engine]).probe(
                 self.entries[engine]
             )
             self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
 
-        asked = [asyncio.ensure_future(one(e)) for e in sorted(self.judge.ask - self.judge.answered.keys())]
-        if asked:
-            _, late = await asyncio.wait(asked, timeout=self.section.within_s + 0.05)
-            for task in late:
+        probes = [
+            asyncio.ensure_future(probe(engine))
+            for engine in sorted(self.judge.ask - self.judge.answered.keys())
+        ]
+        if probes:
+            _, pending = await asyncio.wait(probes, timeout=self.section.within_s + 0.05)
+            for task in pending:
                 task.cancel()
         self.judge.waited()
 
-    def tell_list(self) -> None:
+    def announce_remembered(self) -> None:
         if self.judge.stage is not Stage.LISTED and not self.context.roll.serial:
-            self.use()
+            self.use_remembered()
             roll = self.context.roll
             self.context.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
             self.context.log("started by what was remembered", **self.judge.show())
 
-    async def finding(self) -> None:
+    async def retry_until_found(self) -> None:
         """Where nobody answered: again and again, until somebody does or discovery is back."""
         while not self.fresh_start:
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             if self.context.roll.serial:
                 self.judge.listed()
                 return
             if self.judge.again():
-                await self.asking()
+                await self.probe_remembered()
                 if self.judge.use:
-                    self.tell_list()
+                    self.announce_remembered()
 
-    async def noting(self) -> None:
+    async def record_periodically(self) -> None:
         """Write down what is known by now; the disk is the other thread's."""
         while True:
-            await asyncio.sleep(NOTE)
-            self.note()
+            await asyncio.sleep(RECORD_INTERVAL_S)
+            self.record_changes()
 
-    def note(self) -> None:
-        roll, keeper, heard = self.context.roll, self.keeper, self.context.inquiry.heard_at
-        if heard > self.written_at:
-            self.written_at, at = heard, moment(clock.now() - heard)
+    def record_changes(self) -> None:
+        roll, keeper, heard_at = self.context.roll, self.keeper, self.context.inquiry.heard_at
+        if heard_at > self.written_at:
+            self.written_at, at = heard_at, moment_ago(clock.now() - heard_at)
             if self.judge.stage is not Stage.LISTED:
                 self.judge.listed()
             for engine in [e for e in keeper.records["listed"] if e not in roll.entries]:
@@ -229,8 +239,8 @@
                 keeper.drop("learnt", engine)
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
-                    keeper.put("listed", engine, record(entry, roll.serial, at))
-        learnt, at = self.context.desk.front.recall(clock.now()), moment()
+                    keeper.put("listed", engine, listed_record(entry, roll.serial, at))
+        learnt, at = self.context.desk.front.recall(clock.now()), moment_ago()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
@@ -241,33 +251,33 @@
             keeper.put("rest", b"%x" % key, Rest(f"{key:x}", left, at))
         if learnt.took or learnt.extra:
             keeper.put("window", b"window", Window(learnt.took, learnt.extra, at))
-        self.forget()
+        self.drop_expired()
 
-    def forget(self) -> None:
+    def drop_expired(self) -> None:
         """What can matter no more: marks whose repeats nobody drops, keys that have rested."""
-        for kind, over in (
-            ("mark", lambda m: since(m.ran).least > 2 * m.window),
-            ("rest", lambda r: since(r.at).least > r.left),
+        for kind, is_expired in (
+            ("mark", lambda m: age_of(m.ran).least > 2 * m.window),
+            ("rest", lambda r: age_of(r.at).least > r.left),
         ):
             kept = self.keeper.records[kind]
             for key in list(kept)[:1_000]:
-                if not over(kept[key]):
+                if not is_expired(kept[key]):
                     break
                 self.keeper.drop(kind, key)
 
     # Failing.
 
-    def changed(self, failing: str) -> None:
+    def on_writer_status(self, failing: str) -> None:
         """On the writing thread."""
         if self.loop and not self.loop.is_closed():
             with suppress(RuntimeError):
-                self.loop.call_soon_threadsafe(self.changed_here, failing)
+                self.loop.call_soon_threadsafe(self.report_status, failing)
 
-    def changed_here(self, failing: str) -> None:
+    def report_status(self, failing: str) -> None:
         self.context.metrics.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
         self.context.log("state not kept" if failing else "state kept again", why=failing)
-        for told in self.on_failing:
-            told(failing)
+        for callback in self.on_failing:
+            callback(failing)
 
     def reload(self, operator: Operator, config: Config) -> None:
         """All of it waits for a restart."""
@@ -294,21 +304,21 @@
         }
 
     def begin_shutdown(self) -> None:
-        self.note()
+        self.record_changes()
 
     async def close(self, grace: float) -> None:
         for task in self.tasks:
             task.cancel()
-        self.note()
+        self.record_changes()
         await asyncio.get_running_loop().run_in_executor(None, self.keeper.close, grace)
 
 
-def record(entry: Entry, serial: int, at: Moment) -> Listed:
+def listed_record(entry: Entry, serial: int, at: Moment) -> Listed:
     e = entry.engine
     return Listed(e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at)
 
 
-def listed(kept: records.Listed) -> Entry:
+def entry_of(kept: records.Listed) -> Entry:
     engine = it.Engine(
         kept.id, kept.zone, kept.cell, kept.kind, it.EngineState(kept.standing), kept.started, kept.size
     )
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -18,14 +18,14 @@
 from thistlelever.wire.peers import State
 
 # Before a front ends what is out is handed over, with time left to tell its clients.
-HAND_OVER = 0.15
-GONE = frozenset((State.DEAD, State.LEFT))
+HAND_OVER_BEFORE_STOP_S = 0.15
+GONE_STATES = frozenset((State.DEAD, State.LEFT))
 
 
 def validate(section: Takeover, config: Config) -> None:
     """`ConfigError` with the key where the section can't be kept."""
-    known = {query_class.name for query_class in config.settings.tariffs}
-    if unknown := sorted(set(section.demand or ()) - known):
+    query_classes = {query_class.name for query_class in config.settings.tariffs}
+    if unknown := sorted(set(section.demand or ()) - query_classes):
         raise ConfigError(
             f"operator file: takeover.demand: service groups of the settings expected; found {unknown[0]!r}"
         )
@@ -54,11 +54,11 @@
             most_kept=section.most_kept,
             most_taken=section.most_taken,
         )
-        me = self.members.me
+        identity = self.members.me
         self.judge = Judge(
             terms,
-            me.address,
-            me.life,
+            identity.address,
+            identity.life,
             config.peers,
             groups(config.settings, section.demand),
             config.seed,
@@ -81,7 +81,7 @@
         if address == self.members.me.address:
             return Standing.ALIVE if life == self.members.me.life else Standing.GONE
         member = self.members.table.at_address(address)
-        if member is None or member.life > life or member.state in GONE:
+        if member is None or member.life > life or member.state in GONE_STATES:
             return Standing.GONE
         return Standing.SUSPECTED if member.state is State.SUSPECTED else Standing.ALIVE
 
@@ -93,8 +93,8 @@
         return bool(self.members.alone(clock.now()))
 
     async def open(self) -> dict:
-        others = sorted(self.judge.catchup.others())
-        self.judge.catchup.begin(clock.now(), others)
+        other_fronts = sorted(self.judge.catchup.others())
+        self.judge.catchup.begin(clock.now(), other_fronts)
         self.wards.open()
         return {"takeover": len(self.judge.places.fronts)}
 
@@ -107,13 +107,13 @@
             "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
         }
 
-    def failing(self, why: str) -> None:
+    def set_storage_failure(self, error: str) -> None:
         """This front's store keeps nothing, or does again: as a place it says so and is passed by."""
-        self.judge.holder.failing = why
+        self.judge.holder.failing = error
 
     def begin_shutdown(self) -> None:
-        at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER
-        asyncio.get_running_loop().call_at(at, self.wards.hand_over)
+        hand_over_at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER_BEFORE_STOP_S
+        asyncio.get_running_loop().call_at(hand_over_at, self.wards.hand_over)
 
     async def close(self, grace: float) -> None:
         # What was handed over last may not have been heard yet; nothing is waited for longer than that.
