--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration by distributors: checked before it is spread, in force at a known version, rolled back."""
+"""Configuration by distributors: checked before it is published, in force at a known version, rolled back."""
 
 import asyncio
 import json
@@ -16,13 +16,13 @@
 
 
 def budgets(**shares):
-    """The document with budgets in which these brokers are guaranteed these shares."""
+    """A document with budgets that guarantee these shares to these brokers."""
     brokers = {name: {"guarantee": share} for name, share in shares.items()}
     return json.dumps({"budgets": {"brokers": brokers}})
 
 
 def play(scenario, count=2, **sections):
-    """Run a scenario with distributors that let the operator document through."""
+    """Run a scenario with distributors that check and accept the operator document."""
 
     async def staged():
         async with tier(count, engines=6, **sections) as stage:
@@ -46,7 +46,7 @@
         await stage.until_version(version, *fronts)
         assert all(contents(front) == {"operator": budgets(acme=0.5)} for front in fronts)
         assert len(fronts[0].replica.records) == engines + 1
-        # A whole list replaces engines alone.
+        # Publishing a whole engine list leaves documents as they are.
         version = await stage.publish(engines=[engine(number) for number in range(5)])
         await stage.until_version(version, *fronts)
         assert contents(fronts[0]) == {"operator": budgets(acme=0.5)}
@@ -161,7 +161,7 @@
                 await stage.until(lambda: guarantees() == {"acme": 0.5})
                 assert parse(first) < parse(second) < parse(third)
                 assert shown()["configuration"]["in_force_since"] == third
-                # Another change does not touch it; without the document the front's own file holds.
+                # A change of engines leaves the document alone; without one the front's own file holds.
                 await stage.publish(upserts=[engine(1, zone="nord")])
                 await stage.publish(documents={"operator": None})
                 await stage.until(lambda: guarantees() == {"zeta": 0.125})
@@ -178,7 +178,7 @@
         front = SubscribedStage(stage)
         front.sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
         for distributor in stage.running.values():
-            # A publisher of another version, whose check lets more through.
+            # As if the publisher were of another release, whose check accepts more.
             distributor.role.checks = {OPERATOR_DOCUMENT: lambda text: None}
         try:
             with brisk():
--- a/tests/test_reloads.py
+++ b/tests/test_reloads.py
@@ -1,4 +1,4 @@
-"""Reloads: the list that a configuration read again holds, and one that comes while a front starts."""
+"""Reloads: the engine list of a reread configuration, and a SIGHUP while a front starts."""
 
 import asyncio
 import json
@@ -10,13 +10,13 @@
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.papers import configuration
 
-# Seconds: a start on a busy machine, before the first signal, and between two.
+# Seconds: the longest start on a busy machine, the wait before the first signal, and between two signals.
 LONGEST_START, SHELL, PAUSE = 30.0, 0.05, 0.01
 
 
 @moment("engine a\nengine b\nfront")
 async def test_a_drain_that_only_the_reloaded_configuration_names(stage, monkeypatch):
-    """Its directory says nothing yet; an older list in a configuration read again is no news."""
+    """The directory at the new address has not answered yet. A later reload with an older list is ignored."""
     await stage.do_moves()
     await stage.do_directory(*["lost"] * 1_000)
     known = stage.config["known"] | {"pos": 4}
@@ -28,7 +28,7 @@
 
 
 async def events_of_start(environ):
-    """The front's log lines up to `reloaded`, where it got one SIGHUP after the other until it was ready."""
+    """The front's log events up to `reloaded`; SIGHUP is sent repeatedly until the first of them."""
     process = await front_process(environ)
     events = []
 
@@ -41,7 +41,7 @@
     hearing = asyncio.create_task(hear())
     try:
         async with asyncio.timeout(LONGEST_START):
-            # The shell has its own time to set what it hands on.
+            # The shell needs a moment before it replaces itself with the front.
             await asyncio.sleep(SHELL)
             while not events and not hearing.done():
                 process.send_signal(signal.SIGHUP)
@@ -55,7 +55,8 @@
 
 
 def test_a_reload_in_the_midst_of_the_start_is_done_once_the_front_is_up(tmp_path):
-    """Risk: the default action of SIGHUP ends the process; one ignored leaves it at the old directory."""
+    """By its default action SIGHUP would end the process; if it were ignored, the front would keep the old
+    directory."""
 
     async def whole():
         _, directory = await asyncio.get_running_loop().create_datagram_endpoint(
--- a/tests/test_restart_with_old_answers.py
+++ b/tests/test_restart_with_old_answers.py
@@ -1,7 +1,7 @@
-"""A real front, killed and started again beside a directory that answers once as before the restart.
+"""A front is killed and restarted, and its directory once sends an answer from before the restart.
 
-The story is that of `test_directory_answers.py`; here it is played by a process of its own that is ended by
-SIGKILL, with clients that go on asking all the while.
+Guards against dispatches to a draining engine, which the old answer still lists as ready. The same case as in
+`test_directory_answers.py`, with a front in its own process, SIGKILL, and clients that submit throughout.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import configuration
 
-# How long clients go on after the old answer, and their pace.
+# Seconds: how long clients submit after the old answer, and between two batches.
 GOES_ON, CLIENT_PACE = 1.5, 0.02
 
 
 async def submit(writer, numbers):
-    """Queries on tables of many groups, until it is cancelled."""
+    """Submit batches on tables of many groups, until cancelled."""
     for number in numbers:
         statement = b64encode(f"select a from sales_{number % 40}.orders".encode()).decode()
         params = {"id": f"{number:016x}", "wait": 3000, "tenant": "acme", "cost": 50.0, "need_mb": 10}
@@ -29,12 +29,12 @@
 
 
 def posts(engine):
-    """How many dispatches have come to the engine."""
+    """The number of dispatches that the engine has received."""
     return sum(verb == "POST" for verb, _, _ in engine.calls)
 
 
 async def looked(holds, within=8.0):
-    """Looks until it holds."""
+    """Poll until the condition holds."""
     async with asyncio.timeout(within):
         while not holds():
             await asyncio.sleep(0.01)
@@ -53,7 +53,7 @@
         path.write_text(json.dumps(known))
         ready = dict(directory.entries)
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
-            # In its first life the front has heard of more lists than it will have in its second.
+            # Before its restart the front sees higher serials than afterwards.
             directory.serial, directory.former = 4, (4, ready)
             heard = directory.asked
             await looked(lambda: directory.asked > heard + 2)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Where the time of a front's start goes, as its ready line tells it."""
+"""The stages of a front's start and their times, as the log event `ready` has them."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 async def started(path, stopped_s):
-    """The ready line of a front that is stopped for so long as it begins."""
+    """The log event `ready` of a front that is stopped for so many seconds as its start begins."""
     process = await front_process({"BALANCER_CONFIG": str(path)})
     try:
         process.send_signal(signal.SIGSTOP)
@@ -55,5 +55,5 @@
     stages = asyncio.run(started(path, stopped_s))["start"]
     assert list(stages) == ["loaded", "configured", "built", "directory", "listening"]
     seconds, cpu = (sum(stage[key] for stage in stages.values()) for key in ("s", "cpu_s"))
-    # Ticks of 10 ms: the age of a process is known no better.
+    # The age of a process is known in ticks of 10 ms.
     assert cpu > 0 and seconds - cpu >= stopped_s - 0.02
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped: spans go on as they were, and an engine's start stays what it was."""
+"""Steps of the wall clock change neither time spans nor the starts of engines."""
 
 import asyncio
 import json
@@ -20,12 +20,12 @@
 from thistlelever.store.roll import Roll
 
 NOW, HOUR = 1_000_000.0, 3_600.0
-# The engine that starts in a run is warm after so many seconds, so that a short run sees both, and bears so
-# little until then that it shows.
+# An engine that starts during a run is warm after so many seconds, so that a short run covers both states,
+# and bears so little load while it is cold that the difference shows.
 WARM_AFTER, COLD_MULTIPLE = 2.0, 0.02
-# Seconds that a cold engine's queries are counted, from the moment its start is told, and a warm one's.
+# Seconds for which queries of an engine are counted: while cold, from the announcement of its start; warm.
 COLD_COUNTED, WARM_COUNTED = WARM_AFTER - 0.2, 3.0
-# Seconds between two statements, and that one takes.
+# Seconds between two statements, and the duration of one.
 CLIENT_PACE, STATEMENT_TAKES = 0.01, 0.02
 
 
@@ -36,21 +36,21 @@
 @pytest.mark.parametrize(
     "told, ahead, believed",
     [
-        # Without a step what is told is believed; a start in the future is a start now.
+        # Without a step the announced start is believed; one in the future counts as now.
         (NOW - 3, 0.0, NOW - 3),
         (NOW - HOUR, 0.0, NOW - HOUR),
         (NOW + HOUR, 0.0, NOW),
-        # Told by a clock that was stepped as this one was, by an hour or by seconds.
+        # Announced by a clock that was stepped as this one was, by an hour or by seconds.
         (NOW - 3 + HOUR, HOUR, NOW - 3),
         (NOW - 3 - HOUR, -HOUR, NOW - 3),
         (NOW - 3 - 5, -5.0, NOW - 3),
-        # Told by a clock that was not, or before the step.
+        # Announced by a clock that was not stepped, or before the step.
         (NOW - 3, HOUR, NOW - 3),
         (NOW - 3, -HOUR, NOW - 3),
-        # It can be either: the later, colder one.
+        # Both are possible: the later, colder one counts.
         (NOW - 3, 2.0, NOW - 3),
         (NOW - 3, -2.0, NOW - 1),
-        # It can be neither: the engine started when it appeared.
+        # Neither is possible: the engine started when it appeared.
         (NOW - HOUR / 2, HOUR, NOW),
         (NOW + HOUR / 2, HOUR, NOW),
     ],
@@ -62,7 +62,7 @@
 def test_an_engine_that_was_not_there_a_moment_ago_did_not_start_long_before():
     assert believable(NOW - TOLD_LATE - 1, NOW, NOW - 0.5, 5.0) == NOW
     assert believable(NOW - TOLD_LATE - 1, NOW, NOW - 2.0, 5.0) == NOW - TOLD_LATE - 1
-    # The first list has none before it.
+    # Before the first list there is none to compare with.
     assert believable(NOW - HOUR, NOW, None, 5.0) == NOW - HOUR
 
 
@@ -71,7 +71,7 @@
     starts.learn([engine(NOW - 3)], NOW, None, 0.0)
     starts.learn([engine(NOW - 3)], NOW + 60, NOW + 59, -HOUR)
     assert starts.of(engine(NOW - 3)) == NOW - 3
-    # It comes again under the same start, and under another.
+    # The engine comes again with the same start, and with another.
     starts.learn([], NOW + 120, NOW + 119, -HOUR)
     assert starts.of(engine(NOW - 3)) == NOW - 3
     starts.learn([engine(NOW + 130 - HOUR)], NOW + 132, NOW + 131, -HOUR)
@@ -88,7 +88,7 @@
     roll.update(4, [Entry(engine(0.0), ("127.0.0.1", 1))], NOW)
     roll.update(5, [Entry(told, ("127.0.0.1", 1))], NOW + 6, NOW + 5.7, -HOUR)
     assert [e.started for e in roll.told()] == [NOW + 5]
-    # What the list says is compared as it was said.
+    # The registry keeps the entry as the list has it, for comparison with later lists.
     assert roll.entries[b"a"].engine == told
 
 
@@ -104,7 +104,7 @@
 
 
 class Client:
-    """Submits at a pace on one connection, and keeps the answers."""
+    """Submits at a fixed rate on one connection, and keeps the answers."""
 
     def __init__(self, listen):
         self.listen, self.answers, self.sent = listen, [], 0
@@ -131,9 +131,11 @@
 
 
 async def posts_to_a_new_engine(tmp_path, steps, told_by):
-    """A run in which an engine starts, told by a clock that differs by `told_by` seconds, after the front's
-    wall clock was stepped: what the new engine got while it was cold and in the seconds after it was warm,
-    what an old one got in those seconds, how many answers were no results, and how many queries were sent."""
+    """Run a front whose wall clock is stepped, then start an engine whose clock differs by `told_by` seconds.
+
+    Returns the queries of the new engine while cold and while warm, those of an older engine in the same
+    seconds as the latter, the number of error answers, and the number of queries sent.
+    """
     stir = asyncio.Event()
     engines = {name: Engine(stir) for name in ("alder", "birch", "cedar")}
     for each in engines.values():
@@ -174,22 +176,24 @@
 @pytest.mark.parametrize(
     "steps, told_by",
     [
-        # Of the whole machine, the directory's clock included; of the front's clock alone.
+        # A step of the whole machine, with the directory's clock; a step of the front's clock alone.
         (f"1:{-HOUR}", -HOUR),
         (f"1:{HOUR}", HOUR),
         (f"1:{-HOUR}", 0.0),
         (f"1:{HOUR}", 0.0),
         (f"1:{-HOUR},1.3:{2 * HOUR}", HOUR),
-        # Before the front's start.
+        # A step before the front's start.
         (f"0:{-HOUR}", 0.0),
     ],
 )
 def test_an_engine_that_starts_after_a_step_is_cold_and_then_warm_as_without_one(tmp_path, steps, told_by):
-    """Failed once in CI on d68045c, in the run without a step: 9 queries while cold, 18 in the one second
-    that was counted then, where more than 18 were asked for. It was the sample: a cold engine gets 7 to 9
-    (its budget), a warm one is drawn by chance among three. 240 runs counted over one second gave 19 to 33,
-    24 in the middle, three of them 19, and in those three the engine was warm on time and its queries went
-    on evenly. So the same share of a warm engine's pace is asked for, of three seconds in place of one."""
+    """Warm queries are counted for three seconds, as one second was too small a sample.
+
+    A cold engine gets 7 to 9 queries, its budget; a warm one is drawn by chance among three. Counted for one
+    second, 240 runs gave 19 to 33 with a median of 24, and a run in CI on d68045c had 18, where more than 18
+    were required; in the three runs with 19 the engine was warm on time and its queries came evenly. The
+    required share of a warm engine's rate is the same.
+    """
 
     async def whole():
         return await asyncio.gather(
--- a/thistlelever/cli/common.py
+++ b/thistlelever/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: options, loading of files, questions to a running front, and output."""
+"""What several commands share: options, loading of files, calls to a running front, and output."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator
 
-# Exit codes: what was asked for does not hold or could not be done; the question itself could not be put.
+# Exit codes: the command failed or its check does not hold; the command could not be run as it was given.
 EXIT_FAILURE = 1
 EXIT_USAGE = 2
 
@@ -45,9 +45,9 @@
 
 
 def load_operator_file(path: str | None, config: front_config.Config | None = None) -> Operator | None:
-    """The operator file, or None where none is named: then nothing of it is imported.
+    """The operator file, or None where none is named: then its modules are not imported.
 
-    Where a configuration is given, what a section needs of it is checked too. Exit 2 on a fault.
+    Where a configuration is given, the sections are checked against it too. Exit 2 on an error.
     """
     if not path:
         return None
@@ -77,7 +77,7 @@
 
 
 def check_against_config(operator: Operator, config: front_config.Config) -> None:
-    """Raise `ConfigError` where a section that is on needs what the configuration does not say."""
+    """Raise `ConfigError` where a present section needs something that the configuration lacks."""
     if operator.membership:
         from thistlelever.lifecycle import membership
 
@@ -89,7 +89,7 @@
 
 
 def call_front(operator_path: str | None, method: str, /, **arguments: object) -> dict:
-    """The answer of a running front over its administration socket; exit 2 where it can't be asked."""
+    """The answer of a running front over its admin socket; exit 2 where it can't be reached or refuses."""
     from thistlelever.lifecycle import admin
 
     operator = load_operator_file(operator_path)
--- a/thistlelever/cli/configuration.py
+++ b/thistlelever/cli/configuration.py
@@ -1,4 +1,4 @@
-"""`thistlelever check` and `thistlelever show`: what the configuration says, without starting anything."""
+"""`thistlelever check` and `thistlelever show`: validate and print the configuration, without a front."""
 
 from __future__ import annotations
 
--- a/thistlelever/cli/distributor.py
+++ b/thistlelever/cli/distributor.py
@@ -1,4 +1,4 @@
-"""`thistlelever distributor`: run a distributor of the engine list, ask one, and publish through one."""
+"""`thistlelever distributor`: run a distributor of the engine list, query one, and publish through one."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 
 def publish_and_exit(at: str, body: dict) -> None:
-    """Publish, print the version and exit: 1 where it is refused or no majority holds it yet."""
+    """Publish, print the version and exit: 1 where it is refused or no majority has it yet."""
     answer = call(at, "POST", "/v1/publish", body)
     confirmed = answer["confirmed"]
     click.echo(f"{answer['version']}{'' if confirmed else ': not held by a majority yet'}")
@@ -142,7 +142,7 @@
 
 
 def load(path: str) -> DistributorConfig:
-    """The configuration; exit 2 where it can't be used."""
+    """The distributor's configuration; exit 2 where it is invalid."""
     from thistlelever.distributor.config import ConfigError
     from thistlelever.distributor.config import load as read
 
@@ -153,7 +153,7 @@
 
 
 def call(at: str, method: str, path: str, body: dict | None = None) -> dict:
-    """One call to a distributor; exit 1 where it refuses, 2 where it can't be asked."""
+    """The body of a distributor's reply to one call; exit 1 where it refuses, 2 where it can't be reached."""
     connection = http.client.HTTPConnection(at, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, None if body is None else orjson.dumps(body))
--- a/thistlelever/cli/main.py
+++ b/thistlelever/cli/main.py
@@ -1,10 +1,10 @@
-"""The root of the command line, and how a command is found without importing the others."""
+"""The root of the command line, which imports a command's module only when the command is used."""
 
 from importlib import import_module
 
 import click
 
-# Each command and the place that defines it. `serve` runs in priced memory, so nothing else is loaded for it.
+# Each command and where it is defined. `serve` runs in memory that has a price, so it loads no other command.
 COMMANDS = {
     "serve": "thistlelever.cli.serve:serve",
     "check": "thistlelever.cli.configuration:check",
--- a/thistlelever/cli/members.py
+++ b/thistlelever/cli/members.py
@@ -1,4 +1,4 @@
-"""`thistlelever members`: which fronts of the tier a running front believes to be alive."""
+"""`thistlelever members`: the view that a running front has of the other fronts of its tier."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MEMBER_COLUMNS = ("name", "address", "state", "for_s", "answered_ago_s", "incarnation", "refutals")
 CHANGE_COLUMNS = ("ago_s", "was", "state", "by", "late_s", "path")
-# Seconds between two questions of `watch`.
+# Seconds between two polls of `watch`.
 WATCH_INTERVAL = 0.2
 
 
@@ -79,7 +79,7 @@
 
 
 def print_changes(previous: dict[str, str], current: dict[str, str], as_json: bool) -> None:
-    """One line for each member whose state is another than before."""
+    """Print a line for each member whose state has changed."""
     for name in sorted(current.keys() | previous.keys()):
         was, state = previous.get(name, ""), current.get(name, "forgotten")
         if was == state:
--- a/thistlelever/cli/serve.py
+++ b/thistlelever/cli/serve.py
@@ -24,8 +24,8 @@
 @operator_option
 def serve(operator: str | None) -> None:
     """Serve as one front; BALANCER_CONFIG names the configuration."""
-    # Risk: a SIGHUP that comes before it is handled ends the process, or is about a configuration newer than
-    # the one that was read. Held back from here on, it is a reload once the front is up.
+    # A SIGHUP before its handler is set would end the process, and one after the configuration was read would
+    # be lost. Blocked from here on, it becomes a reload once the front is up.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from thistlelever.lifecycle.run import serve as run
     from thistlelever.lifecycle.start_times import StartTimes
--- a/thistlelever/cli/state.py
+++ b/thistlelever/cli/state.py
@@ -1,4 +1,4 @@
-"""`thistlelever state`: what a front keeps on disk."""
+"""`thistlelever state`: the records that a front keeps on disk."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
 
 
 def open_store(operator_path: str | None, path: str | None, read_only: bool) -> File:
-    """The store that is named, or the operator file's; exit 2 where it can't be opened."""
+    """The store at the path, or the operator file's one; exit 2 where it can't be opened."""
     from thistlelever.ledger.file import Failing, File
 
     operator = load_operator_file(operator_path)
@@ -132,7 +132,7 @@
 
 
 def report_of_file(file: File) -> dict:
-    """What `state show` says of a store that no running front answers for."""
+    """The report of `state show` on a store without a running front. Closes the store."""
     damaged: list = []
     counts = Counter(kind for kind, _, _ in file.read(damaged))
     file.close()
@@ -140,7 +140,7 @@
 
 
 def read_export(source: BinaryIO) -> list[tuple[str, bytes, bytes]]:
-    """Kind, key and packed record of each line; exit 2 at the first that is no record."""
+    """Kind, key and packed record of each line; exit 2 at the first line that is no record."""
     import msgspec
 
     from thistlelever.ledger import records
@@ -165,6 +165,6 @@
 
 
 def is_listening(path: str) -> bool:
-    """Whether a front answers at that socket."""
+    """Whether a front listens at that socket."""
     with socket.socket(socket.AF_UNIX) as probe:
         return probe.connect_ex(path) == 0
--- a/thistlelever/cli/takeover.py
+++ b/thistlelever/cli/takeover.py
@@ -1,4 +1,4 @@
-"""`thistlelever inhand`: queries of a running front that outlive it, and those that it took over."""
+"""`thistlelever inhand`: batches of a running front that can outlive it, and those that it took over."""
 
 from __future__ import annotations
 
--- a/thistlelever/cli/tools.py
+++ b/thistlelever/cli/tools.py
@@ -1,4 +1,4 @@
-"""Commands beside the running of a front: the operator file's schema, a demonstration, the version."""
+"""Commands that need no running front: the operator file's schema, a demonstration, the version."""
 
 from __future__ import annotations
 
--- a/thistlelever/demo.py
+++ b/thistlelever/demo.py
@@ -1,4 +1,4 @@
-"""One front among stand-ins on loopback, for whoever has just cloned: no configuration, one batch at once."""
+"""A demonstration without configuration: one front on loopback among fake engines and a fake directory."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
 
 
 class DemoPool:
-    """A directory and engines, and the front among them."""
+    """A fake directory, fake engines, and a front."""
 
     def __init__(self) -> None:
+        """Starts nothing: `open` does."""
         self.activity, self.engines, self.server = asyncio.Event(), {}, None
         self.running: asyncio.Task | None = None
 
     async def open(self, flight: bool) -> dict | None:
-        """Start all; what the front says of where it listens, or None where it did not start."""
+        """Start everything. Returns the fields of the front's log event `ready`, or None where the front did
+        not start within 10 s."""
         self.engines = {"s-alba": Engine(self.activity), "s-bruma": Engine(self.activity)}
         operator = None
         if flight:
@@ -59,6 +61,7 @@
         return ready.result() if ready in done else None
 
     async def close(self) -> None:
+        """Stop everything."""
         self.server.stop.set()
         with suppress(Exception):
             await self.running
@@ -68,8 +71,10 @@
 
 
 async def run(seconds: float | None, flight: bool, echo) -> bool:
-    """Start everything, return one batch by each door, and serve until the seconds are over or ^C; whether
-    the batches were returned. `echo` gets lines of text."""
+    """Start everything, run one batch by each protocol, and serve until the seconds are over or ^C.
+
+    Prints by `echo`, one line a call. Returns whether the batches had results.
+    """
     pool = DemoPool()
     try:
         ready = await pool.open(flight)
@@ -98,7 +103,10 @@
 
 
 async def submit_batch(host: str, port: int, echo) -> bool:
-    """Submit a batch as a client would, show the line that did it and what came back."""
+    """Submit a batch as a client would, and print its result and a shell command that does the same.
+
+    Returns whether it had a result.
+    """
     params = {
         "id": "00000000000000a1",
         "wait": 3000,
@@ -127,7 +135,7 @@
 
 
 async def submit_flight_batch(address: tuple[str, int], echo) -> bool:
-    """The same by the other door, as any Flight SQL client would."""
+    """The same by Flight SQL, with a client of that protocol."""
     from grpc import aio
 
     from thistlelever.standins.flight_client import Refused, query
--- a/thistlelever/lifecycle/__init__.py
+++ b/thistlelever/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, log, the order in which a front comes up and goes down."""
+"""Start, reload and shutdown of a front, and the optional components that the operator file enables."""
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -1,4 +1,4 @@
-"""Puts together what the operator's section `budgets` switches on. Imported only where it is there."""
+"""The component of the operator file's section `budgets`. Imported only where the section is present."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def build_plan(section: Budgets) -> Plan:
-    """The tree that a section describes; `ConfigError` with the path of what can't be kept."""
+    """The budget tree of a section. Raises `ConfigError` with the path of a node that is invalid."""
 
     def plan_node(node, children: str | None = None, grandchildren: str | None = None) -> PlanNode:
         child_nodes = getattr(node, children) if children else {}
@@ -33,11 +33,12 @@
 
 
 class BudgetsComponent:
-    """The gate that batches pass before the decisions hear of them."""
+    """Owns the gate where batches queue before the admission decisions see them."""
 
     start_stage = "BudgetsSide"
 
     def __init__(self, context: FrontContext, section: Budgets) -> None:
+        """Install the gate. Raises `ConfigError` where the budget tree is invalid."""
         self.context, config = context, context.config
         self.gate = context.courses.gate = BudgetGate(
             config.settings,
@@ -52,31 +53,35 @@
         )
 
     def queue_policy(self, section: Budgets) -> QueuePolicy:
+        """The section's limits together with those of the settings."""
         settings = self.context.config.settings
         longest_return = settings.longest_return if settings.names_return else 0.0
         return QueuePolicy(settings.cancel, section.waste, longest_return, section.depth)
 
     async def open(self) -> dict:
+        """Nothing to start: the gate works from its construction on."""
         return {}
 
     def reload(self, operator: Operator, config: Config) -> None:
+        """Apply a new tree and new limits."""
         if section := operator.budgets:
             self.gate.reconfigure(build_plan(section), self.queue_policy(section), section.threads_a_core)
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """The state of the whole tree, and of one batch."""
         return {
             "budgets.show": lambda: views.show(self.gate.fair_queue, clock.now()),
             "budgets.explain": self.explain,
         }
 
     def explain(self, batch: str) -> dict:
-        """By the client's id of the batch, or the front's number of it."""
+        """Why a batch waits. `batch` is the client's id of it, or the number that this front gave it."""
         open_batch = self.context.batches.by_txn.get(batch)
         number = open_batch.number if open_batch else int(batch) if batch.isdigit() and len(batch) < 16 else 0
         return views.explain(self.gate.fair_queue, number, clock.now())
 
     def begin_shutdown(self) -> None:
-        """The courses tell the gate themselves."""
+        """Nothing to do: stopping the batches' tasks shuts the gate down."""
 
     async def close(self, grace: float) -> None:
-        """Nothing of it outlives the batches."""
+        """Nothing to stop: the gate holds no resources besides its batches."""
--- a/thistlelever/lifecycle/components.py
+++ b/thistlelever/lifecycle/components.py
@@ -1,6 +1,7 @@
-"""What the parts of a front that are switched on beyond the platform's own are given, and how they are spoken
-to. `lifecycle.run` opens, renews, asks and closes them by this alone; a part is handed what it works with and
-knows nothing of who put it together.
+"""The interface between a front and its optional components, those that sections of the operator file enable.
+
+`lifecycle.run` opens, reloads, queries and closes them through `Component` alone. A component receives a
+`FrontContext` and does not know the `FrontServer`.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class FrontContext(NamedTuple):
-    """What a front is made of, as far as further parts work with it."""
+    """The objects of a front that components work with."""
 
     config: Config
     log: Log
@@ -39,22 +40,22 @@
 
 
 class Component(Protocol):
-    """A part that the operator file switches on."""
+    """An optional part of a front, enabled by a section of the operator file."""
 
-    # The name of its stage among the start times of the ready line.
+    # The name of its stage in the start times of the log event `ready`.
     start_stage: str
 
     async def open(self) -> dict:
-        """Start; what the line `ready` of the log says of it."""
+        """Start, and return the fields that it adds to the log event `ready`."""
 
     def reload(self, operator: Operator, config: Config) -> None:
-        """Take from what was read again what can change at once."""
+        """Apply those changes of reread files that need no restart."""
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
-        """What the administration may be asked of it."""
+        """Its handlers on the admin socket, by the names that requests use."""
 
     def begin_shutdown(self) -> None:
-        """SIGTERM has come: what is open is answered first."""
+        """Called after SIGTERM, while open batches are still being answered."""
 
     async def close(self, grace: float) -> None:
-        """All is answered; be gone within `grace` seconds or soon after."""
+        """Stop, after all batches were answered, in about `grace` seconds at most."""
--- a/thistlelever/lifecycle/distributed_configuration.py
+++ b/thistlelever/lifecycle/distributed_configuration.py
@@ -1,4 +1,4 @@
-"""Sections of the operator file that come from distributors, in place of those of the file."""
+"""Sections of the operator file that distributors publish, which replace those of the front's own file."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from thistlelever.ground.operator import Operator
 from thistlelever.lifecycle.budgets import build_plan
 
-# The document that holds sections of the operator file, and the sections that it may hold: those of which
-# all or most takes effect without a restart.
+# The name of the document with sections of the operator file, and the sections that it may have: those whose
+# keys are all or mostly reloadable without a restart.
 OPERATOR_DOCUMENT = "operator"
 SECTIONS = frozenset({"budgets", "flight"})
 
 
 def read_document(text: str) -> dict[str, msgspec.Struct]:
-    """The sections that the document holds; `ConfigError`, a `ValueError`, with the path of what can't be."""
+    """The sections of the document by name. Raises `ConfigError` with the path of an invalid key."""
     operator = operator_file.read(text.encode())
     sections = {
         name: getattr(operator, name)
@@ -34,7 +34,7 @@
 
 
 def check_document(text: str) -> None:
-    """Raise `ValueError` for a document that no front could use."""
+    """Raise `ValueError` for a document that no front could use. Distributors call it before they publish."""
     try:
         read_document(text)
     except ConfigError as error:
@@ -42,7 +42,7 @@
 
 
 class DistributedConfiguration:
-    """The document as the replica holds it, and the version of it that is in force at this front."""
+    """The document in the front's replica, and the one in force: an older one where the newest is invalid."""
 
     def __init__(self, replica: Replica) -> None:
         """Nothing is in force before `overlay`."""
@@ -52,17 +52,19 @@
         self.last_document: DocumentRecord | None = None
 
     def current_document(self) -> DocumentRecord | None:
-        """The document, where there is one."""
+        """The document of the replica, or None."""
         document = self.replica.records.get(DOCUMENT_PREFIX + OPERATOR_DOCUMENT)
         return document if isinstance(document, DocumentRecord) else None
 
     def has_changed(self) -> bool:
-        """Whether the document is another one than the last that was looked at."""
+        """Whether the document differs from the one that `overlay` read last."""
         return self.current_document() != self.last_document
 
     def overlay(self, local: Operator) -> Operator:
-        """The operator file with the document's sections in place of its own. `ConfigError` where the
-        document can't be used here: what is in force stays."""
+        """The operator file with the document's sections in place of its own.
+
+        Raises `ConfigError` where the document is invalid for this front; the one in force then stays so.
+        """
         self.last_document = document = self.current_document()
         try:
             sections = read_document(document.content) if document else {}
@@ -75,6 +77,6 @@
         return msgspec.structs.replace(local, **sections)
 
     def show(self) -> dict:
-        """Since which version the document is in force, and why a newer one is not."""
+        """For the admin socket: since which version the document is in force, and why a newer one is not."""
         since: Version | None = self.in_force_since if self.in_force else None
         return {"in_force_since": str(since) if since else None, "refused": self.refused}
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -1,4 +1,5 @@
-"""Puts together what the operator's section `distribution` switches on. Imported only where it is there."""
+"""Discovery through distributors, by the operator file's section `distribution`. Imported only where the
+section is present."""
 
 from __future__ import annotations
 
@@ -21,8 +22,8 @@
 
 
 class SubscribedDiscovery:
-    """The engine list from distributors, in place of the DNS inquiry (`carrier.directory.Inquiry`), and
-    spoken to as that is."""
+    """The engine list from distributors. It has the interface of discovery by DNS
+    (`carrier.directory.Inquiry`), which it replaces."""
 
     def __init__(
         self,
@@ -32,7 +33,7 @@
         forget: Callable[[it.EngineId], None],
         desk: Desk,
     ) -> None:
-        """Nothing is asked before `open`."""
+        """Nothing is sent before `open`."""
         self.roll, self.desk, self.first_list_timeout = roll, desk, section.start_within_s
         terms = SubscriptionTerms(
             tuple(parse_address(text) for text in section.distributors),
@@ -50,7 +51,7 @@
         names = KnownNames(config.zones, config.kinds)
         self.list = SubscribedList(self.subscription, roll, forget, desk, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
-        # Called when the configuration is to be read again.
+        # Called when the operator document has changed: the front reloads.
         self.on_new_configuration: Callable[[], None] = lambda: None
         self.first_list = asyncio.Event()
         self.subscription.listener, self.subscription.log = self.on_list_change, desk.log
@@ -58,22 +59,24 @@
 
     @property
     def heard_at(self) -> float:
-        """When a distributor last answered, on the front's clock."""
+        """When a distributor last answered, in seconds on the front's clock."""
         return self.subscription.heard_at
 
     def on_list_change(self, listing) -> None:
-        """Hand a change on."""
+        """The subscription's replica has changed: update the engine list, and reload a changed document."""
         self.list.changed(listing)
         self.first_list.set()
         if self.configuration.has_changed():
             self.on_new_configuration()
 
     def hold(self, serial: int, entries: list[Entry]) -> None:
-        """The list of a configuration that was read again; its serials are not the distributors' versions."""
+        """Nothing to do: serials of a reread configuration do not compare with the distributors' versions."""
 
     def overlay(self, operator: Operator) -> Operator:
-        """The operator file with the sections that distributors tell; `ConfigError` where these can't be
-        used."""
+        """The operator file with the sections that distributors publish in place of its own.
+
+        Raises `ConfigError` where these are invalid.
+        """
         previous = self.configuration.in_force
         overlaid = self.configuration.overlay(operator)
         if self.configuration.in_force != previous:
@@ -81,12 +84,12 @@
         return overlaid
 
     def accept_from(self, serial: int) -> None:
-        """A former life of this front held that version: nothing older is taken."""
+        """Accept no version older than `serial`, which this front had before its restart."""
         self.subscription.replica.floor = unpacked(serial)
 
     async def open(self, directory: tuple[str, int]) -> None:
-        """Subscribe. A front that knows no engine yet waits a while for its first list; the directory's
-        address is not used."""
+        """Subscribe. A front that knows no engine waits up to `start_within_s` for its first list. The
+        address of the DNS directory is not used."""
         if self.task:
             return
         self.task = asyncio.get_running_loop().create_task(self.subscription.run())
@@ -95,23 +98,23 @@
                 await asyncio.wait_for(self.first_list.wait(), self.first_list_timeout)
 
     def ask(self, by_order: bool) -> None:
-        """The list is told as it changes; there is nothing to ask for."""
+        """Nothing to do: distributors push each change."""
 
     async def run(self) -> None:
-        """As long as the subscription runs."""
+        """Wait for the end of the subscription's task."""
         await self.task
 
     def close(self) -> None:
-        """Subscribe no more."""
+        """Cancel the subscription."""
         if self.task:
             self.task.cancel()
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
-        """What the administration may be asked."""
+        """Handlers of the admin socket: the state of the subscription, and the engines."""
         return {"engines.show": self.show, "engines.list": self.engines}
 
     def show(self) -> dict:
-        """Which version is in force here, how old it may be, and from where it came."""
+        """The version in force, its age in seconds, its source, and counters of the subscription."""
         subscription, replica = self.subscription, self.subscription.replica
         age = subscription.age()
         connected = subscription.connected_to
@@ -129,20 +132,20 @@
         }
 
     def engines(self) -> dict:
-        """Each engine that is held, as the decisions are told it."""
+        """Each engine record of the replica."""
         records = sorted(engines_of(self.subscription.replica.records.values()))
         return {"version": str(self.subscription.replica.version), "engines": [r._asdict() for r in records]}
 
 
 def front_place(config: Config, zone_rank: int) -> FrontPlace:
-    """Which front this is, for its subset."""
+    """The identity of this front by which its subset of the engines is chosen."""
     zone = config.settings.zone
     name = config.zones[zone] if zone < len(config.zones) else ""
     return FrontPlace(config.name, name, config.rank, zone_rank)
 
 
 def engine_requirements(config: Config) -> tuple[Requirement, ...]:
-    """The zones and kinds that some query class is bound to, each pair once."""
+    """The distinct pairs of zones and kinds that query classes are restricted to."""
     requirements: dict[Requirement, None] = {}
     for query_class in config.settings.tariffs:
         zones, kinds = query_class.zones, query_class.kinds
@@ -157,7 +160,7 @@
 
 
 def deduplicates_by_cell(config: Config) -> bool:
-    """Whether some class may be retried in the cell of its first attempt alone."""
+    """Whether some query class may be retried only within the cell of its first attempt."""
     return any(
         query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.CELL
         for query_class in config.settings.tariffs
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -1,4 +1,5 @@
-"""Puts together what the operator's section `flight` switches on. Imported only where it is there."""
+"""The component of the operator file's section `flight`: Arrow Flight SQL. Imported only where the section is
+present."""
 
 from __future__ import annotations
 
@@ -11,16 +12,17 @@
 from thistlelever.lifecycle.components import FrontContext
 from thistlelever.wire.inflow import Purse
 
-# The least that may lie between an engine and its client, so that a message of usual size passes whole.
+# The least that a stream may buffer between engine and client, so that a message of usual size passes whole.
 MIN_BUFFERED_BYTES = 65_536
 
 
 class FlightComponent:
-    """The door for clients and the way to engines, either or both."""
+    """The server for clients and the protocol to engines; each works without the other."""
 
     start_stage = "FlightSide"
 
     def __init__(self, context: FrontContext, section: Flight) -> None:
+        """Listens and connects to nothing before `open`."""
         config, self.section = context.config, section
         buffered_bytes = max(section.held_bytes_all // section.streams, MIN_BUFFERED_BYTES)
         self.engines = FlightEngines(
@@ -36,27 +38,31 @@
         self.door = Door(section, config.name, context.intake, context.courses, context.metrics, context.log)
 
     def speaks_flight(self, entry: Entry) -> bool:
-        """Whether an engine speaks Flight SQL, by its kind or its own id."""
+        """Whether the section names the engine, by its kind or its id, as one with Flight SQL."""
         by_kind = self.kinds[entry.engine.kind] in self.section.kinds
         return by_kind or entry.engine.id.decode("latin-1") in self.section.engines
 
     async def open(self) -> dict:
-        """Listen, where the section says so; what the log says of it."""
+        """Listen for clients, where the section has an address."""
         if not self.section.listen:
             return {}
         await self.door.listen(parse_address(self.section.listen))
         return {"flight": (parse_address(self.section.listen)[0], self.door.port)}
 
     def reload(self, operator: Operator, config: Config) -> None:
+        """Use the new section from the next call on."""
         if operator.flight:
             self.section = self.door.terms = operator.flight
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """None."""
         return {}
 
     def begin_shutdown(self) -> None:
+        """Tell the server that the front stops."""
         self.door.stopping = True
 
     async def close(self, grace: float) -> None:
+        """Stop the server, then close the connections to engines."""
         await self.door.stop(grace)
         await self.engines.close()
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -1,4 +1,4 @@
-"""Puts together what the operator's section `membership` switches on. Imported only where it is there."""
+"""The component of the operator file's section `membership`. Imported only where the section is present."""
 
 from __future__ import annotations
 
@@ -19,28 +19,29 @@
 from thistlelever.membership.service_health import Observation, ServiceHealth
 from thistlelever.membership.types import Identity, TierSettings, View
 
-# Lives are counted from here, in eighths of a second: the Unix second of 2020's first.
+# The number of a process's life is its start in eighths of a second after this Unix time, 2020-01-01.
 LIFE_EPOCH_S = 1_577_836_800
-# How often the front looks whether it serves whom it takes.
+# Seconds between two observations of whether the front returns the batches that it takes.
 SERVICE_CHECK_INTERVAL_S = 0.5
 
 
 def validate(section: Membership, config: Config) -> None:
-    """`ConfigError` with the key where the section can't be kept."""
+    """Raise `ConfigError` with the key where the section does not fit the configuration."""
     if config.peer_listen is None:
         raise ConfigError("operator file: membership: peer_listen in the configuration expected; found none")
 
 
 class MembershipComponent:
-    """Who else is alive, told to whoever counts fronts."""
+    """Runs the failure detector, and passes the number of live fronts to the decisions and the budgets."""
 
     start_stage = "MembershipSide"
 
     def __init__(self, context: FrontContext, section: Membership) -> None:
+        """Raises `ConfigError` as `validate` does. Nothing is sent before `open`."""
         config = context.config
         validate(section, config)
         self.context, self.service_health = context, ServiceHealth()
-        # Behind a relay or an address translation others know this front by another address than it binds.
+        # Behind a relay or an address translation, peers reach this front at another address than it binds.
         rank = config.rank
         advertised_address = config.peers[rank] if 0 <= rank < len(config.peers) else config.peer_listen
         self.peers = PeerSocket(config.peer_listen, section.tier, context.metrics)
@@ -58,15 +59,18 @@
         self.fronts, self.task, self.leaving = config.settings.fronts, None, False
 
     async def open(self) -> dict:
+        """Open the socket, join the tier, and start observing this front's service."""
         self.peers.open()
         self.members.open()
         self.task = asyncio.get_running_loop().create_task(self.observe_service())
         return {"membership": self.members.detector.identity.address}
 
     def reload(self, operator: Operator, config: Config) -> None:
+        """Take over a changed list of peers."""
         self.members.detector.set_peers(clock.now(), config.peers)
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """The view of all members, and the history of one."""
         detector = self.members.detector
         return {
             "members.show": lambda: views.show(detector, clock.now()),
@@ -74,7 +78,7 @@
         }
 
     def on_view_change(self, view: View) -> None:
-        """As many fronts as share the engines: a fact for the decisions and the budgets."""
+        """Pass a changed number of fronts, which share the engines, to the decisions and the budgets."""
         if view.fronts != self.fronts:
             self.fronts = view.fronts
             self.context.log("fronts counted", fronts=view.fronts, alone=view.isolation_reason)
@@ -83,6 +87,7 @@
                 self.context.courses.gate.set_front_count(view.fronts)
 
     async def observe_service(self) -> None:
+        """Tell the failure detector periodically whether this front serves, until cancelled."""
         counts, batches = self.context.metrics.counts, self.context.batches
         while True:
             await asyncio.sleep(SERVICE_CHECK_INTERVAL_S)
@@ -99,13 +104,15 @@
             self.members.detector.set_serving(clock.now(), serving)
 
     def begin_shutdown(self) -> None:
+        """Announce that this front leaves; peers count it no more."""
         self.leaving = True
         self.members.leave()
 
     async def close(self, grace: float) -> None:
+        """Stop, and close the socket."""
         if self.task:
             self.task.cancel()
-        # Once more, as what was said at the signal may have been lost.
+        # Repeated, as the datagrams of the first announcement may have been lost.
         self.members.leave()
         self.members.close()
         self.peers.close()
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -1,4 +1,4 @@
-"""How a front comes up, serves, and goes down."""
+"""Start, run, reload and shut down one front."""
 
 from __future__ import annotations
 
@@ -41,28 +41,28 @@
     from thistlelever.lifecycle.state import StateComponent
     from thistlelever.lifecycle.takeover import TakeoverComponent
 
-# After a SIGTERM, requests go on coming for 0.6 s; the kill comes no sooner than the longest time limit,
-# or 3 s if that is less, and 0.7 s more after it. The last answers are written before.
+# After SIGTERM, requests go on arriving for 0.6 s. SIGKILL follows 0.7 s after the longest time limit at the
+# earliest, of which at most 3 s count; the last answers must be written before.
 ACCEPT_AFTER_SIGTERM_S, MAX_DRAIN_S, ANSWER_GRACE_S = 0.75, 3.0, 0.3
-# What the last answers may take to leave the connections' buffers.
+# The time in which the last answers leave the connections' buffers.
 FLUSH_TIMEOUT_S = 0.2
-# Many clients come at once when a front is taken in.
+# Many clients connect at once when a front is added.
 BACKLOG = 512
-# What a SIGHUP renews, and what means something at a start only: neither waits for a restart.
+# Fields that SIGHUP reloads, and those used at a start only: a change of them needs no restart.
 RELOADED_FIELDS = ("directory", "serial", "known", "seed", "peers")
-# The keys of the file that hold what goes by another name here.
+# The configuration file's keys of fields whose names differ from them.
 FILE_KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
     ("zones", "kinds", "idle", "answer_slack", "settings"), "settings"
 )
 HOUSEKEEPING_INTERVAL_S, COUNTS_LOG_INTERVAL_S = 0.5, 6.0
-# What a start is short of is tried for again so often, this far apart.
+# Retries of a start that lacks sockets or memory, and the seconds between them.
 MAX_RETRIES, RETRY_INTERVAL_S = 50, 0.1
 
 T = TypeVar("T")
 
 
 class FrontServer:
-    """The parts of one front, put together."""
+    """One front: builds its objects, opens them, reloads them on SIGHUP, and closes them on SIGTERM."""
 
     def __init__(
         self,
@@ -72,8 +72,12 @@
         operator: Operator | None = None,
         reread_operator: Callable[[], Operator] | None = None,
     ) -> None:
+        """Build all objects, without opening a socket.
+
+        The operator file, where there is one, enables the optional components. `reread_config` and
+        `reread_operator` read the files again at a reload, and raise `ConfigError` where they are invalid.
+        """
         self.config, self.log, self.reread_config = config, log, reread_config
-        # The operator file, where there is one: what is switched on beyond the platform's own front.
         self.operator, self.reread_operator = operator, reread_operator
         self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
         self.roll.replace(config.serial, list(config.known), clock.now())
@@ -98,7 +102,7 @@
         self.inquiry = self.build_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
         self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
-        # What the operator file switches on beside that, in the order in which it is opened.
+        # Optional components, in the order in which they are opened.
         self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
             component = self.flight
@@ -111,7 +115,7 @@
         self.tasks: list[asyncio.Task] = []
 
     def build_discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
-        """Where the list of engines comes from: DNS, or distributors where the operator file names them."""
+        """The source of the engine list: DNS, or the distributors that the operator file names."""
         config = self.config
         if operator and operator.distribution:
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
@@ -123,7 +127,7 @@
         )
 
     def component_context(self) -> FrontContext:
-        """What further parts are handed."""
+        """The objects that optional components receive."""
         from thistlelever.lifecycle.components import FrontContext
 
         return FrontContext(
@@ -140,7 +144,7 @@
         )
 
     def build_components(self, operator: Operator) -> list[Component]:
-        """Each section that is there, put together; the others are not even imported."""
+        """A component for each section that is present; modules of the others are not imported."""
         context = self.component_context()
         components: list[Component] = []
         if operator.flight:
@@ -153,8 +157,7 @@
 
             self.state = StateComponent(context, operator.state)
             components.append(self.state)
-            # Risk: a front that starts again takes an older list than it had, of a distributor that is
-            # behind.
+            # Otherwise a restarted front could accept an older list than it had from a lagging distributor.
             self.inquiry.accept_from(self.state.highest_serial())
         if operator.budgets:
             from thistlelever.lifecycle.budgets import BudgetsComponent
@@ -172,23 +175,26 @@
     def build_takeover(
         self, context: FrontContext, section: Takeover, membership: MembershipComponent
     ) -> TakeoverComponent:
-        """Takeover, which hears of it where the front keeps nothing on disk."""
+        """The component for takeover, connected to the store's failures where the front has a store."""
         from thistlelever.lifecycle.takeover import TakeoverComponent
 
         takeover = TakeoverComponent(context, section, membership)
         if self.state:
-            # A front that keeps nothing does not promise others to.
+            # A front whose store fails must not promise to keep records for others.
             self.state.on_failing.append(takeover.set_storage_failure)
         return takeover
 
     def forget(self, engine: it.EngineId) -> None:
-        """Connections to an engine that is gone or was started anew."""
+        """Close the connections to an engine that is gone or has restarted."""
         self.links.forget(engine)
         if self.flight:
             self.flight.engines.forget(engine)
 
     async def open(self, start_times: StartTimes | None = None) -> None:
-        """Ready only when the list is read, the decisions are made and the port listens."""
+        """Open everything, and log `ready` once the decisions have the engine list and the port listens.
+
+        Raises `OSError` where an address can't be bound.
+        """
         start_times = start_times or StartTimes()
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self.log_unhandled_exception)
@@ -230,20 +236,20 @@
         )
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
-        """What the administration may be asked, by the parts that are on."""
+        """The handlers of the admin socket: the counters, and those of discovery and the components."""
         handlers: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
         for component in (self.inquiry, *self.components):
             handlers |= component.admin_handlers()
         return handlers
 
     async def run(self, start_times: StartTimes | None = None) -> None:
-        """From the start to the end; `start_times` has the stages that were before."""
+        """Open, serve until SIGTERM, and close. `start_times` has the stages before the call."""
         await self.open(start_times)
         await self.stop.wait()
         await self.close()
 
     async def close(self) -> None:
-        """Take what still comes, answer all that was taken, and be gone before the kill."""
+        """Accept requests a little longer, answer all that were taken, and stop before SIGKILL."""
         longest_time_limit = max(query_class.time_limit for query_class in self.config.settings.tariffs)
         stop_at = clock.now() + min(longest_time_limit, MAX_DRAIN_S) + ANSWER_GRACE_S
         self.log("stopping", open=len(self.batches.by_number))
@@ -267,7 +273,7 @@
         self.log("stopped", counts=self.metrics.counts)
 
     async def reload_on_request(self) -> None:
-        """At each SIGHUP the configuration is read again; what can't be used leaves the old one in force."""
+        """Reread the files at each request, by SIGHUP or by a distributor; invalid ones change nothing."""
         while True:
             await self.reload_requested.wait()
             self.reload_requested.clear()
@@ -282,7 +288,7 @@
                     build_plan(operator.budgets)
                 if new_config.directory != self.config.directory:
                     await self.inquiry.open(new_config.directory)
-                # Risk: a drain that it names is known only once the directory's new address has answered.
+                # At once: waiting for the directory's answer would delay a drain that only the file names.
                 self.inquiry.hold(new_config.serial, list(new_config.known))
             except ConfigError as error:
                 self.log("reload refused", why=str(error))
@@ -302,7 +308,7 @@
             self.log("reloaded", dns=new_config.directory, needs_restart=needs_restart)
 
     def reload_operator_file(self, operator: Operator | None) -> list[str]:
-        """Take from the operator file what can change at once; the keys that wait for a restart."""
+        """Apply what can change without a restart. Returns the changed keys that need one."""
         if operator is None:
             return []
         for component in self.components:
@@ -314,12 +320,12 @@
         return changed_keys(self.operator, operator, RELOADABLE_KEYS)
 
     def log_unhandled_exception(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """What no task heeded: logged and counted, and the front goes on."""
+        """Log and count an exception that no task handled; the front goes on."""
         self.metrics.add("unforeseen")
         self.log("unforeseen failed", why=repr(context.get("exception") or context["message"]))
 
     async def housekeeping(self) -> None:
-        """Closes what idles and writes the counters where they have changed."""
+        """Close idle connections, and log the counters where they have changed; until cancelled."""
         logged, next_log_at = None, clock.now() + COUNTS_LOG_INTERVAL_S
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
@@ -346,9 +352,13 @@
     reread_operator: Callable[[], Operator] | None = None,
     start_times: StartTimes | None = None,
 ) -> int:
-    """Serve until SIGTERM and all that was taken is answered."""
+    """Run one front until SIGTERM, and return the exit code.
+
+    Raises `ConfigError` where a section of the operator file does not fit the configuration, and `OSError`
+    where an address can't be bound.
+    """
     server = FrontServer(config, log, operator=operator, reread_operator=reread_operator)
-    # What was made at the start lives as long as the front: no collection need look at it again.
+    # Objects of the start live as long as the front: exclude them from later garbage collections.
     gc.collect()
     gc.freeze()
     start_times = start_times or StartTimes()
@@ -358,8 +368,11 @@
 
 
 async def retry_while_out_of_resources(make: Callable[[], Awaitable[T]]) -> T:
-    """What `make` makes, tried for again while the machine is short of sockets or memory. Risk: a front that
-    starts beside hundreds of others in one moment ends for want of what is there in the next."""
+    """The result of `make`, retried while the machine lacks sockets or memory.
+
+    When hundreds of fronts start at the same moment, the shortage is over a moment later; without retries a
+    front would exit. Raises the last `OSError`, and others at once.
+    """
     for _ in range(MAX_RETRIES):
         try:
             return await make()
@@ -371,7 +384,7 @@
 
 
 async def listening_socket(address: tuple[str, int]) -> socket.socket:
-    """The socket that listens for clients."""
+    """A listening TCP socket for clients. Raises `OSError` with the address in its text."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/thistlelever/lifecycle/start_times.py
+++ b/thistlelever/lifecycle/start_times.py
@@ -1,4 +1,4 @@
-"""Where the time of a process's start goes: a start that waits is told from one that gets no CPU."""
+"""Elapsed and CPU time of each stage of a process's start: they tell waiting from computing."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from thistlelever.ground import clock
 
-# The place of the start time among the fields of /proc/self/stat behind the command's name.
+# Index of the start time among the fields of /proc/self/stat that follow the command's name.
 START_TIME_FIELD = 19
 
 
 def process_age() -> float:
-    """Seconds since this process was made; 0 where the system does not tell it."""
+    """Seconds since this process was created; 0 where the system does not provide it."""
     try:
         fields = Path("/proc/self/stat").read_text().rpartition(")")[2].split()
         started = int(fields[START_TIME_FIELD]) / os.sysconf("SC_CLK_TCK")
@@ -23,18 +23,18 @@
 
 
 class StartTimes:
-    """The stages of one start in their order, the first of them since the process was made.
+    """The stages of one start in order; the first begins with the creation of the process.
 
-    Each has the seconds that passed in it (`s`) and the seconds of CPU that the process got (`cpu_s`).
+    Each has its elapsed seconds (`s`) and the CPU seconds that the process used in it (`cpu_s`).
     """
 
     def __init__(self) -> None:
-        """Count from the moment at which the process was made."""
+        """The first stage begins when the process was created."""
         self.stages: dict[str, dict[str, float]] = {}
         self._stage_started_at, self._cpu_at_stage_start = clock.now() - process_age(), 0.0
 
     def finish_stage(self, stage: str) -> None:
-        """The named stage is over; what follows belongs to the next one."""
+        """Record the stage that ends now; the next one begins."""
         now, cpu = clock.now(), process_time()
         self.stages[stage] = {
             "s": round(now - self._stage_started_at, 3),
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -1,5 +1,5 @@
-"""Puts together what the operator's section `state` switches on: what is kept on disk, and a start by it.
-Imported only where it is there."""
+"""The component of the operator file's section `state`: records on disk, and a start with remembered engines
+while discovery is unreachable. Imported only where the section is present."""
 
 from __future__ import annotations
 
@@ -23,45 +23,51 @@
 from thistlelever.recovery.judge import Judge, Stage
 from thistlelever.store.batches import Name
 
-# What is learnt and confirmed is written down this often, and a start that found nobody is tried again.
+# Seconds between two recordings of changed state, and between two rounds of probes where no engine answers.
 RECORD_INTERVAL_S, RETRY_INTERVAL_S = 1.0, 1.0
 NO_AGE = Age(0.0, 0.0)
 
 
 def read_boot_id() -> str:
+    """The kernel's id of the present boot; empty where it can't be read."""
     with suppress(OSError), open("/proc/sys/kernel/random/boot_id") as boot_id_file:
         return boot_id_file.read().strip()
     return ""
 
 
-# One for the life of a process, which asks for the time at each referenced batch.
+# Read once: the time is needed for each referenced batch.
 BOOT_ID = read_boot_id()
 
 
 def time_now() -> Now:
-    """By both clocks."""
+    """The present time by the wall clock and by the clock since boot, in seconds."""
     return Now(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT_ID)
 
 
 def moment_ago(ago: float = 0.0) -> Moment:
+    """The time `ago` seconds before now, as records store it."""
     now = time_now()
     return Moment(now.wall - ago, now.since_boot - ago, now.boot)
 
 
 def age_of(then: Moment) -> Age:
+    """The bounds of the time since a stored moment, in seconds."""
     return age(then.wall, then.since_boot, then.boot, time_now())
 
 
 def local_start(learnt: Learnt) -> float:
-    """When an engine of a former life started, on this front's clock; 0.0 for none. Risk: the wall clock was
-    stepped between the lives, and a start that seems to lie ahead is cold until then."""
+    """When an engine started, on this front's clock, from a record of an earlier process; 0.0 for unknown.
+
+    Computed from spans: had the wall clock been stepped between the two processes, the stored start could
+    lie in the future, and the engine would count as cold until then.
+    """
     if not learnt.started:
         return 0.0
     return clock.now() - max(learnt.at.wall - learnt.started, 0.0) - age_of(learnt.at).least
 
 
 def configuration_age(path: str | None) -> Age:
-    """Since when the configuration may be as it is."""
+    """The bounds of the time since the configuration file was changed; no age without a file."""
     if not path:
         return NO_AGE
     try:
@@ -71,14 +77,18 @@
 
 
 class StateComponent:
-    """The store, what goes into it, and the start by what was in it."""
+    """Keeps the engine list, learned state and idempotency keys on disk, and restores them at a start."""
 
     start_stage = "StateSide"
 
     def __init__(self, context: FrontContext, section: State, config_path: str | None = None) -> None:
+        """Read the store. Remembered engines that are fresh enough are in the registry at once.
+
+        `config_path` is the configuration file, by default the one that BALANCER_CONFIG names.
+        """
         self.context, self.section = context, section
         self.loop: asyncio.AbstractEventLoop | None = None
-        # Who is told when the store begins to fail, and when it does no more.
+        # Called with the reason when the store begins to fail, and with an empty text when it works again.
         self.on_failing: list[Callable[[str], None]] = []
         self.keeper = Keeper(lambda: File(section.path), section.every_s, self.on_writer_status)
         self.keeper.open()
@@ -95,13 +105,15 @@
             context.config.settings, context.roll, context.metrics, self.remember_dispatch, self.find_dispatch
         )
 
-    # What a former life knew.
+    # State of an earlier process.
 
     def remembered_engines(
         self, config: Config, config_age: Age
     ) -> tuple[dict[bytes, Entry], dict[bytes, Age]]:
-        """Each engine that either list names, with the age of the younger word of it. What the younger of
-        the two lists does not name any more is gone."""
+        """The ready engines of the configuration and of the store, by id, and their ages.
+
+        Of an engine in both lists the younger entry holds; one that only the older list has is dropped.
+        """
         stored = {record.id: record for record in self.keeper.records["listed"].values()}
         ages = {engine: age_of(record.confirmed) for engine, record in stored.items()}
         newest = min((found.most for found in ages.values()), default=float("inf"))
@@ -115,7 +127,7 @@
                 newest < config_age.most or engine in entries
             ):
                 entries[engine], found[engine] = entry_of(record), ages[engine]
-        # Two under one address: the one that was heard of last is there.
+        # Of two engines at one address, the younger entry holds.
         by_address: dict[tuple[str, int], bytes] = {}
         for engine in sorted(entries, key=lambda e: (found[e].most, e)):
             if by_address.setdefault(entries[engine].address, engine) != engine:
@@ -124,17 +136,17 @@
         return ready, {e: found[e] for e in ready}
 
     def use_remembered(self) -> None:
-        """Into the list what may be used by now. Any answer of the directory replaces it, whatever its
-        serial."""
+        """Put the engines that may be used into the registry. Any answer of the directory replaces them,
+        whatever its serial."""
         entries = [self.entries[engine] for engine in sorted(self.judge.use)]
         self.context.roll.remember(entries, clock.now())
 
     def highest_serial(self) -> int:
-        """The serial of the newest list that is kept; 0 where none is."""
+        """The highest serial among the stored engines; 0 where none is stored."""
         return max((record.serial for record in self.keeper.records["listed"].values()), default=0)
 
     def restore_learned_state(self) -> None:
-        """What the decisions had learnt, told to them again."""
+        """Pass the stored state that an earlier process learned to the decisions, less what has expired."""
         kept = self.keeper.records
         cooldowns = [(int(rest.key, 16), rest.left - age_of(rest.at).least) for rest in kept["rest"].values()]
         took: tuple[float, ...] = ()
@@ -154,6 +166,8 @@
         self.context.desk.tell(state)
 
     def remember_dispatch(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
+        """Store that the batch of an idempotency key may have run: its engine, its dispatch, and for how many
+        seconds repeats are dropped. None removes the key: the batch did not run."""
         if what is None:
             self.keeper.drop("mark", mark)
             return
@@ -161,14 +175,15 @@
         self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment_ago()))
 
     def find_dispatch(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
+        """The engine and the dispatch stored under an idempotency key, and its age in seconds."""
         found = self.keeper.records["mark"].get(mark)
-        # By the least that it may be its repeats would still be dropped; by the most they are not.
+        # The upper bound of the age: an engine must not be relied on to drop repeats after its window.
         return found and (found.engine, Name(found.txn, found.number), age_of(found.ran).most)
 
-    # Its life.
+    # Start and recording.
 
     async def open(self) -> dict:
-        """Ask whom the judge wants asked, and start with who answers."""
+        """Probe remembered engines that are too old to be used unprobed; start with those that answer."""
         self.loop = asyncio.get_running_loop()
         self.keeper.start()
         if self.keeper.failing:
@@ -185,7 +200,7 @@
         return {"state": self.judge.stage.value, "engines_remembered": len(self.entries)}
 
     async def probe_remembered(self) -> None:
-        """One round: all that are to be asked, side by side."""
+        """Probe all engines that are due at once, until all have answered or `within_s` has passed."""
 
         async def probe(engine: bytes) -> None:
             outcome, _ = await self.context.dispatcher.speech(self.entries[engine]).probe(
@@ -204,6 +219,7 @@
         self.judge.waited()
 
     def announce_remembered(self) -> None:
+        """Pass the remembered engines to the decisions, unless discovery has answered meanwhile."""
         if self.judge.stage is not Stage.LISTED and not self.context.roll.serial:
             self.use_remembered()
             roll = self.context.roll
@@ -211,7 +227,7 @@
             self.context.log("started by what was remembered", **self.judge.show())
 
     async def retry_until_found(self) -> None:
-        """Where nobody answered: again and again, until somebody does or discovery is back."""
+        """Where no engine answered, probe again until one does or discovery answers."""
         while not self.fresh_start:
             await asyncio.sleep(RETRY_INTERVAL_S)
             if self.context.roll.serial:
@@ -223,12 +239,13 @@
                     self.announce_remembered()
 
     async def record_periodically(self) -> None:
-        """Write down what is known by now; the disk is the other thread's."""
+        """Record changes periodically, until cancelled. Only the writer's thread touches the disk."""
         while True:
             await asyncio.sleep(RECORD_INTERVAL_S)
             self.record_changes()
 
     def record_changes(self) -> None:
+        """Pass the engine list, where discovery confirmed it since, and the learned state to the writer."""
         roll, keeper, heard_at = self.context.roll, self.keeper, self.context.inquiry.heard_at
         if heard_at > self.written_at:
             self.written_at, at = heard_at, moment_ago(clock.now() - heard_at)
@@ -243,18 +260,18 @@
         learnt, at = self.context.desk.front.learned_state(clock.now()), moment_ago()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
-                # A moment of the front's own clock means nothing to another life.
+                # The front's clock means nothing to another process: the start is stored by the wall clock.
                 kept_start = started and at.wall - (clock.now() - started)
                 keeper.put("learnt", engine, Learnt(engine, bound, pace, kept_start, at))
         for key, left in learnt.cooldowns:
-            # A table's name as a number: longer than any field of numbers.
+            # A key can be a larger integer than the encoding holds: stored in hex.
             keeper.put("rest", b"%x" % key, Rest(f"{key:x}", left, at))
         if learnt.received_ago or learnt.retried_ago:
             keeper.put("window", b"window", Window(learnt.received_ago, learnt.retried_ago, at))
         self.drop_expired()
 
     def drop_expired(self) -> None:
-        """What can matter no more: marks whose repeats nobody drops, keys that have rested."""
+        """Remove idempotency keys whose repeats no engine drops any more, and cool-downs that are over."""
         for kind, is_expired in (
             ("mark", lambda m: age_of(m.ran).least > 2 * m.window),
             ("rest", lambda r: age_of(r.at).least > r.left),
@@ -265,27 +282,30 @@
                     break
                 self.keeper.drop(kind, key)
 
-    # Failing.
+    # Failures of the store.
 
     def on_writer_status(self, failing: str) -> None:
-        """On the writing thread."""
+        """Called on the writer's thread: pass a change of its status to the event loop."""
         if self.loop and not self.loop.is_closed():
             with suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(self.report_status, failing)
 
     def report_status(self, failing: str) -> None:
+        """Count and log that the store fails, by its reason, or works again; call back who depends on it."""
         self.context.metrics.add(f"state: {failing.partition(':')[0]}" if failing else "state: kept again")
         self.context.log("state not kept" if failing else "state kept again", why=failing)
         for callback in self.on_failing:
             callback(failing)
 
     def reload(self, operator: Operator, config: Config) -> None:
-        """All of it waits for a restart."""
+        """Nothing to do: all keys of the section need a restart."""
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """The state of the store."""
         return {"state.show": self.show}
 
     def show(self) -> dict:
+        """How the front started, how the writer does, and the number of records by kind."""
         keeper = self.keeper
         return {
             "path": self.section.path,
@@ -304,9 +324,11 @@
         }
 
     def begin_shutdown(self) -> None:
+        """Record what has changed, as the end may come early."""
         self.record_changes()
 
     async def close(self, grace: float) -> None:
+        """Record the last changes and wait for the writer, up to `grace` seconds."""
         for task in self.tasks:
             task.cancel()
         self.record_changes()
@@ -314,11 +336,13 @@
 
 
 def listed_record(entry: Entry, serial: int, at: Moment) -> Listed:
+    """The stored form of an engine, confirmed at that moment by the list of that serial."""
     e = entry.engine
     return Listed(e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at)
 
 
 def entry_of(kept: records.Listed) -> Entry:
+    """The registry's entry of a stored engine."""
     engine = it.Engine(
         kept.id, kept.zone, kept.cell, kept.kind, it.EngineState(kept.standing), kept.started, kept.size
     )
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -1,4 +1,4 @@
-"""Puts together what the operator's section `takeover` switches on. Imported only where it is there."""
+"""The component of the operator file's section `takeover`. Imported only where the section is present."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from thistlelever.takeover.judge import Judge
 from thistlelever.wire.peers import State
 
-# Before a front ends what is out is handed over, with time left to tell its clients.
+# Open batches are handed over this long before the front stops, so that their clients can still be answered.
 HAND_OVER_BEFORE_STOP_S = 0.15
 GONE_STATES = frozenset((State.DEAD, State.LEFT))
 
 
 def validate(section: Takeover, config: Config) -> None:
-    """`ConfigError` with the key where the section can't be kept."""
+    """Raise `ConfigError` with the key where the section does not fit the configuration."""
     query_classes = {query_class.name for query_class in config.settings.tariffs}
     if unknown := sorted(set(section.demand or ()) - query_classes):
         raise ConfigError(
@@ -37,11 +37,12 @@
 
 
 class TakeoverComponent:
-    """Who owns which work, told to the batches' tasks."""
+    """Which front owns which batch, by leases that a majority of the batch's replicas confirms."""
 
     start_stage = "TakeoverSide"
 
     def __init__(self, context: FrontContext, section: Takeover, membership: MembershipComponent) -> None:
+        """Raises `ConfigError` as `validate` does. Nothing is sent before `open`."""
         config = context.config
         validate(section, config)
         self.context, self.members = context, membership.members.detector
@@ -77,7 +78,7 @@
         )
 
     def standing(self, address: Address, life: int) -> Standing:
-        """What membership holds a front in that life for. Another life at its address: that one is gone."""
+        """The state of a front's process by membership; gone also where a newer process has its address."""
         if address == self.members.identity.address:
             return Standing.ALIVE if life == self.members.identity.life else Standing.GONE
         member = self.members.table.at_address(address)
@@ -86,37 +87,45 @@
         return Standing.SUSPECTED if member.state is State.SUSPECTED else Standing.ALIVE
 
     def alive(self, address: Address) -> bool:
+        """Whether membership counts the front at that address as alive."""
         member = self.members.table.at_address(address)
         return member is not None and member.is_alive
 
     def alone(self) -> bool:
+        """Whether membership considers this front isolated from its peers."""
         return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
+        """Start the exchange with peers, beginning with a catch-up of their records."""
         other_fronts = sorted(self.judge.catchup.others())
         self.judge.catchup.begin(clock.now(), other_fronts)
         self.wards.open()
         return {"takeover": len(self.judge.places.fronts)}
 
     def reload(self, operator: Operator, config: Config) -> None:
+        """Place records by the changed list of peers."""
         self.judge.places.renew((*config.peers, self.members.identity.address))
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """The batches in hand, and what is known of one."""
         return {
             "inhand.show": lambda: views.show(self.judge, clock.now()) | {"waits_ms": self.wards.waits_ms()},
             "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
         }
 
     def set_storage_failure(self, error: str) -> None:
-        """This front's store keeps nothing, or does again: as a place it says so and is passed by."""
+        """Set why this front's store fails; empty where it works. While it fails, this front declines to keep
+        records for others, and they pass it over."""
         self.judge.holder.failing = error
 
     def begin_shutdown(self) -> None:
+        """Schedule the hand-over of open batches shortly before the front stops."""
         hand_over_at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER_BEFORE_STOP_S
         asyncio.get_running_loop().call_at(hand_over_at, self.wards.hand_over)
 
     async def close(self, grace: float) -> None:
-        # What was handed over last may not have been heard yet; nothing is waited for longer than that.
+        """Wait for acknowledgements of the hand-over, up to `grace` seconds, and stop."""
+        # Messages of the hand-over may be unacknowledged; none is waited for longer than `terms.wait`.
         if self.judge.asked:
             await asyncio.sleep(min(grace, self.judge.terms.wait))
         self.wards.close()
