--- a/tests/test_reloads.py
+++ b/tests/test_reloads.py
@@ -11,7 +11,7 @@
 from thistlelever.standins.papers import configuration
 
 # Seconds: the longest start on a busy machine, the wait before the first signal, and between two signals.
-LONGEST_START, SHELL, PAUSE = 30.0, 0.05, 0.01
+START_TIMEOUT, FIRST_SIGNAL_DELAY, SIGNAL_INTERVAL = 30.0, 0.05, 0.01
 
 
 @moment("engine a\nengine b\nfront")
@@ -32,21 +32,21 @@
     process = await front_process(environ)
     events = []
 
-    async def hear():
+    async def read_events():
         while not events or events[-1]["event"] != "reloaded":
             line = await process.stdout.readline()
             assert line, (process.returncode, events)
             events.append(json.loads(line))
 
-    hearing = asyncio.create_task(hear())
+    reading = asyncio.create_task(read_events())
     try:
-        async with asyncio.timeout(LONGEST_START):
+        async with asyncio.timeout(START_TIMEOUT):
             # The shell needs a moment before it replaces itself with the front.
-            await asyncio.sleep(SHELL)
-            while not events and not hearing.done():
+            await asyncio.sleep(FIRST_SIGNAL_DELAY)
+            while not events and not reading.done():
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(PAUSE)
-            await hearing
+                await asyncio.sleep(SIGNAL_INTERVAL)
+            await reading
     finally:
         if process.returncode is None:
             process.kill()
@@ -58,7 +58,7 @@
     """By its default action SIGHUP would end the process; if it were ignored, the front would keep the old
     directory."""
 
-    async def whole():
+    async def scenario():
         _, directory = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: Directory(asyncio.Event()), local_addr=("127.0.0.1", 0)
         )
@@ -68,4 +68,4 @@
         assert [e for e in events if e in ("ready", "reloaded")] == ["ready", "reloaded"]
         directory.transport.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/test_restart_with_old_answers.py
+++ b/tests/test_restart_with_old_answers.py
@@ -15,7 +15,7 @@
 from thistlelever.standins.papers import configuration
 
 # Seconds: how long clients submit after the old answer, and between two batches.
-GOES_ON, CLIENT_PACE = 1.5, 0.02
+SUBMITS_AFTER, SUBMIT_INTERVAL = 1.5, 0.02
 
 
 async def submit(writer, numbers):
@@ -25,7 +25,7 @@
         params = {"id": f"{number:016x}", "wait": 3000, "tenant": "acme", "cost": 50.0, "need_mb": 10}
         call = {"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params | {"bytes": statement}}
         writer.write(json.dumps(call).encode() + b"\n")
-        await asyncio.sleep(CLIENT_PACE)
+        await asyncio.sleep(SUBMIT_INTERVAL)
 
 
 def posts(engine):
@@ -33,15 +33,15 @@
     return sum(verb == "POST" for verb, _, _ in engine.calls)
 
 
-async def looked(holds, within=8.0):
+async def wait_until(condition, timeout=8.0):
     """Poll until the condition holds."""
-    async with asyncio.timeout(within):
-        while not holds():
+    async with asyncio.timeout(timeout):
+        while not condition():
             await asyncio.sleep(0.01)
 
 
 def test_a_killed_front_that_hears_an_old_answer_sends_nothing_to_a_draining_engine(tmp_path):
-    async def whole():
+    async def scenario():
         stir = asyncio.Event()
         engines = {name: Engine(stir) for name in "ab"}
         for engine in engines.values():
@@ -55,19 +55,19 @@
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             # Before its restart the front sees higher serials than afterwards.
             directory.serial, directory.former = 4, (4, ready)
-            heard = directory.asked
-            await looked(lambda: directory.asked > heard + 2)
+            asked_before = directory.asked
+            await wait_until(lambda: directory.asked > asked_before + 2)
         directory.serial = 1
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             _, writer = await asyncio.open_connection(*listen)
             client = asyncio.create_task(submit(writer, range(1, 10_000)))
-            await looked(lambda: posts(engines["a"]) and posts(engines["b"]))
+            await wait_until(lambda: posts(engines["a"]) and posts(engines["b"]))
             directory.serial, directory.entries = 2, ready | {"b": (engines["b"].port, True)}
-            await looked(lambda: 2 in directory.told)
+            await wait_until(lambda: 2 in directory.told)
             await asyncio.sleep(DRAIN_GRACE)
             before, others = posts(engines["b"]), posts(engines["a"])
             directory.steps.append("former")
-            await asyncio.sleep(GOES_ON)
+            await asyncio.sleep(SUBMITS_AFTER)
             assert not directory.steps
             assert posts(engines["b"]) == before
             assert posts(engines["a"]) > others
@@ -75,4 +75,4 @@
             writer.close()
         directory.transport.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -26,7 +26,7 @@
 # Seconds for which queries of an engine are counted: while cold, from the announcement of its start; warm.
 COLD_COUNTED, WARM_COUNTED = WARM_AFTER - 0.2, 3.0
 # Seconds between two statements, and the duration of one.
-CLIENT_PACE, STATEMENT_TAKES = 0.01, 0.02
+SUBMIT_INTERVAL, STATEMENT_DURATION = 0.01, 0.02
 
 
 def engine(started, name=b"a"):
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, ahead, believed",
+    "announced, ahead, believed",
     [
         # Without a step the announced start is believed; one in the future counts as now.
         (NOW - 3, 0.0, NOW - 3),
@@ -55,8 +55,8 @@
         (NOW + HOUR / 2, HOUR, NOW),
     ],
 )
-def test_a_told_start_is_a_moment_of_the_clock_that_counts_on(told, ahead, believed):
-    assert believable(told, NOW, NOW - 0.5, ahead) == believed
+def test_a_told_start_is_a_moment_of_the_clock_that_counts_on(announced, ahead, believed):
+    assert believable(announced, NOW, NOW - 0.5, ahead) == believed
 
 
 def test_an_engine_that_was_not_there_a_moment_ago_did_not_start_long_before():
@@ -111,7 +111,7 @@
 
     async def run(self):
         reader, writer = await asyncio.open_connection(*self.listen)
-        hearing = asyncio.create_task(self.hear(reader))
+        reading = asyncio.create_task(self.read_answers(reader))
         try:
             while True:
                 self.sent += 1
@@ -120,18 +120,18 @@
                 params |= {"need_mb": 1, "bytes": statement}
                 call = {"jsonrpc": "2.0", "id": self.sent, "method": "lookup", "params": params}
                 writer.write(json.dumps(call).encode() + b"\n")
-                await asyncio.sleep(CLIENT_PACE)
+                await asyncio.sleep(SUBMIT_INTERVAL)
         finally:
-            hearing.cancel()
+            reading.cancel()
             writer.close()
 
-    async def hear(self, reader):
+    async def read_answers(self, reader):
         while line := await reader.readline():
             self.answers.append(json.loads(line))
 
 
-async def posts_to_a_new_engine(tmp_path, steps, told_by):
-    """Run a front whose wall clock is stepped, then start an engine whose clock differs by `told_by` seconds.
+async def posts_to_a_new_engine(tmp_path, steps, clock_offset):
+    """Run a front whose wall clock is stepped, then start an engine whose clock is `clock_offset` s off.
 
     Returns the queries of the new engine while cold and while warm, those of an older engine in the same
     seconds as the latter, the number of error answers, and the number of queries sent.
@@ -139,7 +139,7 @@
     stir = asyncio.Event()
     engines = {name: Engine(stir) for name in ("alder", "birch", "cedar")}
     for each in engines.values():
-        each.lasts = lambda txn: STATEMENT_TAKES
+        each.lasts = lambda txn: STATEMENT_DURATION
         await each.start()
     directory, entries = await beside(stir, engines)
     settings = json.loads(json.dumps(SETTINGS))
@@ -147,7 +147,7 @@
     known = configuration(entries[:2], dns=f"127.0.0.1:{directory.port}", settings=settings)
     known["known"]["pos"] = directory.serial = 1
     directory.entries.pop("cedar")
-    path = tmp_path / f"front{steps}{told_by}.json"
+    path = tmp_path / f"front{steps}{clock_offset}.json"
     path.write_text(json.dumps(known))
 
     def posts(name):
@@ -160,21 +160,21 @@
         await asyncio.sleep(1.0)
         directory.serial = 2
         directory.entries["cedar"] = (engines["cedar"].port, False)
-        directory.starts["cedar"] = round((time.time() + told_by) * 1e3)
+        directory.starts["cedar"] = round((time.time() + clock_offset) * 1e3)
         await asyncio.sleep(COLD_COUNTED)
         cold = posts("cedar")
         await asyncio.sleep(0.7)
         before = posts("cedar"), posts("alder")
         await asyncio.sleep(WARM_COUNTED)
         running.cancel()
-        late = sum("error" in answer for answer in client.answers)
-        found = cold, posts("cedar") - before[0], posts("alder") - before[1], late, client.sent
+        errors = sum("error" in answer for answer in client.answers)
+        counts = cold, posts("cedar") - before[0], posts("alder") - before[1], errors, client.sent
     directory.transport.close()
-    return found
+    return counts
 
 
 @pytest.mark.parametrize(
-    "steps, told_by",
+    "steps, clock_offset",
     [
         # A step of the whole machine, with the directory's clock; a step of the front's clock alone.
         (f"1:{-HOUR}", -HOUR),
@@ -186,7 +186,9 @@
         (f"0:{-HOUR}", 0.0),
     ],
 )
-def test_an_engine_that_starts_after_a_step_is_cold_and_then_warm_as_without_one(tmp_path, steps, told_by):
+def test_an_engine_that_starts_after_a_step_is_cold_and_then_warm_as_without_one(
+    tmp_path, steps, clock_offset
+):
     """Warm queries are counted for three seconds, as one second was too small a sample.
 
     A cold engine gets 7 to 9 queries, its budget; a warm one is drawn by chance among three. Counted for one
@@ -195,12 +197,12 @@
     required share of a warm engine's rate is the same.
     """
 
-    async def whole():
+    async def both_runs():
         return await asyncio.gather(
-            posts_to_a_new_engine(tmp_path, "", 0.0), posts_to_a_new_engine(tmp_path, steps, told_by)
+            posts_to_a_new_engine(tmp_path, "", 0.0), posts_to_a_new_engine(tmp_path, steps, clock_offset)
         )
 
-    usual, stepped = asyncio.run(whole())
+    usual, stepped = asyncio.run(both_runs())
     assert not usual[3] and not stepped[3], "an answer that is no result"
     assert 0 < usual[0] < usual[1] / WARM_COUNTED / 2, usual
     assert stepped[0] < 2 * usual[0] and stepped[1] > usual[1] / 2, (usual, stepped)
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -99,7 +99,7 @@
         self.fresh_start = len(self.judge.use) == len(entries)
         if not self.fresh_start:
             self.use_remembered()
-        self.serial, self.written_at = context.roll.serial, 0.0
+        self.serial, self.recorded_at = context.roll.serial, 0.0
         self.tasks: list[asyncio.Task] = []
         context.courses.memory = Recollection(
             context.config.settings, context.roll, context.metrics, self.remember_dispatch, self.find_dispatch
@@ -116,24 +116,24 @@
         """
         stored = {record.id: record for record in self.keeper.records["listed"].values()}
         ages = {engine: age_of(record.confirmed) for engine, record in stored.items()}
-        newest = min((found.most for found in ages.values()), default=float("inf"))
+        newest = min((stored_age.most for stored_age in ages.values()), default=float("inf"))
         entries: dict[bytes, Entry] = {}
-        found: dict[bytes, Age] = {}
+        entry_ages: dict[bytes, Age] = {}
         for entry in config.known:
             if newest >= config_age.most or entry.engine.id in stored:
-                entries[entry.engine.id], found[entry.engine.id] = entry, config_age
+                entries[entry.engine.id], entry_ages[entry.engine.id] = entry, config_age
         for engine, record in stored.items():
-            if ages[engine].most < found.get(engine, Age(0.0, float("inf"))).most and (
+            if ages[engine].most < entry_ages.get(engine, Age(0.0, float("inf"))).most and (
                 newest < config_age.most or engine in entries
             ):
-                entries[engine], found[engine] = entry_of(record), ages[engine]
+                entries[engine], entry_ages[engine] = entry_of(record), ages[engine]
         # Of two engines at one address, the younger entry holds.
         by_address: dict[tuple[str, int], bytes] = {}
-        for engine in sorted(entries, key=lambda e: (found[e].most, e)):
+        for engine in sorted(entries, key=lambda e: (entry_ages[e].most, e)):
             if by_address.setdefault(entries[engine].address, engine) != engine:
-                del found[engine]
-        ready = {e: entries[e] for e in found if entries[e].engine.state is it.EngineState.READY}
-        return ready, {e: found[e] for e in ready}
+                del entry_ages[engine]
+        ready = {e: entries[e] for e in entry_ages if entries[e].engine.state is it.EngineState.READY}
+        return ready, {e: entry_ages[e] for e in ready}
 
     def use_remembered(self) -> None:
         """Put the engines that may be used into the registry. Any answer of the directory replaces them,
@@ -165,20 +165,24 @@
         )
         self.context.desk.tell(state)
 
-    def remember_dispatch(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
+    def remember_dispatch(self, idempotency_key: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
         """Store that the batch of an idempotency key may have run: its engine, its dispatch, and for how many
         seconds repeats are dropped. None removes the key: the batch did not run."""
         if what is None:
-            self.keeper.drop("mark", mark)
+            self.keeper.drop("mark", idempotency_key)
             return
         engine, name, window = what
-        self.keeper.put("mark", mark, Mark(mark, engine, name.txn, name.number, window, moment_ago()))
+        self.keeper.put(
+            "mark",
+            idempotency_key,
+            Mark(idempotency_key, engine, name.txn, name.number, window, moment_ago()),
+        )
 
-    def find_dispatch(self, mark: bytes) -> tuple[it.EngineId, Name, float] | None:
+    def find_dispatch(self, idempotency_key: bytes) -> tuple[it.EngineId, Name, float] | None:
         """The engine and the dispatch stored under an idempotency key, and its age in seconds."""
-        found = self.keeper.records["mark"].get(mark)
+        stored = self.keeper.records["mark"].get(idempotency_key)
         # The upper bound of the age: an engine must not be relied on to drop repeats after its window.
-        return found and (found.engine, Name(found.txn, found.number), age_of(found.ran).most)
+        return stored and (stored.engine, Name(stored.txn, stored.number), age_of(stored.ran).most)
 
     # Start and recording.
 
@@ -247,8 +251,8 @@
     def record_changes(self) -> None:
         """Pass the engine list, where discovery confirmed it since, and the learned state to the writer."""
         roll, keeper, heard_at = self.context.roll, self.keeper, self.context.inquiry.heard_at
-        if heard_at > self.written_at:
-            self.written_at, at = heard_at, moment_ago(clock.now() - heard_at)
+        if heard_at > self.recorded_at:
+            self.recorded_at, at = heard_at, moment_ago(clock.now() - heard_at)
             if self.judge.stage is not Stage.LISTED:
                 self.judge.listed()
             for engine in [e for e in keeper.records["listed"] if e not in roll.entries]:
