--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -10,7 +10,7 @@
 from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.components import FrontContext
-from thistlelever.wire.inflow import Purse
+from thistlelever.wire.read_buffer import BufferQuota
 
 # The least that a stream may buffer between engine and client, so that a message of usual size passes whole.
 MIN_BUFFERED_BYTES = 65_536
@@ -32,7 +32,7 @@
             context.metrics,
             section.held_bytes,
             buffered_bytes,
-            Purse(section.held_bytes_all),
+            BufferQuota(section.held_bytes_all),
         )
         self.kinds = config.kinds
         self.door = Door(section, config.name, context.intake, context.courses, context.metrics, context.log)
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -15,12 +15,19 @@
 from thistlelever.ground.operator import Operator, State
 from thistlelever.ground.config import Config, Entry
 from thistlelever.ledger import file, records
-from thistlelever.ledger.file import File
-from thistlelever.ledger.keeper import Keeper
-from thistlelever.ledger.records import Learnt, Listed, Mark, Moment, Rest, Window
+from thistlelever.ledger.file import LedgerFile
+from thistlelever.ledger.records import (
+    BudgetWindow,
+    CoolDown,
+    IdempotencyRecord,
+    LearnedEngine,
+    ListedEngine,
+    Timestamp,
+)
+from thistlelever.ledger.writer import LedgerWriter
 from thistlelever.lifecycle.components import FrontContext
-from thistlelever.recovery.ages import Age, Now, Terms, age
-from thistlelever.recovery.judge import Judge, Stage
+from thistlelever.recovery.ages import Age, AgeLimits, ClockReading, age
+from thistlelever.recovery.restart import RestartRecovery, Stage
 from thistlelever.store.batches import Name
 
 # Seconds between two recordings of changed state, and between two rounds of probes where no engine answers.
@@ -39,23 +46,23 @@
 BOOT_ID = read_boot_id()
 
 
-def time_now() -> Now:
+def time_now() -> ClockReading:
     """The present time by the wall clock and by the clock since boot, in seconds."""
-    return Now(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT_ID)
+    return ClockReading(clock.wall(), time.clock_gettime(time.CLOCK_BOOTTIME), BOOT_ID)
 
 
-def moment_ago(ago: float = 0.0) -> Moment:
+def moment_ago(ago: float = 0.0) -> Timestamp:
     """The time `ago` seconds before now, as records store it."""
     now = time_now()
-    return Moment(now.wall - ago, now.since_boot - ago, now.boot)
+    return Timestamp(now.wall - ago, now.since_boot - ago, now.boot)
 
 
-def age_of(then: Moment) -> Age:
+def age_of(then: Timestamp) -> Age:
     """The bounds of the time since a stored moment, in seconds."""
     return age(then.wall, then.since_boot, then.boot, time_now())
 
 
-def local_start(learnt: Learnt) -> float:
+def local_start(learnt: LearnedEngine) -> float:
     """When an engine started, on this front's clock, from a record of an earlier process; 0.0 for unknown.
 
     Computed from spans: had the wall clock been stepped between the two processes, the stored start could
@@ -90,13 +97,13 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         # Called with the reason when the store begins to fail, and with an empty text when it works again.
         self.on_failing: list[Callable[[str], None]] = []
-        self.keeper = Keeper(lambda: File(section.path), section.every_s, self.on_writer_status)
-        self.keeper.open()
+        self.writer = LedgerWriter(lambda: LedgerFile(section.path), section.every_s, self.on_writer_status)
+        self.writer.open()
         config_path = config_path or os.environ.get("BALANCER_CONFIG")
         entries, ages = self.remembered_engines(context.config, configuration_age(config_path))
-        self.judge = Judge(Terms(section.fresh_s, section.old_s), ages)
+        self.recovery = RestartRecovery(AgeLimits(section.fresh_s, section.old_s), ages)
         self.entries = entries
-        self.fresh_start = len(self.judge.use) == len(entries)
+        self.fresh_start = len(self.recovery.usable) == len(entries)
         if not self.fresh_start:
             self.use_remembered()
         self.serial, self.recorded_at = context.roll.serial, 0.0
@@ -114,7 +121,7 @@
 
         Of an engine in both lists the younger entry holds; one that only the older list has is dropped.
         """
-        stored = {record.id: record for record in self.keeper.records["listed"].values()}
+        stored = {record.id: record for record in self.writer.records["listed"].values()}
         ages = {engine: age_of(record.confirmed) for engine, record in stored.items()}
         newest = min((stored_age.most for stored_age in ages.values()), default=float("inf"))
         entries: dict[bytes, Entry] = {}
@@ -138,16 +145,16 @@
     def use_remembered(self) -> None:
         """Put the engines that may be used into the registry. Any answer of the directory replaces them,
         whatever its serial."""
-        entries = [self.entries[engine] for engine in sorted(self.judge.use)]
+        entries = [self.entries[engine] for engine in sorted(self.recovery.usable)]
         self.context.roll.remember(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The highest serial among the stored engines; 0 where none is stored."""
-        return max((record.serial for record in self.keeper.records["listed"].values()), default=0)
+        return max((record.serial for record in self.writer.records["listed"].values()), default=0)
 
     def restore_learned_state(self) -> None:
         """Pass the stored state that an earlier process learned to the decisions, less what has expired."""
-        kept = self.keeper.records
+        kept = self.writer.records
         cooldowns = [(int(rest.key, 16), rest.left - age_of(rest.at).least) for rest in kept["rest"].values()]
         took: tuple[float, ...] = ()
         extra: tuple[float, ...] = ()
@@ -169,18 +176,18 @@
         """Store that the batch of an idempotency key may have run: its engine, its dispatch, and for how many
         seconds repeats are dropped. None removes the key: the batch did not run."""
         if what is None:
-            self.keeper.drop("mark", idempotency_key)
+            self.writer.drop("mark", idempotency_key)
             return
         engine, name, window = what
-        self.keeper.put(
+        self.writer.put(
             "mark",
             idempotency_key,
-            Mark(idempotency_key, engine, name.txn, name.number, window, moment_ago()),
+            IdempotencyRecord(idempotency_key, engine, name.txn, name.number, window, moment_ago()),
         )
 
     def find_dispatch(self, idempotency_key: bytes) -> tuple[it.EngineId, Name, float] | None:
         """The engine and the dispatch stored under an idempotency key, and its age in seconds."""
-        stored = self.keeper.records["mark"].get(idempotency_key)
+        stored = self.writer.records["mark"].get(idempotency_key)
         # The upper bound of the age: an engine must not be relied on to drop repeats after its window.
         return stored and (stored.engine, Name(stored.txn, stored.number), age_of(stored.ran).most)
 
@@ -189,11 +196,11 @@
     async def open(self) -> dict:
         """Probe remembered engines that are too old to be used unprobed; start with those that answer."""
         self.loop = asyncio.get_running_loop()
-        self.keeper.start()
-        if self.keeper.failing:
-            self.report_status(self.keeper.failing)
+        self.writer.start()
+        if self.writer.failing:
+            self.report_status(self.writer.failing)
         if not self.fresh_start:
-            while self.judge.stage in (Stage.ASKING, Stage.ASKING_LAST):
+            while self.recovery.stage in (Stage.PROBING, Stage.PROBING_OLDEST):
                 await self.probe_remembered()
             self.announce_remembered()
         self.restore_learned_state()
@@ -201,7 +208,7 @@
             self.loop.create_task(self.record_periodically()),
             self.loop.create_task(self.retry_until_found()),
         ]
-        return {"state": self.judge.stage.value, "engines_remembered": len(self.entries)}
+        return {"state": self.recovery.stage.value, "engines_remembered": len(self.entries)}
 
     async def probe_remembered(self) -> None:
         """Probe all engines that are due at once, until all have answered or `within_s` has passed."""
@@ -210,36 +217,36 @@
             outcome, _ = await self.context.dispatcher.speech(self.entries[engine]).probe(
                 self.entries[engine]
             )
-            self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
+            self.recovery.record_probe(engine, outcome is it.DispatchOutcome.RETURNED)
 
         probes = [
             asyncio.ensure_future(probe(engine))
-            for engine in sorted(self.judge.ask - self.judge.answered.keys())
+            for engine in sorted(self.recovery.to_probe - self.recovery.answered.keys())
         ]
         if probes:
             _, pending = await asyncio.wait(probes, timeout=self.section.within_s + 0.05)
             for task in pending:
                 task.cancel()
-        self.judge.waited()
+        self.recovery.probes_timed_out()
 
     def announce_remembered(self) -> None:
         """Pass the remembered engines to the decisions, unless discovery has answered meanwhile."""
-        if self.judge.stage is not Stage.LISTED and not self.context.roll.serial:
+        if self.recovery.stage is not Stage.LISTED and not self.context.roll.serial:
             self.use_remembered()
             roll = self.context.roll
             self.context.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
-            self.context.log("started by what was remembered", **self.judge.show())
+            self.context.log("started by what was remembered", **self.recovery.show())
 
     async def retry_until_found(self) -> None:
         """Where no engine answered, probe again until one does or discovery answers."""
         while not self.fresh_start:
             await asyncio.sleep(RETRY_INTERVAL_S)
             if self.context.roll.serial:
-                self.judge.listed()
+                self.recovery.discovery_returned()
                 return
-            if self.judge.again():
+            if self.recovery.retry():
                 await self.probe_remembered()
-                if self.judge.use:
+                if self.recovery.usable:
                     self.announce_remembered()
 
     async def record_periodically(self) -> None:
@@ -250,28 +257,28 @@
 
     def record_changes(self) -> None:
         """Pass the engine list, where discovery confirmed it since, and the learned state to the writer."""
-        roll, keeper, heard_at = self.context.roll, self.keeper, self.context.inquiry.heard_at
+        roll, writer, heard_at = self.context.roll, self.writer, self.context.inquiry.heard_at
         if heard_at > self.recorded_at:
             self.recorded_at, at = heard_at, moment_ago(clock.now() - heard_at)
-            if self.judge.stage is not Stage.LISTED:
-                self.judge.listed()
-            for engine in [e for e in keeper.records["listed"] if e not in roll.entries]:
-                keeper.drop("listed", engine)
-                keeper.drop("learnt", engine)
+            if self.recovery.stage is not Stage.LISTED:
+                self.recovery.discovery_returned()
+            for engine in [e for e in writer.records["listed"] if e not in roll.entries]:
+                writer.drop("listed", engine)
+                writer.drop("learnt", engine)
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
-                    keeper.put("listed", engine, listed_record(entry, roll.serial, at))
+                    writer.put("listed", engine, listed_record(entry, roll.serial, at))
         learnt, at = self.context.desk.front.learned_state(clock.now()), moment_ago()
         for engine, bound, pace, started in learnt.engines:
-            if engine in keeper.records["listed"]:
+            if engine in writer.records["listed"]:
                 # The front's clock means nothing to another process: the start is stored by the wall clock.
                 kept_start = started and at.wall - (clock.now() - started)
-                keeper.put("learnt", engine, Learnt(engine, bound, pace, kept_start, at))
+                writer.put("learnt", engine, LearnedEngine(engine, bound, pace, kept_start, at))
         for key, left in learnt.cooldowns:
-            # A key can be a larger integer than the encoding holds: stored in hex.
-            keeper.put("rest", b"%x" % key, Rest(f"{key:x}", left, at))
+            # A key is a table's name as an integer, often larger than the encoding holds: stored in hex.
+            writer.put("rest", b"%x" % key, CoolDown(f"{key:x}", left, at))
         if learnt.received_ago or learnt.retried_ago:
-            keeper.put("window", b"window", Window(learnt.received_ago, learnt.retried_ago, at))
+            writer.put("window", b"window", BudgetWindow(learnt.received_ago, learnt.retried_ago, at))
         self.drop_expired()
 
     def drop_expired(self) -> None:
@@ -280,11 +287,11 @@
             ("mark", lambda m: age_of(m.ran).least > 2 * m.window),
             ("rest", lambda r: age_of(r.at).least > r.left),
         ):
-            kept = self.keeper.records[kind]
+            kept = self.writer.records[kind]
             for key in list(kept)[:1_000]:
                 if not is_expired(kept[key]):
                     break
-                self.keeper.drop(kind, key)
+                self.writer.drop(kind, key)
 
     # Failures of the store.
 
@@ -310,21 +317,21 @@
 
     def show(self) -> dict:
         """How the front started, how the writer does, and the number of records by kind."""
-        keeper = self.keeper
+        writer = self.writer
         return {
             "path": self.section.path,
-            "failing": keeper.failing,
-            "stuck_s": round(keeper.stuck(), 3),
-            "keeps": keeper.keeps(),
-            "start": self.judge.show(),
-            "writes": keeper.writes,
-            "written": keeper.written,
-            "longest_write_s": round(keeper.longest, 4),
-            "waiting": len(keeper.dirty),
-            "past_bounds": keeper.full,
-            "damaged": len(keeper.damaged),
-            "bytes": file.size(self.section.path),
-            "records": {kind: len(kept) for kind, kept in keeper.records.items()},
+            "failing": writer.failing,
+            "stuck_s": round(writer.stuck_seconds(), 3),
+            "keeps": writer.is_durable(),
+            "start": self.recovery.show(),
+            "writes": writer.writes,
+            "written": writer.records_written,
+            "longest_write_s": round(writer.longest_write, 4),
+            "waiting": len(writer.dirty),
+            "past_bounds": writer.evicted,
+            "damaged": len(writer.damaged),
+            "bytes": file.size_on_disk(self.section.path),
+            "records": {kind: len(kept) for kind, kept in writer.records.items()},
         }
 
     def begin_shutdown(self) -> None:
@@ -336,16 +343,18 @@
         for task in self.tasks:
             task.cancel()
         self.record_changes()
-        await asyncio.get_running_loop().run_in_executor(None, self.keeper.close, grace)
+        await asyncio.get_running_loop().run_in_executor(None, self.writer.close, grace)
 
 
-def listed_record(entry: Entry, serial: int, at: Moment) -> Listed:
+def listed_record(entry: Entry, serial: int, at: Timestamp) -> ListedEngine:
     """The stored form of an engine, confirmed at that moment by the list of that serial."""
     e = entry.engine
-    return Listed(e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at)
+    return ListedEngine(
+        e.id, *entry.address, e.zone, e.cell, e.kind, int(e.state), e.started, e.size, serial, at
+    )
 
 
-def entry_of(kept: records.Listed) -> Entry:
+def entry_of(kept: records.ListedEngine) -> Entry:
     """The registry's entry of a stored engine."""
     engine = it.Engine(
         kept.id, kept.zone, kept.cell, kept.kind, it.EngineState(kept.standing), kept.started, kept.size
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from thistlelever.carrier.wards import Wards, groups
+from thistlelever.carrier.leases import LeaseService, query_class_policies
 from thistlelever.ground import clock
 from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator, Takeover
@@ -13,8 +13,8 @@
 from thistlelever.lifecycle.membership import MembershipComponent
 from thistlelever.lifecycle.components import FrontContext
 from thistlelever.takeover import views
-from thistlelever.takeover.facts import Address, Standing, Terms
-from thistlelever.takeover.judge import Judge
+from thistlelever.takeover.facts import Address, Liveness, TakeoverConfig
+from thistlelever.takeover.lease_manager import LeaseManager
 from thistlelever.wire.peers import State
 
 # Open batches are handed over this long before the front stops, so that their clients can still be answered.
@@ -46,29 +46,30 @@
         config = context.config
         validate(section, config)
         self.context, self.members = context, membership.members.detector
-        terms = Terms(
-            places=section.places,
-            lease=section.lease_s,
-            renew=section.lease_s * 0.4,
-            wait=section.wait_s,
-            keep=section.keep_s,
-            most_kept=section.most_kept,
-            most_taken=section.most_taken,
+        takeover_config = TakeoverConfig(
+            replicas=section.places,
+            lease_s=section.lease_s,
+            renew_interval_s=section.lease_s * 0.4,
+            quorum_timeout_s=section.wait_s,
+            retention_s=section.keep_s,
+            max_records=section.most_kept,
+            max_keep_alives=section.most_taken,
         )
         identity = self.members.identity
-        self.judge = Judge(
-            terms,
+        self.manager = LeaseManager(
+            takeover_config,
             identity.address,
             identity.life,
             config.peers,
-            groups(config.settings, section.demand),
+            query_class_policies(config.settings, section.demand),
             config.seed,
             clock.now(),
         )
-        heirs = self.judge.heirs
-        heirs.standing, heirs.alive, heirs.alone = self.standing, self.alive, self.alone
-        self.wards = context.courses.wards = Wards(
-            self.judge,
+        successor = self.manager.successor
+        successor.liveness, successor.is_alive = self.liveness, self.is_alive
+        successor.is_isolated = self.is_isolated
+        self.leases = context.courses.leases = LeaseService(
+            self.manager,
             membership.peers,
             config.settings,
             context.roll,
@@ -77,55 +78,56 @@
             context.log,
         )
 
-    def standing(self, address: Address, life: int) -> Standing:
+    def liveness(self, address: Address, life: int) -> Liveness:
         """The state of a front's process by membership; gone also where a newer process has its address."""
         if address == self.members.identity.address:
-            return Standing.ALIVE if life == self.members.identity.life else Standing.GONE
+            return Liveness.ALIVE if life == self.members.identity.life else Liveness.GONE
         member = self.members.table.at_address(address)
         if member is None or member.life > life or member.state in GONE_STATES:
-            return Standing.GONE
-        return Standing.SUSPECTED if member.state is State.SUSPECTED else Standing.ALIVE
+            return Liveness.GONE
+        return Liveness.SUSPECTED if member.state is State.SUSPECTED else Liveness.ALIVE
 
-    def alive(self, address: Address) -> bool:
+    def is_alive(self, address: Address) -> bool:
         """Whether membership counts the front at that address as alive."""
         member = self.members.table.at_address(address)
         return member is not None and member.is_alive
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether membership considers this front isolated from its peers."""
         return bool(self.members.isolation_reason(clock.now()))
 
     async def open(self) -> dict:
         """Start the exchange with peers, beginning with a catch-up of their records."""
-        other_fronts = sorted(self.judge.catchup.others())
-        self.judge.catchup.begin(clock.now(), other_fronts)
-        self.wards.open()
-        return {"takeover": len(self.judge.places.fronts)}
+        other_fronts = sorted(self.manager.catchup.other_fronts())
+        self.manager.catchup.start(clock.now(), other_fronts)
+        self.leases.open()
+        return {"takeover": len(self.manager.placement.fronts)}
 
     def reload(self, operator: Operator, config: Config) -> None:
         """Place records by the changed list of peers."""
-        self.judge.places.renew((*config.peers, self.members.identity.address))
+        self.manager.placement.set_fronts((*config.peers, self.members.identity.address))
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """The batches in hand, and what is known of one."""
         return {
-            "inhand.show": lambda: views.show(self.judge, clock.now()) | {"waits_ms": self.wards.waits_ms()},
-            "inhand.explain": lambda batch: views.explain(self.judge, batch, clock.now()),
+            "inhand.show": lambda: views.show(self.manager, clock.now())
+            | {"waits_ms": self.leases.waits_ms()},
+            "inhand.explain": lambda batch: views.explain(self.manager, batch, clock.now()),
         }
 
     def set_storage_failure(self, error: str) -> None:
         """Set why this front's store fails; empty where it works. While it fails, this front declines to keep
         records for others, and they pass it over."""
-        self.judge.holder.failing = error
+        self.manager.replica.failure = error
 
     def begin_shutdown(self) -> None:
         """Schedule the hand-over of open batches shortly before the front stops."""
         hand_over_at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER_BEFORE_STOP_S
-        asyncio.get_running_loop().call_at(hand_over_at, self.wards.hand_over)
+        asyncio.get_running_loop().call_at(hand_over_at, self.leases.hand_over)
 
     async def close(self, grace: float) -> None:
         """Wait for acknowledgements of the hand-over, up to `grace` seconds, and stop."""
-        # Messages of the hand-over may be unacknowledged; none is waited for longer than `terms.wait`.
-        if self.judge.asked:
-            await asyncio.sleep(min(grace, self.judge.terms.wait))
-        self.wards.close()
+        # Messages of the hand-over may be unacknowledged; none is waited for longer than `quorum_timeout_s`.
+        if self.manager.leases_by_nonce:
+            await asyncio.sleep(min(grace, self.manager.config.quorum_timeout_s))
+        self.leases.close()
