--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -25,7 +25,7 @@
     """The engine stays closed to new dispatches while the directory answers that many further queries."""
     until = stage.directory.asked + answers
     while stage.directory.asked < until:
-        assert not stage.office.registry.accepts_dispatches(engine)
+        assert not stage.server.registry.accepts_dispatches(engine)
         await asyncio.sleep(0.001)
 
 
@@ -39,12 +39,12 @@
             await stage.do_directory(*["former"] * count)
             await pace_answers(stage, count + 1)
             async with asyncio.timeout(DRAIN_GRACE):
-                while stage.office.registry.accepts_dispatches(b"b"):
+                while stage.server.registry.accepts_dispatches(b"b"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"b", 5)
             stage.directory.serial, stage.directory.entries = 5, list_entries(stage, "a", "b-", "c-")
             async with asyncio.timeout(directory.POLL_INTERVAL + DRAIN_GRACE):
-                while stage.office.registry.accepts_dispatches(b"c"):
+                while stage.server.registry.accepts_dispatches(b"c"):
                     await asyncio.sleep(0.001)
             await stays_closed(stage, b"c", 5)
             await play(stage, "submit 1 pay\nanswer 1 result rows\ncalls b POST 0\ncalls c POST 0")
@@ -79,6 +79,6 @@
     stage.directory.serial, stage.directory.entries = 1, list_entries(stage, "a-", "b")
     await pace_answers(stage, 3)
     await stage.do_listed("b")
-    assert stage.office.registry.serial == 5
-    await stage.look_until(lambda: stage.office.registry.serial == 1)
+    assert stage.server.registry.serial == 5
+    await stage.look_until(lambda: stage.server.registry.serial == 1)
     await play(stage, "listed b\nsubmit 1 pay\nanswer 1 result rows\ncalls a POST 0")
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -136,8 +136,8 @@
         self.config = configuration((), settings=self.settings)
         await self.open_directory()
         read = front_config.read(self.config, {})
-        self.office = run.Office(read, self.log, lambda: read, self.operator(), self.operator)
-        self.running = asyncio.create_task(self.office.run())
+        self.server = run.FrontServer(read, self.log, lambda: read, self.operator(), self.operator)
+        self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
         listen = next(facts["listen"] for event, facts in self.events if event == "ready")
         self.reader, self.writer = await asyncio.open_connection(*listen, limit=2**20)
@@ -145,7 +145,7 @@
 
     async def holds(self, version):
         """Wait until the front is at this version."""
-        replica = self.office.discovery.subscription.replica
+        replica = self.server.discovery.subscription.replica
         await self.distributors.until(lambda: str(replica.version) == version)
 
 
@@ -174,7 +174,7 @@
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert stage.directory.asked == 0
-        status = stage.office.questions()["engines.show"]()
+        status = stage.server.admin_handlers()["engines.show"]()
         assert status["engines"] == 2 and status["distributor"] and status["age_s"] < 2
         assert status["version"] == str(distributors.running[0].catalog.version)
 
@@ -183,7 +183,7 @@
 
 def test_no_dispatch_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
     async def scenario(stage, distributors):
-        discovery = stage.office.discovery
+        discovery = stage.server.discovery
         # Cut off: the front reaches no distributor.
         discovery.subscription.terms = discovery.subscription.terms._replace(
             distributors=(("127.0.0.1", 9), ("127.0.0.1", 9))
@@ -205,7 +205,7 @@
             distributors=distributors.addresses
         )
         await stage.holds(version)
-        assert not stage.office.registry.accepts_dispatches(b"cala")
+        assert not stage.server.registry.accepts_dispatches(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
     run_scenario(scenario, ("cala", "duna"))
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -123,8 +123,8 @@
         """Return the operator file unchanged, as no part of it comes by DNS."""
         return operator
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
-        """Return the administration queries of this part: none."""
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """Return the handlers of administration commands: none."""
         return {}
 
     def close(self) -> None:
