--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -3,7 +3,7 @@
 from time import perf_counter
 
 from rigs.scale_front import HollowPlace, empty_front
-from thistlelever.carrier.directory import NAME, PACE, Inquiry
+from thistlelever.carrier.directory import POLL_INTERVAL, SERVICE_NAME, DirectoryClient
 from thistlelever.ground import interface as it
 from thistlelever.standins.directory import dns_answer
 from thistlelever.wire import dns
@@ -24,11 +24,11 @@
     fits = len(answer) <= LONGEST_DATAGRAM
     return {
         "list_bytes": len(answer),
-        "control_bytes_s": round(len(answer) / PACE),
+        "control_bytes_s": round(len(answer) / POLL_INTERVAL),
         "fits_a_datagram": fits,
         "engines_in_a_datagram": int(LONGEST_DATAGRAM / an_engine),
         "change_of_one_core_s": round(change_of_one(answer, zones, fronts), 4),
-        "in_force_max_s": PACE if fits else None,
+        "in_force_max_s": POLL_INTERVAL if fits else None,
     }
 
 
@@ -36,17 +36,17 @@
     """CPU seconds of one front for one changed engine: the list is read and told whole."""
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     parts = empty_front(place, zones, fronts)
-    inquiry = Inquiry(
-        parts.roll, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
+    client = DirectoryClient(
+        parts.registry, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
     )
     spent = []
     for serial in range(1, 1 + TIMES):
         began = perf_counter()
-        listing = dns.decode_list(answer, 1, NAME)
-        listed = [inquiry.entry(found) for found in listing.engines]
-        parts.roll.replace(serial, listed, float(serial))
+        listing = dns.decode_list(answer, 1, SERVICE_NAME)
+        listed = [client.entry(found) for found in listing.engines]
+        parts.registry.replace(serial, listed, float(serial))
         parts.desk.front.handle(
-            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.roll.told())]
+            float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.registry.engine_list())]
         )
         spent.append(perf_counter() - began)
     return min(spent[1:])
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -214,8 +214,8 @@
 
     async def do_volunteers(self, name, *words):
         """The engine sends what nobody asked for on its newest connection; the front has seen it."""
-        kept = self.server.links.kept[name.encode()]
-        seen = kept[-1].reading
+        kept = self.server.connections.idle[name.encode()]
+        seen = kept[-1].pending_read
         self.engines[name].writers[-1].write(unescaped(words))
         async with asyncio.timeout(LONGEST_WAIT):
             await asyncio.wait((seen,))
@@ -247,9 +247,10 @@
         self.directory.steps.extend(steps)
 
     async def do_listed(self, *names):
-        roll = self.server.roll
+        registry = self.server.registry
         await self.until(
-            lambda: sorted(names) == sorted(e.id.decode() for e in roll.told() if roll.open_to(e.id))
+            lambda: sorted(names)
+            == sorted(e.id.decode() for e in registry.engine_list() if registry.accepts_dispatches(e.id))
         )
 
     async def do_lags(self, seconds):
@@ -262,11 +263,11 @@
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
-        assert len(self.server.links.kept.get(name.encode(), ())) == int(count)
+        assert len(self.server.connections.idle.get(name.encode(), ())) == int(count)
 
     async def do_waiting(self, count):
         """So many calls wait for a connection."""
-        await self.until(lambda: sum(map(len, self.server.links.waiting)) >= int(count))
+        await self.until(lambda: sum(map(len, self.server.connections.waiters)) >= int(count))
 
     async def do_counted(self, *words):
         name = " ".join(words)
@@ -358,8 +359,8 @@
 
     async def do_dials_held(self):
         """No connection to an engine comes up from now on until `dials_go`."""
-        links, self.dials, self.go = self.server.links, 0, asyncio.Event()
-        connect = links.connect
+        connections, self.dials, self.go = self.server.connections, 0, asyncio.Event()
+        connect = connections.connect
 
         async def held(entry):
             self.dials += 1
@@ -367,7 +368,7 @@
             await self.go.wait()
             return await connect(entry)
 
-        links.connect = held
+        connections.connect = held
 
     async def do_dialling(self, count):
         await self.until(lambda: self.dials >= int(count))
@@ -686,12 +687,12 @@
 @contextmanager
 def brisk():
     """A stop and a directory's pace shorter than in service, so that tests wait less."""
-    was = run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE
-    run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE = 0.05, 0.3, 0.05
+    was = run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL
+    run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL = 0.05, 0.3, 0.05
     try:
         yield
     finally:
-        run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.PACE = was
+        run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL = was
 
 
 @asynccontextmanager
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -1,4 +1,4 @@
-"""A front that subscribes to its engine list: in place of DNS, across cuts, as engines leave its subset."""
+"""A front that subscribes to its engine list: instead of DNS, when cut off, as engines leave its subset."""
 
 import asyncio
 import json
@@ -16,12 +16,12 @@
 from thistlelever.distribution.records import EngineRecord, digest_of
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
-from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
+from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
 from thistlelever.standins.papers import configuration
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 def record(name, port, **fields):
@@ -30,19 +30,21 @@
 
 
 class Subscribed:
-    """A `SubscribedList` whose subscription is fed by hand, with all that it tells."""
+    """A `SubscribedList` with a fake subscription, which records its notifications."""
 
     def __init__(self):
-        self.replica, self.told, self.forgotten = Replica(strict=False), [], []
+        self.replica, self.notifications, self.dropped = Replica(strict=False), [], []
         self.subscription = SimpleNamespace(replica=self.replica, heard_at=0.0)
-        self.roll = Roll()
-        desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, metrics=Metrics())
+        self.registry = EngineRegistry()
+        desk = SimpleNamespace(
+            log=lambda event, **facts: None, tell=self.notifications.append, metrics=Metrics()
+        )
         names = KnownNames(("nord", "sud"), ("std",))
-        self.list = SubscribedList(self.subscription, self.roll, self.forgotten.append, desk, names)
+        self.list = SubscribedList(self.subscription, self.registry, self.dropped.append, desk, names)
         self.fronts = 4
 
     def holds(self, *records, gone=()):
-        """The subscription now holds just these."""
+        """Make these the only records of the subscription."""
         wanted = {one.id: one for one in records}
         removals = tuple(Removal(name, name in gone) for name in self.replica.records if name not in wanted)
         removals += tuple(Removal(name, True) for name in gone if name not in self.replica.records)
@@ -53,55 +55,57 @@
         self.list.changed(Listing(tuple(gone), self.fronts))
 
     def states(self):
-        """What the decisions were told last."""
-        return {engine.id.decode(): engine.state for engine in self.told[-1].engines}
+        """Return the engine states of the last notification to the decisions."""
+        return {engine.id.decode(): engine.state for engine in self.notifications[-1].engines}
 
 
 READY, DRAINING = it.EngineState.READY, it.EngineState.DRAINING
 
 
-def test_the_decisions_are_told_the_subset_with_how_many_fronts_share_it():
+def test_the_decisions_get_the_subset_and_the_number_of_fronts_that_share_it():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, draining=True))
     assert front.states() == {"a": READY, "b": DRAINING}
-    assert front.told[-1].fronts == 4 and front.roll.sharing == 4
-    assert front.told[-1].kind is it.ListKind.WHOLE
+    assert front.notifications[-1].fronts == 4 and front.registry.sharing_fronts == 4
+    assert front.notifications[-1].kind is it.ListKind.WHOLE
 
 
-def test_an_engine_that_leaves_the_subset_is_kept_as_draining_while_queries_are_out_there():
+def test_an_engine_that_leaves_the_subset_drains_while_it_runs_queries():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.roll.begin(b"a")
+    front.registry.dispatch_started(b"a")
     front.holds(record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY}
-    assert front.list.retained() == ("a",) and not front.roll.open_to(b"a")
-    assert front.roll.reachable(front.roll.entries[b"a"]) and not front.forgotten
-    # The distributor goes on telling of it, as an engine outside the subset.
+    assert front.list.retained() == ("a",) and not front.registry.accepts_dispatches(b"a")
+    assert front.registry.is_reachable(front.registry.entries[b"a"]) and not front.dropped
+    # The distributor keeps listing it, as an engine outside the subset.
     front.holds(record("a", 1, in_subset=False), record("b", 2))
     assert front.states() == {"a": DRAINING, "b": READY} and front.list.retained() == ("a",)
-    front.roll.end(b"a")
+    front.registry.dispatch_ended(b"a")
     assert front.list.retained() == ()
     front.holds(record("b", 2))
-    assert front.states() == {"b": READY} and front.forgotten == [b"a"]
+    assert front.states() == {"b": READY} and front.dropped == [b"a"]
 
 
-def test_a_retained_engine_that_is_gone_is_not_reached_any_more():
+def test_a_retained_engine_that_is_gone_is_unreachable():
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2))
-    front.roll.begin(b"a")
+    front.registry.dispatch_started(b"a")
     front.holds(record("b", 2))
-    entry = front.roll.entries[b"a"]
+    entry = front.registry.entries[b"a"]
     front.holds(record("b", 2), gone=("a",))
-    assert front.states() == {"b": READY} and not front.roll.reachable(entry)
+    assert front.states() == {"b": READY} and not front.registry.is_reachable(entry)
 
 
-def test_an_address_that_another_engine_has_now_is_not_the_former_ones():
+def test_an_engine_is_unreachable_once_another_engine_has_its_address():
     front = Subscribed()
     front.holds(record("a", 1))
-    front.roll.begin(b"a")
-    entry = front.roll.entries[b"a"]
+    front.registry.dispatch_started(b"a")
+    entry = front.registry.entries[b"a"]
     front.holds(record("new", 1))
-    assert not front.roll.reachable(entry) and front.roll.reachable(front.roll.entries[b"new"])
+    assert not front.registry.is_reachable(entry) and front.registry.is_reachable(
+        front.registry.entries[b"new"]
+    )
 
 
 def test_an_engine_of_an_unknown_zone_is_left_out_and_counted():
@@ -112,7 +116,7 @@
 
 
 class SubscribedStage(Stage):
-    """A whole front on a stage whose operator file names a tier of distributors."""
+    """A stage with a front whose operator file has a tier of distributors."""
 
     def __init__(self, distributors):
         super().__init__()
@@ -128,7 +132,7 @@
         return facts | {"address": f"127.0.0.1:{self.port(name)}"} | fields
 
     async def serve(self):
-        """Start the front with no engine known."""
+        """Start the front without a known engine."""
         self.config = configuration((), settings=self.settings)
         await self.open_directory()
         read = front_config.read(self.config, {})
@@ -140,12 +144,12 @@
         self.hearing = asyncio.create_task(self.hear())
 
     async def holds(self, version):
-        """The front is at this version."""
-        replica = self.server.inquiry.subscription.replica
+        """Wait until the front is at this version."""
+        replica = self.server.discovery.subscription.replica
         await self.distributors.until(lambda: str(replica.version) == version)
 
 
-def play(scenario, engines):
+def run_scenario(scenario, engines):
     """Run a scenario with a whole front and these engines, published by two distributors."""
 
     async def staged():
@@ -165,21 +169,21 @@
     asyncio.run(asyncio.wait_for(staged(), 60))
 
 
-def test_a_front_serves_by_its_subscription_and_never_asks_the_directory():
+def test_a_subscribed_front_never_queries_the_directory():
     async def scenario(stage, distributors):
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert stage.directory.asked == 0
-        shown = stage.server.admin_handlers()["engines.show"]()
-        assert shown["engines"] == 2 and shown["distributor"] and shown["age_s"] < 2
-        assert shown["version"] == str(distributors.running[0].catalog.version)
+        status = stage.server.admin_handlers()["engines.show"]()
+        assert status["engines"] == 2 and status["distributor"] and status["age_s"] < 2
+        assert status["version"] == str(distributors.running[0].catalog.version)
 
-    play(scenario, ("cala", "duna"))
+    run_scenario(scenario, ("cala", "duna"))
 
 
-def test_nothing_new_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
+def test_no_dispatch_goes_to_an_engine_that_was_drained_while_the_front_was_cut_off():
     async def scenario(stage, distributors):
-        discovery = stage.server.inquiry
+        discovery = stage.server.discovery
         # Cut off: the front reaches no distributor.
         discovery.subscription.terms = discovery.subscription.terms._replace(
             distributors=(("127.0.0.1", 9), ("127.0.0.1", 9))
@@ -188,12 +192,12 @@
             await distributor.server.close_all_connections()
         await distributors.publish(upserts=[stage.published("cala", draining=True)])
         await distributors.publish(removals=["cala"])
-        # Its address is another engine's by now.
+        # Another engine gets its address.
         await stage.do_engine("elba")
-        heir = stage.published("elba", address=f"127.0.0.1:{stage.port('cala')}")
-        version = await distributors.publish(upserts=[heir])
+        successor = stage.published("elba", address=f"127.0.0.1:{stage.port('cala')}")
+        version = await distributors.publish(upserts=[successor])
         await asyncio.sleep(2 * HEARTBEAT)
-        # The front goes on by what it has, and says how old that is.
+        # The front continues with the list that it has, and reports its age.
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
         assert discovery.show()["distributor"] is None and discovery.show()["age_s"] >= HEARTBEAT
@@ -201,16 +205,16 @@
             distributors=distributors.addresses
         )
         await stage.holds(version)
-        assert not stage.server.roll.open_to(b"cala")
+        assert not stage.server.registry.accepts_dispatches(b"cala")
         assert discovery.subscription.counts["snapshots"] == 0
 
-    play(scenario, ("cala", "duna"))
+    run_scenario(scenario, ("cala", "duna"))
 
 
-def test_switched_off_nothing_of_it_is_imported():
+def test_no_module_of_the_distribution_is_imported_when_it_is_off():
     program = (
         "import sys, thistlelever.cli.main, thistlelever.lifecycle.run;"
         "print([name for name in sys.modules if 'distribut' in name or 'subset' in name])"
     )
-    said = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert json.loads(said.stdout.replace("'", '"')) == []
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert json.loads(result.stdout.replace("'", '"')) == []
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -17,24 +17,24 @@
 from thistlelever.ground.operator import Distribution, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
-from thistlelever.store.roll import Roll
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.subsetting import FrontPlace, Requirement
 
 
 class SubscribedDiscovery:
     """The engine list from distributors. It has the interface of discovery by DNS
-    (`carrier.directory.Inquiry`), which it replaces."""
+    (`carrier.directory.DirectoryClient`), which it replaces."""
 
     def __init__(
         self,
         config: Config,
         section: Distribution,
-        roll: Roll,
+        registry: EngineRegistry,
         forget: Callable[[it.EngineId], None],
         desk: Desk,
     ) -> None:
         """Nothing is sent before `open`."""
-        self.roll, self.desk, self.first_list_timeout = roll, desk, section.start_within_s
+        self.registry, self.desk, self.first_list_timeout = registry, desk, section.start_within_s
         terms = SubscriptionTerms(
             tuple(parse_address(text) for text in section.distributors),
             section.heartbeat_s,
@@ -49,7 +49,7 @@
             self.on_list_change,
         )
         names = KnownNames(config.zones, config.kinds)
-        self.list = SubscribedList(self.subscription, roll, forget, desk, names)
+        self.list = SubscribedList(self.subscription, registry, forget, desk, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the operator document has changed: the front reloads.
         self.on_new_configuration: Callable[[], None] = lambda: None
@@ -69,7 +69,7 @@
         if self.configuration.has_changed():
             self.on_new_configuration()
 
-    def hold(self, serial: int, entries: list[Entry]) -> None:
+    def adopt_configured(self, serial: int, entries: list[Entry]) -> None:
         """Nothing to do: serials of a reread configuration do not compare with the distributors' versions."""
 
     def overlay(self, operator: Operator) -> Operator:
@@ -83,7 +83,7 @@
             self.desk.log("configuration in force", version=str(self.configuration.in_force_since))
         return overlaid
 
-    def accept_from(self, serial: int) -> None:
+    def resume_from(self, serial: int) -> None:
         """Accept no version older than `serial`, which this front had before its restart."""
         self.subscription.replica.floor = unpacked(serial)
 
@@ -93,11 +93,11 @@
         if self.task:
             return
         self.task = asyncio.get_running_loop().create_task(self.subscription.run())
-        if not self.roll.entries:
+        if not self.registry.entries:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.first_list.wait(), self.first_list_timeout)
 
-    def ask(self, by_order: bool) -> None:
+    def poll(self, requested: bool) -> None:
         """Nothing to do: distributors push each change."""
 
     async def run(self) -> None:
@@ -126,7 +126,7 @@
             "last_error": subscription.last_error,
             "engines": sum(record.in_subset for record in engines_of(replica.records.values())),
             "retained": list(self.list.retained()),
-            "fronts": self.roll.sharing,
+            "fronts": self.registry.sharing_fronts,
             "configuration": self.configuration.show(),
             "counts": dict(sorted(subscription.counts.items())),
         }
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -27,7 +27,7 @@
         buffered_bytes = max(section.held_bytes_all // section.streams, MIN_BUFFERED_BYTES)
         self.engines = FlightEngines(
             config.settings,
-            context.roll,
+            context.registry,
             context.desk,
             context.metrics,
             section.held_bytes,
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier.clients import Reception
 from thistlelever.carrier.course import Courses
 from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.directory import Deaf, Inquiry
+from thistlelever.carrier.directory import DirectoryClient, PeerDatagramSink
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.carrier.intake import Intake
@@ -26,9 +26,9 @@
 from thistlelever.ground.config import Config, load
 from thistlelever.lifecycle.start_times import StartTimes
 from thistlelever.store.batches import Batches
-from thistlelever.store.bounds import bounds
-from thistlelever.store.links import OWN_WANT, Links
-from thistlelever.store.roll import Roll
+from thistlelever.store.connection_limits import connection_limits
+from thistlelever.store.connections import LOCAL_SHORTAGE_ERRNOS, ConnectionPool
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
@@ -79,18 +79,20 @@
         """
         self.config, self.log, self.reread_config = config, log, reread_config
         self.operator, self.reread_operator = operator, reread_operator
-        self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
-        self.roll.replace(config.serial, list(config.known), clock.now())
+        self.metrics, self.batches, self.registry = Metrics(), Batches(), EngineRegistry()
+        self.registry.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
         self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
         flight = operator.flight if operator else None
-        limits = bounds(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
-        self.links = Links(limits.links, config.idle, settings.connect_limit, self.metrics)
-        self.links.listed = self.roll.listed
-        self.links.reachable = self.roll.reachable
-        over_http = HttpEngines(settings, self.roll, self.links, self.desk, self.metrics)
+        limits = connection_limits(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
+        self.connections = ConnectionPool(
+            limits.engine_connections, config.idle, settings.connect_limit, self.metrics
+        )
+        self.connections.is_listed = self.registry.is_listed
+        self.connections.is_reachable = self.registry.is_reachable
+        over_http = HttpEngines(settings, self.registry, self.connections, self.desk, self.metrics)
         self.dispatcher = Dispatcher(
-            settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
+            settings, self.registry, lambda entry: over_http, self.desk, self.metrics, log
         )
         self.flight: FlightComponent | None = None
         self.membership: MembershipComponent | None = None
@@ -99,9 +101,9 @@
         self.pulse = Pulse()
         self.intake = Intake(settings, self.pulse, self.batches)
         self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
-        self.inquiry = self.build_discovery(operator)
+        self.discovery = self.build_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
-        self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
+        self.desk.on_ask_list = lambda: self.discovery.poll(requested=True)
         # Optional components, in the order in which they are opened.
         self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
@@ -111,19 +113,19 @@
             )
         self.admin: AdminServer | None = None
         self.stop, self.reload_requested = asyncio.Event(), asyncio.Event()
-        self.inquiry.on_new_configuration = self.reload_requested.set
+        self.discovery.on_new_configuration = self.reload_requested.set
         self.tasks: list[asyncio.Task] = []
 
-    def build_discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
+    def build_discovery(self, operator: Operator | None) -> DirectoryClient | SubscribedDiscovery:
         """The source of the engine list: DNS, or the distributors that the operator file names."""
         config = self.config
         if operator and operator.distribution:
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
 
             section = operator.distribution
-            return SubscribedDiscovery(config, section, self.roll, self.forget, self.desk)
-        return Inquiry(
-            self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
+            return SubscribedDiscovery(config, section, self.registry, self.forget, self.desk)
+        return DirectoryClient(
+            self.registry, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
         )
 
     def component_context(self) -> FrontContext:
@@ -135,12 +137,12 @@
             self.log,
             self.metrics,
             self.batches,
-            self.roll,
+            self.registry,
             self.desk,
             self.intake,
             self.courses,
             self.dispatcher,
-            self.inquiry,
+            self.discovery,
         )
 
     def build_components(self, operator: Operator) -> list[Component]:
@@ -158,7 +160,7 @@
             self.state = StateComponent(context, operator.state)
             components.append(self.state)
             # Otherwise a restarted front could accept an older list than it had from a lagging distributor.
-            self.inquiry.accept_from(self.state.highest_serial())
+            self.discovery.resume_from(self.state.highest_serial())
         if operator.budgets:
             from thistlelever.lifecycle.budgets import BudgetsComponent
 
@@ -186,7 +188,7 @@
 
     def forget(self, engine: it.EngineId) -> None:
         """Close the connections to an engine that is gone or has restarted."""
-        self.links.forget(engine)
+        self.connections.drop_engine(engine)
         if self.flight:
             self.flight.engines.forget(engine)
 
@@ -202,14 +204,18 @@
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        await self.inquiry.open(self.config.directory)
+        await self.discovery.open(self.config.directory)
         start_times.finish_stage("directory")
         address = self.config.peer_listen
         if address and not self.membership:
             await retry_while_out_of_resources(
-                lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
+                lambda: loop.create_datagram_endpoint(
+                    lambda: PeerDatagramSink(self.metrics), local_addr=address
+                )
             )
-        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
+        self.desk.tell(
+            it.EngineListReceived(it.ListKind.CACHED, self.registry.serial, self.registry.engine_list())
+        )
         sock = await retry_while_out_of_resources(lambda: listening_socket(self.config.listen))
         self.reception.listen(sock)
         start_times.finish_stage("listening")
@@ -223,14 +229,14 @@
             self.admin = AdminServer(self.operator.admin.socket, self.admin_handlers())
             await self.admin.listen()
         self.reception.ready = lambda: not self.stop.is_set()
-        coroutines = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.reload_on_request()
+        coroutines = self.discovery.run(), self.pulse.run(), self.housekeeping(), self.reload_on_request()
         self.tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         self.log(
             "ready",
             listen=sock.getsockname(),
-            engines=len(self.roll.entries),
-            serial=self.roll.serial,
-            links=self.links.most,
+            engines=len(self.registry.entries),
+            serial=self.registry.serial,
+            links=self.connections.limit,
             start=start_times.stages,
             **facts,
         )
@@ -238,7 +244,7 @@
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """The handlers of the admin socket: the counters, and those of discovery and the components."""
         handlers: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
-        for component in (self.inquiry, *self.components):
+        for component in (self.discovery, *self.components):
             handlers |= component.admin_handlers()
         return handlers
 
@@ -268,7 +274,7 @@
             await self.admin.close()
         for task in self.tasks:
             task.cancel()
-        self.inquiry.close()
+        self.discovery.close()
         self.metrics.check_invariant(not self.batches.by_number, "all answered at the end")
         self.log("stopped", counts=self.metrics.counts)
 
@@ -281,15 +287,15 @@
                 continue
             try:
                 new_config = self.reread_config()
-                operator = self.inquiry.overlay(self.reread_operator()) if self.reread_operator else None
+                operator = self.discovery.overlay(self.reread_operator()) if self.reread_operator else None
                 if operator and operator.budgets:
                     from thistlelever.lifecycle.budgets import build_plan
 
                     build_plan(operator.budgets)
                 if new_config.directory != self.config.directory:
-                    await self.inquiry.open(new_config.directory)
+                    await self.discovery.open(new_config.directory)
                 # At once: waiting for the directory's answer would delay a drain that only the file names.
-                self.inquiry.hold(new_config.serial, list(new_config.known))
+                self.discovery.adopt_configured(new_config.serial, list(new_config.known))
             except ConfigError as error:
                 self.log("reload refused", why=str(error))
                 continue
@@ -329,13 +335,13 @@
         logged, next_log_at = None, clock.now() + COUNTS_LOG_INTERVAL_S
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
-            self.links.sweep()
+            self.connections.close_expired()
             self.reception.sweep()
             if clock.now() >= next_log_at and self.metrics.counts != logged:
                 logged = self.metrics.counts.copy()
                 self.log(
                     "counts",
-                    links=self.links.count,
+                    links=self.connections.count,
                     counts=logged,
                     turns=self.desk.turns,
                     deciding=round(self.desk.spent, 3),
@@ -377,7 +383,7 @@
         try:
             return await make()
         except OSError as error:
-            if error.errno not in OWN_WANT:
+            if error.errno not in LOCAL_SHORTAGE_ERRNOS:
                 raise
             await asyncio.sleep(RETRY_INTERVAL_S)
     return await make()
