--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -23,7 +23,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.subsetting import EngineRing, FrontPlace, Subset, SubsetTerms
+from thistlelever.subsetting import EngineRing, FrontIdentity, Subset, SubsetParameters
 
 FRONTS = 3200
 TIMES = 7
@@ -110,11 +110,11 @@
 def subset_of(records: list[EngineRecord], seed: int) -> Subset:
     """What one front holds."""
     zone_fronts = -(-FRONTS // ZONES)
-    ring = EngineRing(SubsetTerms(fronts=FRONTS, zone_fronts=zone_fronts))
+    ring = EngineRing(SubsetParameters(fronts=FRONTS, zone_fronts=zone_fronts))
     for record in records:
         ring.put(record)
     rank = seed % FRONTS
-    return ring.subset(FrontPlace("front", f"zone-{rank % ZONES}", rank, rank // ZONES), (), False)
+    return ring.subset(FrontIdentity("front", f"zone-{rank % ZONES}", rank, rank // ZONES), (), False)
 
 
 @click.command()
--- a/rigs/scale.py
+++ b/rigs/scale.py
@@ -23,7 +23,7 @@
 from rigs.scale_verdict import Content
 from rigs.scale_yard import FULL, SMALL, Programs, Size, Yard
 from rigs.verdict import Chance, close
-from thistlelever.subsetting import FrontPlace
+from thistlelever.subsetting import FrontIdentity
 
 STEADY_S, STEADY_FULL_S, STEADY_SABOTAGED_S = 5.0, 20.0, 2.0
 # How long the front without distribution and what asks the directory in its stead are measured.
@@ -72,7 +72,7 @@
     """Stand-ins for the engines that the real fronts hold first, under their addresses in the list."""
     content = Content(yard.subset)
     content.apply(catalog.records.values(), ())
-    held = {engine for place in yard.real_places for engine in content.subset(FrontPlace(**place))}
+    held = {engine for place in yard.real_places for engine in content.subset(FrontIdentity(**place))}
     for engine, address in (await real.open_engines(sorted(held))).items():
         catalog.records[engine] = catalog.records[engine]._replace(address=address)
 
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -14,7 +14,7 @@
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.batches import Batches
 from thistlelever.store.roll import Roll
-from thistlelever.subsetting import FrontPlace
+from thistlelever.subsetting import FrontIdentity
 
 KINDS = ("std", "large")
 KIND_CORES, KIND_MEMORY_MB = (16, 32), (32768.0, 65536.0)
@@ -82,7 +82,7 @@
     subscription_terms = SubscriptionTerms(
         distributors, terms["heartbeat_s"], terms["patience_s"], place.seed
     )
-    front_place = FrontPlace(place.name, place.zone, place.rank, place.zone_rank)
+    front_place = FrontIdentity(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
     names = KnownNames(parts.config.zones, parts.config.kinds)
     SubscribedList(subscription, parts.roll, lambda engine: None, parts.desk, names)
--- a/rigs/scale_sabotage.py
+++ b/rigs/scale_sabotage.py
@@ -16,7 +16,7 @@
 from thistlelever.distributor.admission import SnapshotAdmission
 from thistlelever.distributor.sessions import Sessions
 from thistlelever.subsetting import index
-from thistlelever.subsetting.ring import CIRCLE
+from thistlelever.subsetting.ring import RING_SIZE
 
 ENVIRONMENT_KEY = "SCALE_SABOTAGE"
 
@@ -42,7 +42,7 @@
 
 def hash_order():
     """Engines are put on the ring by Python's hashes, which differ from one process to the next."""
-    index.engine_positions = lambda engine: (hash(engine) % CIRCLE, hash(engine[::-1]) % CIRCLE)
+    index.engine_positions = lambda engine: (hash(engine) % RING_SIZE, hash(engine[::-1]) % RING_SIZE)
 
 
 def no_jitter():
--- a/rigs/scale_verdict.py
+++ b/rigs/scale_verdict.py
@@ -7,7 +7,7 @@
 from rigs.loop_lag import lag_between
 from thistlelever.distribution.records import digest_of
 from thistlelever.distribution.versions import NO_VERSION, Version, unpacked
-from thistlelever.subsetting import EngineRing, FrontPlace, SubsetTerms
+from thistlelever.subsetting import EngineRing, FrontIdentity, SubsetParameters
 
 # Of many fronts every so many-th has each of its versions checked, the others those that changed what they
 # hold.
@@ -40,7 +40,7 @@
     logs = {}
     for hollow, told in zip(hollows, collected, strict=True):
         for front in hollow.fronts:
-            logs[front["name"]] = Held(FrontPlace(**front), hollow.name, told["lags"])
+            logs[front["name"]] = Held(FrontIdentity(**front), hollow.name, told["lags"])
         columns = (told[key] for key in ("fronts", "lives", "versions", "moments", "digest_numbers"))
         for number, life, version, moment, digest in zip(*columns, strict=True):
             held = logs[hollow.fronts[number]["name"]]
@@ -63,7 +63,7 @@
     """The whole content at one version after the other, and what a front must hold of it."""
 
     def __init__(self, subset):
-        self.ring = EngineRing(SubsetTerms(**subset))
+        self.ring = EngineRing(SubsetParameters(**subset))
         self.records = {}
 
     def apply(self, upserts, removals):
--- a/rigs/subsetting_model.py
+++ b/rigs/subsetting_model.py
@@ -19,7 +19,7 @@
 from rigs.subsetting_ways import ENGINES, WAYS, ZONES, Chosen, FirstEngines, Way
 from rigs.verdict import Chance, close
 from thistlelever.distribution.records import EngineRecord
-from thistlelever.subsetting import FrontPlace
+from thistlelever.subsetting import FrontIdentity
 
 Held = list[frozenset[str]]
 # How many engines go and come back, one after the other.
@@ -51,9 +51,11 @@
     ]
 
 
-def front_places(count: int) -> list[FrontPlace]:
+def front_places(count: int) -> list[FrontIdentity]:
     """Fronts in turn over all zones."""
-    return [FrontPlace(f"front-{rank}", f"zone-{rank % ZONES}", rank, rank // ZONES) for rank in range(count)]
+    return [
+        FrontIdentity(f"front-{rank}", f"zone-{rank % ZONES}", rank, rank // ZONES) for rank in range(count)
+    ]
 
 
 def cpu_of(work: Callable[[], object]) -> float:
@@ -63,7 +65,7 @@
     return process_time() - begun
 
 
-def held_by(way: Way, fronts: Sequence[FrontPlace]) -> Held:
+def held_by(way: Way, fronts: Sequence[FrontIdentity]) -> Held:
     """What each front holds."""
     return [frozenset(way.subset(front)) for front in fronts]
 
@@ -104,7 +106,9 @@
     return way
 
 
-def costs(make: Callable[[int], Way], engines: Sequence[EngineRecord], fronts: Sequence[FrontPlace]) -> dict:
+def costs(
+    make: Callable[[int], Way], engines: Sequence[EngineRecord], fronts: Sequence[FrontIdentity]
+) -> dict:
     """CPU of one change and of one subset, and the memory of the whole."""
     tracemalloc.start()
     way = filled(make, len(fronts), engines)
@@ -161,7 +165,7 @@
     return found
 
 
-def bounds(way: Chosen, held: Held, places: Sequence[FrontPlace]) -> dict:
+def bounds(way: Chosen, held: Held, places: Sequence[FrontIdentity]) -> dict:
     """How the bounds that came with the subsets compare with the true counts."""
     counts = Counter(engine_id for subset in held for engine_id in subset)
     true = [max(counts[engine_id] for engine_id in subset) for subset in held]
--- a/rigs/subsetting_ways.py
+++ b/rigs/subsetting_ways.py
@@ -11,11 +11,11 @@
 from typing import Protocol
 
 from thistlelever.distribution.records import EngineRecord
-from thistlelever.subsetting import EngineRing, FrontPlace, SubsetTerms
-from thistlelever.subsetting.ring import CIRCLE, FrontPositions, Ring, engine_positions
-from thistlelever.subsetting.subsets import GOLDEN_STEP, SILVER_STEP
+from thistlelever.subsetting import EngineRing, FrontIdentity, SubsetParameters
+from thistlelever.subsetting.ring import RING_SIZE, FrontPositions, Ring, engine_positions
+from thistlelever.subsetting.subsets import GLOBAL_STEP, ZONE_STEP
 
-ENGINES = SubsetTerms().engines
+ENGINES = SubsetParameters().engines
 
 
 class Way(Protocol):
@@ -25,7 +25,7 @@
 
     def discard(self, engine_id: str) -> None: ...
 
-    def subset(self, front: FrontPlace) -> Sequence[str]: ...
+    def subset(self, front: FrontIdentity) -> Sequence[str]: ...
 
 
 class SortedIds:
@@ -44,14 +44,14 @@
 class FirstEngines(SortedIds):
     """Sabotage: every front holds the same first engines."""
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         return self.ids[:ENGINES]
 
 
 class RandomSubsets(SortedIds):
     """Each front draws by itself, from a seed of its name."""
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         if len(self.ids) <= ENGINES:
             return self.ids
         return random.Random(front.name).sample(self.ids, ENGINES)
@@ -73,7 +73,7 @@
         super().discard(engine_id)
         self.hashes = None
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         # NumPy comes with the `plot` extra.
         import numpy
 
@@ -107,7 +107,7 @@
         super().discard(engine_id)
         self.rounds.clear()
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         subsets = len(self.ids) // ENGINES
         if subsets <= 1:
             return self.ids[:ENGINES]
@@ -123,7 +123,7 @@
 
     def __init__(self, fronts: int) -> None:
         self.ring = Ring()
-        self.fronts = FrontPositions(GOLDEN_STEP, 0)
+        self.fronts = FrontPositions(GLOBAL_STEP, 0)
 
     def put(self, record: EngineRecord) -> None:
         self.ring.add(engine_positions(record.id)[0], record.id)
@@ -134,7 +134,7 @@
     def first_place(self, start: int) -> int:
         return bisect_left(self.ring.positions, start)
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         return following(self.ring, self.first_place(self.fronts.position(front.rank)), ENGINES)
 
 
@@ -142,7 +142,7 @@
     """One arc of a fixed number of engines, on a ring in which they lie at even distances."""
 
     def first_place(self, start: int) -> int:
-        return start * len(self.ring) // CIRCLE
+        return start * len(self.ring) // RING_SIZE
 
 
 class TwoArcsByCount(HashRing):
@@ -150,7 +150,7 @@
 
     def __init__(self, fronts: int) -> None:
         super().__init__(fronts)
-        self.home_fronts = FrontPositions(SILVER_STEP, 0)
+        self.home_fronts = FrontPositions(ZONE_STEP, 0)
         self.zones: dict[str, Ring] = {}
         self.zone_of: dict[str, str] = {}
 
@@ -163,7 +163,7 @@
         super().discard(engine_id)
         self.zones[self.zone_of.pop(engine_id)].remove(engine_positions(engine_id)[0], engine_id)
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         home = self.zones.get(front.zone, Ring())
         start = bisect_left(home.positions, self.home_fronts.position(front.zone_rank))
         held = dict.fromkeys(following(home, start, ENGINES // 2))
@@ -180,15 +180,15 @@
 
     def __init__(self, fronts: int) -> None:
         zone_fronts = -(-fronts // ZONES)
-        self.ring = EngineRing(SubsetTerms(fronts=fronts, zone_fronts=zone_fronts))
+        self.ring = EngineRing(SubsetParameters(fronts=fronts, zone_fronts=zone_fronts))
         self.put, self.discard = self.ring.put, self.ring.discard
 
-    def subset(self, front: FrontPlace) -> Sequence[str]:
+    def subset(self, front: FrontIdentity) -> Sequence[str]:
         return self.ring.ids(front, (), False)
 
-    def bound(self, front: FrontPlace) -> int:
+    def bound(self, front: FrontIdentity) -> int:
         """The most fronts that hold any engine of that front's, as its subset tells."""
-        return self.ring.most_fronts(front, self.ring.ids(front, (), False), (), False)
+        return self.ring.max_fronts(front, self.ring.ids(front, (), False), (), False)
 
 
 def following(ring: Ring, place: int, count: int) -> list[str]:
--- a/tests/distributor_stage.py
+++ b/tests/distributor_stage.py
@@ -11,7 +11,7 @@
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
 from thistlelever.distributor import config as configuration
 from thistlelever.distributor.service import Distributor
-from thistlelever.subsetting import FrontPlace
+from thistlelever.subsetting import FrontIdentity
 
 HEARTBEAT = 0.3
 PATIENCE = 0.3
@@ -83,7 +83,7 @@
     def subscribe(self, name="front-0", rank=0, zone="zone-0", distributors=None, listener=None):
         """A front's subscription, running."""
         terms = SubscriptionTerms(distributors or self.addresses, HEARTBEAT, PATIENCE, seed=3)
-        place = FrontPlace(name, zone, rank)
+        place = FrontIdentity(name, zone, rank)
         subscription = Subscription(terms, place, (), False, listener or (lambda listing: None))
         task = asyncio.get_running_loop().create_task(subscription.run())
         self.subscriptions.append((subscription, task))
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -30,8 +30,8 @@
     return record._replace(**changes)
 
 
-def publisher_of(count, term=TERM, most_changes=100):
-    publisher = Publisher(Replica(), History(most_changes), term)
+def publisher_of(count, term=TERM, max_changes=100):
+    publisher = Publisher(Replica(), History(max_changes), term)
     publisher.replace_all([engine(number) for number in range(count)], None)
     return publisher
 
@@ -237,7 +237,7 @@
 
 
 def test_a_receiver_behind_by_more_than_is_kept_needs_a_snapshot():
-    publisher = publisher_of(5, most_changes=3)
+    publisher = publisher_of(5, max_changes=3)
     follower = follower_of(publisher)
     for number in range(4):
         drained(publisher, number)
@@ -284,7 +284,7 @@
 
 
 def test_a_history_gives_the_delta_from_every_version_that_it_keeps():
-    publisher = publisher_of(8, most_changes=6)
+    publisher = publisher_of(8, max_changes=6)
     followers = [follower_of(publisher)]
     for step in range(12):
         publisher.publish([engine(step % 8, weight=1.5 + step)], [f"engine-{(step + 3) % 8}"], None)
@@ -298,14 +298,14 @@
 
 
 def test_a_history_bounds_its_changes_and_their_records():
-    replica, history = Replica(), History(most_changes=10, most_records=20)
+    replica, history = Replica(), History(max_changes=10, max_records=20)
     publisher = Publisher(replica, history, TERM)
     for step in range(30):
         publisher.publish([engine(number, weight=1.0 + step) for number in range(7)], [], None)
-        assert len(history) <= 10 and history.records_kept <= 20
+        assert len(history) <= 10 and history.record_count <= 20
     assert len(history) == 2
     publisher.publish([engine(number, weight=99.0) for number in range(21)], [], None)
-    assert (len(history), history.records_kept) == (0, 0)
+    assert (len(history), history.record_count) == (0, 0)
     assert history.since(replica.version, replica.digest).upserts == ()
     drained(publisher, 1)
     assert len(history) == 1
--- a/tests/test_distribution_claims.py
+++ b/tests/test_distribution_claims.py
@@ -17,45 +17,45 @@
     """A claim to its end; the publisher, or None if there is no majority."""
     claim = Claim(index, len(replicas))
     for other in asked:
-        claim.heard(other, replicas[other].highest())
+        claim.record_highest(other, replicas[other].highest())
     term = claim.term()
     for other in asked:
         if term is not None and promise(replicas[other], term):
-            claim.promised(other, replicas[other].version)
-    if claim.source() is None:
+            claim.record_promise(other, replicas[other].version)
+    if claim.newest_holder() is None:
         return None
-    catch_up(replicas[index], replicas[claim.source()].snapshot())
+    catch_up(replicas[index], replicas[claim.newest_holder()].snapshot())
     return Publisher(replicas[index], History(100), term)
 
 
 def test_a_claim_waits_for_a_majority():
     assert [majority(count) for count in (1, 2, 3, 4, 24)] == [1, 2, 2, 3, 13]
     claim = Claim(2, 5)
-    claim.heard(2, Version(64, 3))
-    claim.heard(2, Version(64, 3))
-    claim.heard(4, Version(131, 1))
+    claim.record_highest(2, Version(64, 3))
+    claim.record_highest(2, Version(64, 3))
+    claim.record_highest(4, Version(131, 1))
     assert claim.term() is None
-    claim.heard(0, NO_VERSION)
+    claim.record_highest(0, NO_VERSION)
     assert claim.term() == 3 * 64 + 2
-    claim.heard(3, Version(192, 1))
+    claim.record_highest(3, Version(192, 1))
     assert claim.term() == 4 * 64 + 2
 
 
 def test_the_first_promise_fixes_the_term():
     claim = Claim(0, 3)
     with pytest.raises(ValueError, match="before there is a term"):
-        claim.promised(0, NO_VERSION)
-    claim.heard(0, NO_VERSION)
-    claim.heard(1, NO_VERSION)
-    claim.promised(0, NO_VERSION)
+        claim.record_promise(0, NO_VERSION)
+    claim.record_highest(0, NO_VERSION)
+    claim.record_highest(1, NO_VERSION)
+    claim.record_promise(0, NO_VERSION)
     assert (claim.term(), claim.superseded()) == (64, False)
-    claim.learned(Version(130, 0))
+    claim.observe(Version(130, 0))
     assert (claim.term(), claim.superseded()) == (64, True)
     successor = Claim(0, 3)
-    successor.learned(claim.highest())
-    successor.heard(0, Version(64, 0))
+    successor.observe(claim.highest())
+    successor.record_highest(0, Version(64, 0))
     assert successor.term() is None
-    successor.heard(1, NO_VERSION)
+    successor.record_highest(1, NO_VERSION)
     assert successor.term() == 192
 
 
@@ -65,26 +65,26 @@
         for index in range(24):
             claim = Claim(index, 24)
             for other in range(13):
-                claim.heard(other, Version(round_ * 64 + other, 7))
+                claim.record_highest(other, Version(round_ * 64 + other, 7))
             terms.add(claim.term())
     assert len(terms) == 5 * 24
 
 
 def test_a_claim_of_one_that_may_have_forgotten_does_not_count_its_own_answer():
     claim = Claim(0, 3, remembers=False)
-    claim.heard(0, NO_VERSION)
-    claim.heard(1, NO_VERSION)
+    claim.record_highest(0, NO_VERSION)
+    claim.record_highest(1, NO_VERSION)
     assert claim.term() is None
-    claim.heard(2, Version(64, 5))
+    claim.record_highest(2, Version(64, 5))
     assert claim.term() == 128
     of_many = Claim(0, 24, remembers=False)
     for other in range(12):
-        of_many.heard(other, NO_VERSION)
+        of_many.record_highest(other, NO_VERSION)
     assert of_many.term() is None
-    of_many.heard(12, NO_VERSION)
+    of_many.record_highest(12, NO_VERSION)
     assert of_many.term() == 64
     alone = Claim(0, 1, remembers=False)
-    alone.heard(0, Version(64, 2))
+    alone.record_highest(0, Version(64, 2))
     assert alone.term() == 128
 
 
@@ -159,7 +159,7 @@
     replicas[0].receive(backup)
     claim = Claim(0, 3, remembers=False)
     for other in (1, 2):
-        claim.heard(other, replicas[other].highest())
+        claim.record_highest(other, replicas[other].highest())
     assert claim.term() > publisher.term
     with pytest.raises(ValueError, match="a term above"):
         Publisher(replicas[1], History(10), publisher.term)
@@ -173,7 +173,7 @@
     for remembers in (True, False):
         claim = Claim(0, 3, remembers=remembers)
         for other in (0, 2):
-            claim.heard(other, replicas[other].highest())
+            claim.record_highest(other, replicas[other].highest())
         terms[remembers] = claim.term()
     assert terms == {True: publisher.term, False: None}
 
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -288,15 +288,15 @@
 
 
 def with_one_promise(claim):
-    return claim._index if claim._promised else None
+    return claim._index if claim._promises else None
 
 
 @pytest.mark.parametrize(
     "target, name, faulty",
     [
         (Claim, "_next_term", without_own_term),
-        (Claim, "_enough_answers", lambda claim: bool(claim._answered)),
-        (Claim, "source", with_one_promise),
+        (Claim, "_has_quorum", lambda claim: bool(claim._responders)),
+        (Claim, "newest_holder", with_one_promise),
         (world_module, "promise", lambda replica, term: True),
     ],
     ids=["terms are shared", "no majority is heard", "no majority promises", "promises are not kept"],
--- a/tests/test_distribution_publishing.py
+++ b/tests/test_distribution_publishing.py
@@ -11,7 +11,7 @@
 from thistlelever.distribution.publisher import PublishRefusedError, UnexpectedVersionError, validate
 from thistlelever.distribution.records import EngineRecord
 from thistlelever.distribution.replica import Outcome
-from thistlelever.distribution.validation import MOST_RECORDS, MOST_RECORDS_PER_CHANGE
+from thistlelever.distribution.validation import MAX_RECORDS, MAX_RECORDS_PER_CHANGE
 
 
 def refused(publisher, call, error=PublishRefusedError):
@@ -80,14 +80,14 @@
 
 def test_a_publish_that_is_too_large_is_refused():
     publisher = publisher_of(5)
-    many = [engine(number) for number in range(MOST_RECORDS_PER_CHANGE + 1)]
+    many = [engine(number) for number in range(MAX_RECORDS_PER_CHANGE + 1)]
     assert "found 4097" in refused(publisher, lambda: publisher.publish(many, [], None))
-    too_many = [engine(number) for number in range(MOST_RECORDS + 1)]
+    too_many = [engine(number) for number in range(MAX_RECORDS + 1)]
     assert "found 65537" in refused(publisher, lambda: publisher.replace_all(too_many, None))
 
 
 def test_a_publish_that_makes_the_content_too_large_is_refused(monkeypatch):
-    monkeypatch.setattr(publisher_module, "MOST_RECORDS", 50)
+    monkeypatch.setattr(publisher_module, "MAX_RECORDS", 50)
     publisher = publisher_of(50)
     more = engine(50)
     assert "found 51" in refused(publisher, lambda: publisher.publish([more], [], None))
--- a/tests/test_distribution_views.py
+++ b/tests/test_distribution_views.py
@@ -6,7 +6,7 @@
 from thistlelever.distribution.messages import Delta, Removal
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
-from thistlelever.distribution.views import FrontView, ToldViews, difference, shortest, snapshot
+from thistlelever.distribution.views import FrontView, SentViews, difference, smallest_update, snapshot
 
 
 def front_at(version, records):
@@ -57,38 +57,38 @@
 
 
 def test_a_lost_answer_costs_no_snapshot():
-    views = ToldViews()
+    views = SentViews()
     front = Replica(strict=False)
     assert views.acknowledged(front.version, front.digest) is None
     first = snapshot(Version(TERM, 1), [engine(1)])
-    views.told(first)
+    views.sent(first)
     front.receive(first)
     for number in (2, 3):
         view = views.acknowledged(front.version, front.digest)
         answer = difference(view, Version(TERM, number), [engine(number)], lambda _: True)
-        views.told(answer)
+        views.sent(answer)
     assert front.receive(answer) is Outcome.APPLIED
     assert views.acknowledged(front.version, front.digest).records == front.records
     assert views.acknowledged(Version(TERM, 1), first.digest) is None
 
 
 def test_a_delta_from_another_view_is_not_remembered():
-    views = ToldViews()
-    views.told(snapshot(Version(TERM, 1), [engine(1)]))
+    views = SentViews()
+    views.sent(snapshot(Version(TERM, 1), [engine(1)]))
     delta = Delta(Version(TERM, 1), 5, Version(TERM, 2), 5, (), ())
     with pytest.raises(ValueError, match="a delta from"):
-        views.told(delta)
+        views.sent(delta)
 
 
 def test_a_front_that_holds_the_same_records_is_told_the_version_only():
     front, _ = front_at(Version(TERM, 1), [engine(1)])
     full = snapshot(Version(TERM, 4), [engine(1)])
-    update = shortest(full, front.version, front.digest)
+    update = smallest_update(full, front.version, front.digest)
     assert isinstance(update, Delta) and not update.upserts
     assert front.receive(update) is Outcome.APPLIED
     assert front.version == Version(TERM, 4)
     other = snapshot(Version(TERM, 5), [engine(2)])
-    assert shortest(other, front.version, front.digest) is other
+    assert smallest_update(other, front.version, front.digest) is other
 
 
 def test_views_share_what_they_hold_and_never_change_it():
--- a/tests/test_distribution_world.py
+++ b/tests/test_distribution_world.py
@@ -14,11 +14,11 @@
 from thistlelever.distribution.records import EngineRecord, digest_of
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import NO_VERSION, Version
-from thistlelever.distribution.views import ToldViews, difference, shortest, snapshot
+from thistlelever.distribution.views import SentViews, difference, smallest_update, snapshot
 
 DISTRIBUTORS = 3
 FRONTS = 2
-MOST_CHANGES = 3
+MAX_CHANGES = 3
 
 
 class Flight(NamedTuple):
@@ -50,8 +50,8 @@
         self.replica = self.replica_class(strict=True)
         self.replica.receive(backup.content)
         self.replica.floor = backup.floor
-        self.history = History(MOST_CHANGES)
-        self.views: dict[str, ToldViews] = {}
+        self.history = History(MAX_CHANGES)
+        self.views: dict[str, SentViews] = {}
         self.publisher: Publisher | None = None
         self.claim: Claim | None = None
         self.remembers = remembers
@@ -134,14 +134,14 @@
         claimant = self.distributors[index]
         learned = claimant.learned()
         claimant.claim = Claim(index, DISTRIBUTORS, remembers=claimant.remembers)
-        claimant.claim.learned(learned)
-        claimant.claim.heard(index, claimant.replica.highest())
+        claimant.claim.observe(learned)
+        claimant.claim.record_highest(index, claimant.replica.highest())
 
     def ask_for_highest(self, index: int, other: int) -> None:
         claimant, asked = self.distributors[index], self.distributors[other]
         if claimant.claim is None or not asked.remembers or other == index:
             return
-        claimant.claim.heard(other, asked.replica.highest())
+        claimant.claim.record_highest(other, asked.replica.highest())
         if claimant.claim.term() is not None and not claimant.remembers:
             promise(claimant.replica, claimant.claim.highest().term)
             claimant.remembers = True
@@ -154,19 +154,19 @@
             return
         for giver in (claimant, asked):
             if not promise(giver.replica, claim.term()):
-                claim.learned(giver.replica.highest())
+                claim.observe(giver.replica.highest())
                 return
-            claim.promised(giver.index, giver.replica.version)
-        if claim.source() is not None:
+            claim.record_promise(giver.index, giver.replica.version)
+        if claim.newest_holder() is not None:
             self._begin(claimant, claim)
 
     def _begin(self, claimant: Distributor, claim: Claim) -> None:
         claimant.claim = None
-        outcome = catch_up(claimant.replica, self.distributors[claim.source()].replica.snapshot())
+        outcome = catch_up(claimant.replica, self.distributors[claim.newest_holder()].replica.snapshot())
         assert outcome in (Outcome.APPLIED, Outcome.UNCHANGED)
         if claimant.replica.highest() > Version(claim.term(), 0):
             return
-        claimant.history = History(MOST_CHANGES)
+        claimant.history = History(MAX_CHANGES)
         claimant.publisher = Publisher(claimant.replica, claimant.history, claim.term())
         self._spread(claimant, claimant.publisher.begin())
 
@@ -181,18 +181,18 @@
         """A front asks a distributor, which answers by what it remembers of the front."""
         front, distributor = self.fronts[number], self.distributors[index]
         held, records = front.replica, distributor.replica.records
-        views = distributor.views.setdefault(front.name, ToldViews())
+        views = distributor.views.setdefault(front.name, SentViews())
         view = views.acknowledged(held.version, held.digest)
         wanted = wanted_records(front, records)
         if view is None:
             full = snapshot(distributor.replica.version, wanted)
-            views.told(full)
-            answer = shortest(full, held.version, held.digest)
+            views.sent(full)
+            answer = smallest_update(full, held.version, held.digest)
         else:
             exists = records.__contains__
             retained = sorted(front.retained)
             answer = difference(view, distributor.replica.version, wanted, exists, retained)
-            views.told(answer)
+            views.sent(answer)
         self.under_way.append(Flight(index, front, answer))
 
     def deliver(self, position: int) -> None:
--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -435,4 +435,4 @@
     assert not any(e.is_due(0.0, 1e9, NO_VERSION) for e in elections)
     elections[2].failed(10.0)
     assert not elections[2].is_due(10.9, 9.0, highest) and elections[2].is_due(12.1, 9.0, highest)
-    assert elections[0].heard_by_another([9.0, 4.9]) and not elections[0].heard_by_another([9.0, 5.1])
+    assert elections[0].is_publisher_alive([9.0, 4.9]) and not elections[0].is_publisher_alive([9.0, 5.1])
--- a/tests/test_lost_updates.py
+++ b/tests/test_lost_updates.py
@@ -16,7 +16,7 @@
 
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
 from thistlelever.distribution.versions import NO_VERSION, Version
-from thistlelever.subsetting import FrontPlace
+from thistlelever.subsetting import FrontIdentity
 
 # The product's defaults, in seconds, and the operators' bound on a change.
 HEARTBEAT, PATIENCE, IN_FORCE_WITHIN = 2.0, 1.0, 9.0
@@ -37,7 +37,7 @@
 )
 def test_after_a_failure_a_silence_is_known_for_one_sooner(version, failures, wait, within):
     terms = SubscriptionTerms((("127.0.0.1", 9),), HEARTBEAT, PATIENCE)
-    subscription = Subscription(terms, FrontPlace("front-0", "zone-0", 0), (), False, lambda told: None)
+    subscription = Subscription(terms, FrontIdentity("front-0", "zone-0", 0), (), False, lambda told: None)
     subscription.replica.version, subscription.failover.failures = version, failures
     assert subscription.watch_times() == (wait, within)
 
@@ -89,7 +89,7 @@
             async with relays as addresses:
                 terms = SubscriptionTerms(addresses, HEARTBEAT, PATIENCE, seed=3)
                 subscription = Subscription(
-                    terms, FrontPlace("front-0", "zone-0", 0), (), True, lambda told: None
+                    terms, FrontIdentity("front-0", "zone-0", 0), (), True, lambda told: None
                 )
                 running = asyncio.create_task(subscription.run())
                 await stage.until(lambda: subscription.replica.records)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from thistlelever.distribution.records import EngineRecord
-from thistlelever.subsetting import EngineRing, FrontPlace, Requirement, Subset, SubsetTerms
+from thistlelever.subsetting import EngineRing, FrontIdentity, Requirement, Subset, SubsetParameters
 
 FRONTS = 600
 
@@ -37,15 +37,15 @@
 
 
 def ring_of(records: list[EngineRecord], **terms) -> EngineRing:
-    ring = EngineRing(SubsetTerms(**{"fronts": FRONTS, **terms}))
+    ring = EngineRing(SubsetParameters(**{"fronts": FRONTS, **terms}))
     for engine in records:
         ring.put(engine)
     return ring
 
 
-def places(fronts: int = FRONTS, zones: int = 6) -> list[FrontPlace]:
+def places(fronts: int = FRONTS, zones: int = 6) -> list[FrontIdentity]:
     return [
-        FrontPlace(f"front-{rank}", f"zone-{rank % zones}", rank, rank // zones) for rank in range(fronts)
+        FrontIdentity(f"front-{rank}", f"zone-{rank % zones}", rank, rank // zones) for rank in range(fronts)
     ]
 
 
@@ -96,7 +96,8 @@
 import hashlib, test_subsetting as t
 needs = (t.Requirement(frozenset({"zone-1", "zone-2"}), frozenset({"kind-1", "kind-2"})),)
 ring = t.ring_of(sorted(set(t.fleet(1500)), key=hash))
-held = t.subsets(ring, needs, True, 150) + [ring.subset(t.FrontPlace("unranked", "zone-1", -1), needs, False)]
+unranked = ring.subset(t.FrontIdentity("unranked", "zone-1", -1), needs, False)
+held = t.subsets(ring, needs, True, 150) + [unranked]
 print(hashlib.sha256(repr(held).encode()).hexdigest())
 """
 
@@ -265,14 +266,14 @@
 
 def test_a_front_of_unknown_rank_has_a_place_by_its_name_and_counts_every_front():
     ring = ring_of(fleet(3000))
-    one, other = (ring.subset(FrontPlace(name, "zone-1", -1), (), False) for name in ("a", "b"))
-    assert one == ring.subset(FrontPlace("a", "zone-1", -1), (), False)
+    one, other = (ring.subset(FrontIdentity(name, "zone-1", -1), (), False) for name in ("a", "b"))
+    assert one == ring.subset(FrontIdentity("a", "zone-1", -1), (), False)
     assert one.ids != other.ids
     assert one.fronts == FRONTS
 
 
 def test_a_rank_in_the_zone_counts_only_where_every_front_has_one():
-    front = FrontPlace("a", "zone-1", 7, 1)
+    front = FrontIdentity("a", "zone-1", 7, 1)
     unranked, ranked = ring_of(fleet(3000)), ring_of(fleet(3000), zone_fronts=FRONTS // 6)
     without = front._replace(zone_rank=-1)
     assert unranked.subset(front, (), False) == unranked.subset(without, (), False)
--- a/thistlelever/carrier/subscription.py
+++ b/thistlelever/carrier/subscription.py
@@ -16,13 +16,13 @@
     DistributorError,
 )
 from thistlelever.distribution import codec
-from thistlelever.distribution.failover import Failover, doubled
+from thistlelever.distribution.failover import Failover, exponential_delay
 from thistlelever.distribution.messages import Delta
 from thistlelever.distribution.reconnect import short_digest
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import NO_VERSION
 from thistlelever.ground import clock
-from thistlelever.subsetting import FrontPlace, Requirement
+from thistlelever.subsetting import FrontIdentity, Requirement
 
 WATCH_PATH = "/v1/watch"
 # So many updates in a row that can't be applied, and another distributor is asked.
@@ -60,7 +60,7 @@
     def __init__(
         self,
         terms: SubscriptionTerms,
-        place: FrontPlace,
+        place: FrontIdentity,
         requirements: tuple[Requirement, ...],
         whole_cells: bool,
         listener: Callable[[Listing], None],
@@ -101,7 +101,7 @@
             self.counts["connections"] += 1
             self.log("distributor connected", at="{}:{}".format(*address), version=str(self.replica.version))
             await self.watch(self.connection)
-            self.failover.start_over()
+            self.failover.reset_to_preferred()
             return 0.0
         except DistributorBusyError as error:
             self.counts["busy"] += 1
@@ -136,7 +136,7 @@
 
     async def watch(self, connection: DistributorConnection) -> None:
         """Watch by one connection until it is old; `DistributorError` as soon as it is of no use."""
-        till = clock.now() + CONNECTION_AGE * (0.5 + 0.5 * self.failover.chance())
+        till = clock.now() + CONNECTION_AGE * (0.5 + 0.5 * self.failover.next_uniform())
         everything, faults = True, 0
         while clock.now() < till:
             wait, within = self.watch_times()
@@ -163,7 +163,7 @@
         failures, longest = self.failover.failures, self.terms.heartbeat + self.terms.patience
         if not failures or self.replica.version == NO_VERSION:
             return self.terms.heartbeat, longest
-        return 0.0, doubled(self.terms.patience, failures, longest)
+        return 0.0, exponential_delay(self.terms.patience, failures, longest)
 
     def request(self, wait: float, everything: bool) -> codec.WatchRequest:
         """The next watch, held back for `wait` seconds at most; with `everything` it tells what is held."""
@@ -186,7 +186,7 @@
         """Apply a reply; the listener hears of it where records have changed."""
         outcome = Outcome.UNCHANGED
         if reply.update is not None:
-            update = codec.update_from(reply.update)
+            update = codec.update_from_body(reply.update)
             outcome = self.replica.receive(update)
             self.counts[outcome.name.lower()] += 1
             self.counts["deltas" if isinstance(update, Delta) else "snapshots"] += 1
--- a/thistlelever/distribution/claim.py
+++ b/thistlelever/distribution/claim.py
@@ -1,21 +1,21 @@
 """How a distributor becomes the publisher.
 
 A claimant asks the distributors twice. First for the highest version that each has held or promised
-(`Claim.heard`): a majority of answers, its own included, gives the term. Then for a promise of that term
-(`promise`, `Claim.promised`): who gives it accepts nothing of an earlier term any more, and says which
+(`Claim.record_highest`): a majority of answers, its own included, gives the term. Then for a promise of that term
+(`promise`, `Claim.record_promise`): who gives it accepts nothing of an earlier term any more, and says which
 version it holds. The claimant promises first. With a majority of promises it brings its replica to what
-`Claim.source` holds (`catch_up`) and starts a `Publisher` of the term. A distributor stores its promise (the
+`Claim.newest_holder` holds (`catch_up`) and starts a `Publisher` of the term. A distributor stores its promise (the
 replica's floor) before it answers.
 
 Two claims at once: their terms differ, because each index has its own terms. Both may become publishers for
 a while. A distributor that has promised the higher term refuses what comes of the lower one, and shows the
 higher term with the refusal, whereupon the lower publisher steps down (`Publisher.observe`). A change that a
-majority holds under the lower term is found by `source` of the higher one; a change that fewer hold may be
+majority holds under the lower term is found by `newest_holder` of the higher one; a change that fewer hold may be
 lost, and is replaced everywhere by what the higher term publishes. Never do two contents share a version.
 
 A claim that was promised but went no further leaves those that promised with what they hold until the next
 claim: they refuse the present publisher, which learns of it from the first refusal, steps down, and may claim
-anew (`Claim.learned` tells the new claim what the refusal showed). Every distributor therefore shows
+anew (`Claim.observe` tells the new claim what the refusal showed). Every distributor therefore shows
 `Replica.highest` whenever it asks the publisher for something.
 
 A publisher that restarts, also one restored from a backup, claims anew at every start and never goes on with
@@ -77,67 +77,67 @@
         self._index = index
         self._distributors = distributors
         self._remembers = remembers
-        self._answered: set[int] = set()
-        self._promised: dict[int, Version] = {}
-        self._known = NO_VERSION
+        self._responders: set[int] = set()
+        self._promises: dict[int, Version] = {}
+        self._highest = NO_VERSION
         self._fixed_term: int | None = None
 
-    def heard(self, index: int, highest: Version) -> None:
+    def record_highest(self, index: int, highest: Version) -> None:
         """The distributor `index`, which may be the claimant, has seen no version above `highest`
         (`Replica.highest`)."""
         _check_index(index, self._distributors)
-        self._answered.add(index)
-        self.learned(highest)
+        self._responders.add(index)
+        self.observe(highest)
 
-    def learned(self, version: Version) -> None:
+    def observe(self, version: Version) -> None:
         """Somebody has seen this version, but answers no question by it: it was shown with a refusal, or to a
         former claim or publisher of the claimant."""
-        self._known = max(self._known, version)
+        self._highest = max(self._highest, version)
 
     def term(self) -> int | None:
         """The term that is claimed; None until a majority has answered. The first promise fixes it, which is
         that of the claimant itself, before it asks others."""
         if self._fixed_term is not None:
             return self._fixed_term
-        return self._next_term() if self._enough_answers() else None
+        return self._next_term() if self._has_quorum() else None
 
     def superseded(self) -> bool:
         """Whether something above the fixed term was seen: this claim is best given up for a new one, since
         whoever has seen that refuses what is published in this term."""
-        return self._fixed_term is not None and self._known > Version(self._fixed_term, 0)
+        return self._fixed_term is not None and self._highest > Version(self._fixed_term, 0)
 
     def highest(self) -> Version:
         """The highest version that was heard of."""
-        return self._known
+        return self._highest
 
-    def promised(self, index: int, held: Version) -> None:
+    def record_promise(self, index: int, held: Version) -> None:
         """The distributor `index` has promised the term and holds this version."""
         _check_index(index, self._distributors)
         self._fixed_term = self.term()
         if self._fixed_term is None:
             raise ValueError("a promise before there is a term")
-        self._promised[index] = held
+        self._promises[index] = held
 
-    def source(self) -> int | None:
+    def newest_holder(self) -> int | None:
         """Whose content the new publisher starts from; None until a majority has promised the term.
 
         It is the newest content that a promise told of, the claimant's own where several have that."""
-        if len(self._promised) < majority(self._distributors):
+        if len(self._promises) < majority(self._distributors):
             return None
-        newest = max(self._promised.values())
-        holders = [index for index, held in self._promised.items() if held == newest]
+        newest = max(self._promises.values())
+        holders = [index for index, held in self._promises.items() if held == newest]
         return self._index if self._index in holders else min(holders)
 
-    def _enough_answers(self) -> bool:
+    def _has_quorum(self) -> bool:
         """Whether the answers include one of every majority that may have promised an earlier term."""
         if self._remembers or self._distributors == 1:
-            return len(self._answered) >= majority(self._distributors)
+            return len(self._responders) >= majority(self._distributors)
         others_in_majority = majority(self._distributors) - 1
-        others_asked = len(self._answered - {self._index})
-        return others_asked + others_in_majority > self._distributors - 1
+        other_responders = len(self._responders - {self._index})
+        return other_responders + others_in_majority > self._distributors - 1
 
     def _next_term(self) -> int:
-        return (self._known.term // TERMS_PER_ROUND + 1) * TERMS_PER_ROUND + self._index
+        return (self._highest.term // TERMS_PER_ROUND + 1) * TERMS_PER_ROUND + self._index
 
 
 def _check_index(index: int, distributors: int) -> None:
--- a/thistlelever/distribution/codec.py
+++ b/thistlelever/distribution/codec.py
@@ -187,7 +187,7 @@
     return int.from_bytes(data, "big")
 
 
-def body_of(update: Update) -> DeltaBody | SnapshotBody:
+def update_to_body(update: Update) -> DeltaBody | SnapshotBody:
     """An update as it travels."""
     if isinstance(update, Snapshot):
         engines, documents = tuple(engines_of(update.records)), tuple(documents_of(update.records))
@@ -203,7 +203,7 @@
     )
 
 
-def update_from(body: DeltaBody | SnapshotBody) -> Update:
+def update_from_body(body: DeltaBody | SnapshotBody) -> Update:
     """The update that travelled as `body`."""
     if isinstance(body, SnapshotBody):
         return Snapshot(body.version, digest_from(body.digest), (*body.records, *body.documents))
--- a/thistlelever/distribution/history.py
+++ b/thistlelever/distribution/history.py
@@ -11,20 +11,20 @@
 from thistlelever.distribution.versions import Version
 
 # A history keeps no more upserts and removals than this, however few its changes are.
-MOST_RECORDS_KEPT = 65_536
+MAX_HISTORY_RECORDS = 65_536
 
 
 class History:
-    """The last `most_changes` changes, in order, together of at most `most_records` upserts and removals."""
+    """The last `max_changes` changes, in order, together of at most `max_records` upserts and removals."""
 
-    def __init__(self, most_changes: int, most_records: int = MOST_RECORDS_KEPT) -> None:
+    def __init__(self, max_changes: int, max_records: int = MAX_HISTORY_RECORDS) -> None:
         """An empty history with these bounds."""
-        if most_changes < 1 or most_records < 1:
+        if max_changes < 1 or max_records < 1:
             raise ValueError("a history keeps at least one change of one record")
-        self._most_changes = most_changes
-        self._most_records = most_records
+        self._max_changes = max_changes
+        self._max_records = max_records
         self._changes: deque[Delta] = deque()
-        self._records_kept = 0
+        self._record_count = 0
         # Changes are numbered as they are appended; that of the oldest one kept is `_first_position`.
         self._first_position = 0
         # The position of the change that starts at a version, with that version's digest.
@@ -36,9 +36,9 @@
         return len(self._changes)
 
     @property
-    def records_kept(self) -> int:
+    def record_count(self) -> int:
         """How many upserts and removals are kept."""
-        return self._records_kept
+        return self._record_count
 
     def append(self, delta: Delta) -> None:
         """Adds the change that was just applied; `ValueError` where it doesn't follow the newest one."""
@@ -47,9 +47,9 @@
             raise ValueError(f"a change from {self._newest[0]} expected, found one from {delta.base}")
         self._starts[delta.base] = (self._first_position + len(self._changes), delta.base_digest)
         self._changes.append(delta)
-        self._records_kept += _size(delta)
+        self._record_count += _record_count_of(delta)
         self._newest = (delta.version, delta.digest)
-        while len(self._changes) > self._most_changes or self._records_kept > self._most_records:
+        while len(self._changes) > self._max_changes or self._record_count > self._max_records:
             self._drop_oldest()
 
     def since(self, version: Version, digest: int) -> Delta | None:
@@ -62,13 +62,13 @@
         position, kept_digest = self._starts.get(version, (None, None))
         if position is None or kept_digest != digest:
             return None
-        return _merged(islice(self._changes, position - self._first_position, None), version, digest)
+        return _merge(islice(self._changes, position - self._first_position, None), version, digest)
 
     def clear(self) -> None:
         """Forgets everything: a snapshot was taken, and what was kept no longer leads to what is held."""
         self._changes.clear()
         self._starts.clear()
-        self._records_kept = 0
+        self._record_count = 0
         self._first_position = 0
         self._newest = None
 
@@ -76,14 +76,14 @@
         oldest = self._changes.popleft()
         del self._starts[oldest.base]
         self._first_position += 1
-        self._records_kept -= _size(oldest)
+        self._record_count -= _record_count_of(oldest)
 
 
-def _size(delta: Delta) -> int:
+def _record_count_of(delta: Delta) -> int:
     return len(delta.upserts) + len(delta.removals)
 
 
-def _merged(changes: Iterable[Delta], base: Version, base_digest: int) -> Delta:
+def _merge(changes: Iterable[Delta], base: Version, base_digest: int) -> Delta:
     """One delta for several that follow each other: the last word on each id counts."""
     upserts: dict[str, Record] = {}
     removals: dict[str, Removal] = {}
--- a/thistlelever/distribution/publisher.py
+++ b/thistlelever/distribution/publisher.py
@@ -16,9 +16,9 @@
 )
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.validation import (
-    MOST_DOCUMENTS,
-    MOST_RECORDS,
-    MOST_RECORDS_PER_CHANGE,
+    MAX_DOCUMENTS,
+    MAX_RECORDS,
+    MAX_RECORDS_PER_CHANGE,
     PublishRefusedError,
     validate,
     validate_documents,
@@ -79,9 +79,9 @@
         """
         self._check_role(expected)
         size = len(upserts) + len(removed_ids)
-        if size > MOST_RECORDS_PER_CHANGE:
+        if size > MAX_RECORDS_PER_CHANGE:
             raise PublishRefusedError(
-                f"upserts, removed_ids: at most {MOST_RECORDS_PER_CHANGE} together expected; found {size}"
+                f"upserts, removed_ids: at most {MAX_RECORDS_PER_CHANGE} together expected; found {size}"
             )
         engines, documents = tuple(engines_of(upserts)), tuple(documents_of(upserts))
         validate(engines, "upserts")
@@ -134,16 +134,16 @@
             return None
         added = sum(record.id not in self.replica.records for record in upserts)
         size = len(self.replica.records) + added - len(removed_ids)
-        if size > MOST_RECORDS:
-            raise PublishRefusedError(f"engines: at most {MOST_RECORDS} records expected; found {size}")
+        if size > MAX_RECORDS:
+            raise PublishRefusedError(f"engines: at most {MAX_RECORDS} records expected; found {size}")
         self._check_documents(upserts)
         return self._commit(upserts, removed_ids)
 
     def _check_documents(self, upserts: list[Record]) -> None:
         """The number of documents is bounded, as every front holds all of them."""
         new = [record for record in documents_of(upserts) if record.id not in self.replica.records]
-        if new and len(new) + sum(1 for _ in documents_of(self.replica.records.values())) > MOST_DOCUMENTS:
-            raise PublishRefusedError(f"documents: at most {MOST_DOCUMENTS} expected")
+        if new and len(new) + sum(1 for _ in documents_of(self.replica.records.values())) > MAX_DOCUMENTS:
+            raise PublishRefusedError(f"documents: at most {MAX_DOCUMENTS} expected")
 
     def _commit(self, upserts: list[Record], removed_ids: list[str]) -> Delta:
         delta = self._delta(upserts, removed_ids)
--- a/thistlelever/distribution/reconnect.py
+++ b/thistlelever/distribution/reconnect.py
@@ -12,7 +12,7 @@
 from thistlelever.distribution.messages import Delta
 from thistlelever.distribution.records import DIGEST_BITS, Record, digest_of, record_digest
 from thistlelever.distribution.versions import Version
-from thistlelever.distribution.views import removals_of
+from thistlelever.distribution.views import compute_removals
 
 # Enough to tell two states of one engine apart; a digest of all that is held is compared in the end.
 SHORT_DIGEST_BYTES = 8
@@ -42,5 +42,5 @@
     retains and that exists no more is told as gone."""
     wanted_ids = {record.id for record in wanted}
     upserts = tuple(record for record in wanted if held.records.get(record.id) != short_digest(record))
-    removals = removals_of(held.records, wanted_ids, exists, retained)
+    removals = compute_removals(held.records, wanted_ids, exists, retained)
     return Delta(held.version, held.digest, version, digest_of(wanted), upserts, removals)
--- a/thistlelever/distribution/records.py
+++ b/thistlelever/distribution/records.py
@@ -17,7 +17,7 @@
 DOCUMENT_PREFIX = "document:"
 # A distributor compares the same records for one front after the other: so many digests are remembered,
 # those of all engines and of some that changed, at some 300 bytes each.
-MOST_DIGESTS_KEPT = 32_768
+DIGEST_CACHE_SIZE = 32_768
 
 
 class EngineRecord(NamedTuple):
@@ -69,7 +69,7 @@
     return (record for record in records if isinstance(record, DocumentRecord))
 
 
-@lru_cache(maxsize=MOST_DIGESTS_KEPT)
+@lru_cache(maxsize=DIGEST_CACHE_SIZE)
 def record_digest(record: Record) -> int:
     """The 128-bit hash of one record. Texts go in with their lengths, so that no two records read alike."""
     text = _document_text(record) if isinstance(record, DocumentRecord) else _engine_text(record)
--- a/thistlelever/distribution/replica.py
+++ b/thistlelever/distribution/replica.py
@@ -87,13 +87,13 @@
 
     def _receive_delta(self, delta: Delta) -> Outcome:
         same_version = delta.version == self.version
-        if same_version and delta.digest == self.digest and not self._may_still_tell(delta):
+        if same_version and delta.digest == self.digest and not self._carries_changes(delta):
             return Outcome.UNCHANGED
         if same_version and self.strict:
             return Outcome.CONFLICT
         if not self._holds_base(delta):
             return Outcome.GAP
-        if _names_an_id_twice(delta) or self._digest_after(delta) != delta.digest:
+        if _has_duplicate_ids(delta) or self._digest_after(delta) != delta.digest:
             return Outcome.DAMAGED
         for removal in delta.removals:
             self.records.pop(removal.id, None)
@@ -106,7 +106,7 @@
     def _holds_base(self, delta: Delta) -> bool:
         return delta.base == self.version and delta.base_digest == self.digest
 
-    def _may_still_tell(self, delta: Delta) -> bool:
+    def _carries_changes(self, delta: Delta) -> bool:
         """A delta that ends at what is held may still tell a front that an engine is gone that it no longer
         holds a record of."""
         return not self.strict and self._holds_base(delta) and bool(delta.upserts or delta.removals)
@@ -124,7 +124,7 @@
         return EMPTY_DIGEST if held is None else record_digest(held)
 
 
-def _names_an_id_twice(delta: Delta) -> bool:
+def _has_duplicate_ids(delta: Delta) -> bool:
     ids = {record.id for record in delta.upserts}
     ids.update(removal.id for removal in delta.removals)
     return len(ids) != len(delta.upserts) + len(delta.removals)
--- a/thistlelever/distribution/validation.py
+++ b/thistlelever/distribution/validation.py
@@ -9,12 +9,12 @@
 
 from thistlelever.distribution.records import DOCUMENT_PREFIX, DocumentRecord, EngineRecord
 
-MOST_NAME_CHARACTERS = 128
-MOST_RECORDS = 65_536
-MOST_RECORDS_PER_CHANGE = 4_096
+MAX_NAME_CHARACTERS = 128
+MAX_RECORDS = 65_536
+MAX_RECORDS_PER_CHANGE = 4_096
 # A document goes whole to every front at each change of it: one that changes each 3 s takes 5.5 KB a second.
-MOST_DOCUMENT_BYTES = 16_384
-MOST_DOCUMENTS = 16
+MAX_DOCUMENT_BYTES = 16_384
+MAX_DOCUMENTS = 16
 
 # `HOST:PORT` in its one spelling: no leading zeros, 0 to 255 four times, 1 to 65535.
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
@@ -29,8 +29,8 @@
 def validate(records: Sequence[EngineRecord], path: str = "engines") -> None:
     """Checks records that are to stand together: each for itself, and that no id and no address comes
     twice. Raises `PublishRefusedError` at the first fault."""
-    if len(records) > MOST_RECORDS:
-        raise PublishRefusedError(f"{path}: at most {MOST_RECORDS} records expected; found {len(records)}")
+    if len(records) > MAX_RECORDS:
+        raise PublishRefusedError(f"{path}: at most {MAX_RECORDS} records expected; found {len(records)}")
     positions_by_id: dict[str, int] = {}
     positions_by_address: dict[str, int] = {}
     for position, record in enumerate(records):
@@ -57,8 +57,8 @@
             _refuse(path, "a name that comes once", record.name)
         names.add(record.name)
         size = len(record.content.encode())
-        if size > MOST_DOCUMENT_BYTES:
-            _refuse(path, f"at most {MOST_DOCUMENT_BYTES} bytes", size)
+        if size > MAX_DOCUMENT_BYTES:
+            _refuse(path, f"at most {MAX_DOCUMENT_BYTES} bytes", size)
 
 
 def validate_removed_ids(removed_ids: Sequence[str], upserted_ids: Collection[str]) -> None:
@@ -86,7 +86,7 @@
 
 
 def _is_name(value: object) -> bool:
-    return isinstance(value, str) and 1 <= len(value) <= MOST_NAME_CHARACTERS and value.isprintable()
+    return isinstance(value, str) and 1 <= len(value) <= MAX_NAME_CHARACTERS and value.isprintable()
 
 
 def _is_cell(value: object) -> bool:
@@ -110,7 +110,7 @@
     expected: str
 
 
-_NAME_EXPECTED = f"1 to {MOST_NAME_CHARACTERS} printable characters"
+_NAME_EXPECTED = f"1 to {MAX_NAME_CHARACTERS} printable characters"
 _NUMBER_EXPECTED = "a finite float of at least 0.0"
 # In the order of the fields of `EngineRecord`.
 _RULES = (
--- a/thistlelever/distribution/views.py
+++ b/thistlelever/distribution/views.py
@@ -47,31 +47,31 @@
         return FrontView(update.version, update.digest, records)
 
 
-class ToldViews:
+class SentViews:
     """The last two views of one front: the one that it is known to hold and the one told since, of which
     nobody knows whether it arrived. With both, a lost answer costs no snapshot."""
 
     def __init__(self) -> None:
         """Nothing was told yet."""
         self._acknowledged: FrontView | None = None
-        self._told: FrontView | None = None
+        self._sent: FrontView | None = None
 
     def acknowledged(self, version: Version, digest: int) -> FrontView | None:
         """The view that a front holds which names this version and digest; None if neither is it, and the
         front needs a snapshot."""
-        for view in (self._told, self._acknowledged):
+        for view in (self._sent, self._acknowledged):
             if view is not None and view.is_at(version, digest):
                 self._acknowledged = view
-                self._told = None
+                self._sent = None
                 return view
         return None
 
-    def told(self, update: Update) -> None:
+    def sent(self, update: Update) -> None:
         """Remembers what is being sent: a delta from the acknowledged view, or a snapshot."""
         base = self._acknowledged or FrontView()
         if isinstance(update, Delta) and not base.is_at(update.base, update.base_digest):
             raise ValueError(f"a delta from {base.version} expected, found one from {update.base}")
-        self._told = base.after(update)
+        self._sent = base.after(update)
 
 
 def difference(
@@ -87,7 +87,7 @@
     exists no longer is told as gone, also if the front holds no record of it any more.
     """
     wanted_by_id = {record.id: record for record in wanted}
-    removals = removals_of(held.records, wanted_by_id, exists, retained)
+    removals = compute_removals(held.records, wanted_by_id, exists, retained)
     upserts = tuple(record for record in wanted_by_id.values() if held.records.get(record.id) != record)
     replaced = [held.records[record.id] for record in upserts if record.id in held.records]
     removed = [held.records[removal.id] for removal in removals if removal.id in held.records]
@@ -95,7 +95,7 @@
     return Delta(held.version, held.digest, version, digest & DIGEST_MASK, upserts, removals)
 
 
-def removals_of(
+def compute_removals(
     held: Collection[str],
     wanted: Collection[str],
     exists: Callable[[str], bool],
@@ -117,7 +117,7 @@
     return Snapshot(version, digest_of(records), records)
 
 
-def shortest(full: Snapshot, held_version: Version, held_digest: int) -> Update:
+def smallest_update(full: Snapshot, held_version: Version, held_digest: int) -> Update:
     """What to send of `full` to a front whose view isn't remembered here: if its digest shows that it holds
     these records already, an empty delta that moves its version. Either way `full` is what to remember."""
     if held_digest != full.digest:
--- a/thistlelever/distributor/catalog.py
+++ b/thistlelever/distributor/catalog.py
@@ -11,7 +11,7 @@
 from thistlelever.distribution.records import DocumentRecord, EngineRecord, Record, engines_of
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
-from thistlelever.subsetting import EngineRing, SubsetTerms
+from thistlelever.subsetting import EngineRing, SubsetParameters
 
 
 class Change(NamedTuple):
@@ -25,7 +25,7 @@
 class Catalog:
     """`on_change` is called after each update that is in force here."""
 
-    def __init__(self, terms: SubsetTerms, history: int) -> None:
+    def __init__(self, terms: SubsetParameters, history: int) -> None:
         """An empty list; `history` changes are kept."""
         self.replica = Replica(strict=True)
         self.history = History(history)
--- a/thistlelever/distributor/claiming.py
+++ b/thistlelever/distributor/claiming.py
@@ -55,13 +55,13 @@
     publisher."""
     index, distributors, replica = follower.index, follower.distributors, follower.catalog.replica
     claim = Claim(index, len(distributors), remembers=memory.remembers())
-    claim.learned(max(follower.highest_seen, above))
-    claim.heard(index, replica.highest())
+    claim.observe(max(follower.highest_seen, above))
+    claim.record_highest(index, replica.highest())
     answers = await ask_others(distributors, index, HIGHEST_PATH, codec.HighestRequest(index))
-    if election and election.heard_by_another([answer.age for answer in answers.values()]):
+    if election and election.is_publisher_alive([answer.age for answer in answers.values()]):
         raise ClaimFailedError("another distributor hears the publisher")
     for place, answer in answers.items():
-        claim.heard(place, answer.highest)
+        claim.record_highest(place, answer.highest)
     term = claim.term()
     if term is None:
         raise ClaimFailedError(f"too few answers: {1 + len(answers)} of {len(distributors)} distributors")
@@ -71,9 +71,9 @@
         await memory.keep(Version(term, 0))
     except StoreError as error:
         raise ClaimFailedError(f"term {term}: {error}") from None
-    claim.promised(index, replica.version)
+    claim.record_promise(index, replica.version)
     await ask_for_promises(follower, claim, term)
-    source = claim.source()
+    source = claim.newest_holder()
     if source is None:
         raise ClaimFailedError(f"term {term}: no majority has promised it")
     if claim.superseded():
@@ -89,9 +89,9 @@
     answers = await ask_others(follower.distributors, follower.index, PROMISE_PATH, request)
     for place, answer in answers.items():
         if answer.granted:
-            claim.promised(place, answer.held)
+            claim.record_promise(place, answer.held)
         else:
-            claim.learned(answer.highest)
+            claim.observe(answer.highest)
             follower.observe(answer.highest)
 
 
@@ -103,6 +103,6 @@
     except DistributorError as error:
         raise ClaimFailedError(f"distributor {source}: {error}") from None
     if reply.update is not None:
-        outcome = follower.catalog.receive(codec.update_from(reply.update), catch_up)
+        outcome = follower.catalog.receive(codec.update_from_body(reply.update), catch_up)
         if outcome is not Outcome.APPLIED:
             raise ClaimFailedError(f"distributor {source}: its content was {outcome.value}")
--- a/thistlelever/distributor/follower.py
+++ b/thistlelever/distributor/follower.py
@@ -141,7 +141,7 @@
     def receive(self, reply: codec.Reply) -> None:
         """Take what another tells; `DistributorBehindError` where it is older than what is held."""
         if reply.update is not None:
-            update = codec.update_from(reply.update)
+            update = codec.update_from_body(reply.update)
             outcome = self.catalog.receive(update)
             self.counts[f"followed {outcome.value}"] += 1
             if outcome in (Outcome.STALE, Outcome.CONFLICT, Outcome.DAMAGED):
--- a/thistlelever/distributor/handlers.py
+++ b/thistlelever/distributor/handlers.py
@@ -141,7 +141,7 @@
         except BehindError as error:
             self.refuse(HTTPStatus.CONFLICT, str(error))
             return
-        body = None if update is None else codec.body_of(update)
+        body = None if update is None else codec.update_to_body(update)
         self.answer(codec.Reply(body, distributor.follower.age(), fronts))
 
 
@@ -167,7 +167,7 @@
         update = None
         if (request.version, digest) != (replica.version, replica.digest):
             update = distributor.catalog.history.since(request.version, digest) or replica.snapshot()
-        body = None if update is None else codec.body_of(update)
+        body = None if update is None else codec.update_to_body(update)
         self.answer(codec.Reply(body, distributor.follower.age()))
 
 
--- a/thistlelever/distributor/publishing.py
+++ b/thistlelever/distributor/publishing.py
@@ -79,7 +79,7 @@
             except ClaimFailedError as error:
                 self.log("claim failed", why=str(error))
                 await asyncio.sleep(CLAIM_PAUSE)
-                if election and self.follower.age() <= election.after:
+                if election and self.follower.age() <= election.timeout:
                     return
 
     async def elect(self, election: Election) -> None:
--- a/thistlelever/distributor/service.py
+++ b/thistlelever/distributor/service.py
@@ -26,7 +26,7 @@
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.operator import parse_address
-from thistlelever.subsetting import SubsetTerms
+from thistlelever.subsetting import SubsetParameters
 
 SWEEP_EVERY = 5.0
 # Counters are written to the log this often, where they have changed.
@@ -44,7 +44,7 @@
         """Put together, with what is on disk; nothing listens before `open`."""
         self.config, self.log = config, log
         subset = config.subset
-        terms = SubsetTerms(
+        terms = SubsetParameters(
             subset.engines, subset.home_share, subset.least, subset.fronts, subset.zone_fronts
         )
         self.counts: Counter[str] = Counter()
--- a/thistlelever/distributor/sessions.py
+++ b/thistlelever/distributor/sessions.py
@@ -12,11 +12,11 @@
 from thistlelever.distribution.reconnect import HeldDigests, difference_from_digests
 from thistlelever.distribution.records import DOCUMENT_PREFIX, Record
 from thistlelever.distribution.versions import NO_VERSION, Version
-from thistlelever.distribution.views import ToldViews, difference, snapshot
+from thistlelever.distribution.views import SentViews, difference, snapshot
 from thistlelever.distributor.admission import SnapshotAdmission
 from thistlelever.distributor.catalog import Catalog, Change
 from thistlelever.ground import clock
-from thistlelever.subsetting import FrontPlace, Requirement, Subset
+from thistlelever.subsetting import FrontIdentity, Requirement, Subset
 
 # An answer with more records than this counts as a whole subset.
 LARGE_UPDATE = 16
@@ -59,7 +59,7 @@
 
     def __init__(self, request: codec.WatchRequest) -> None:
         """A front by its first watch of a connection."""
-        self.place = FrontPlace(request.front, request.zone, request.rank, request.zone_rank)
+        self.place = FrontIdentity(request.front, request.zone, request.rank, request.zone_rank)
         self.whole_cells = request.whole_cells
         self.requirements = tuple(
             Requirement(
@@ -67,7 +67,7 @@
             )
             for field in request.requirements
         )
-        self.views = ToldViews()
+        self.views = SentViews()
         self.retained: tuple[str, ...] = ()
         self.watches = 0
         self.version, self.seen_at = NO_VERSION, clock.now()
@@ -184,7 +184,7 @@
         ids = ring.ids(session.place, *asked)
         old = ring.revision - session.bound_revision > len(ring) * BOUND_AGE
         if ids != session.subset.ids or old:
-            session.subset = Subset(ids, ring.most_fronts(session.place, ids, *asked))
+            session.subset = Subset(ids, ring.max_fronts(session.place, ids, *asked))
             session.bound_revision = ring.revision
 
     def admit(self) -> None:
@@ -205,7 +205,7 @@
             self.counts["heartbeats"] += 1
             return None
         self.counts["snapshots" if whole else "deltas"] += 1
-        session.views.told(Snapshot(update.version, update.digest, tuple(wanted)))
+        session.views.sent(Snapshot(update.version, update.digest, tuple(wanted)))
         return update
 
     async def run(self) -> None:
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -17,7 +17,7 @@
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
 from thistlelever.store.roll import Roll
-from thistlelever.subsetting import FrontPlace, Requirement
+from thistlelever.subsetting import FrontIdentity, Requirement
 
 
 class SubscribedDiscovery:
@@ -134,11 +134,11 @@
         return {"version": str(self.subscription.replica.version), "engines": [r._asdict() for r in records]}
 
 
-def place_of(config: Config, zone_rank: int) -> FrontPlace:
+def place_of(config: Config, zone_rank: int) -> FrontIdentity:
     """Which front this is, for its subset."""
     zone = config.settings.zone
     name = config.zones[zone] if zone < len(config.zones) else ""
-    return FrontPlace(config.name, name, config.rank, zone_rank)
+    return FrontIdentity(config.name, name, config.rank, zone_rank)
 
 
 def requirements_of(config: Config) -> tuple[Requirement, ...]:
--- /dev/null
+++ b/thistlelever/subsetting/arc_widths.py
@@ -0,0 +1,46 @@
+"""How wide the arcs are on which a front holds every engine."""
+
+from __future__ import annotations
+
+from thistlelever.subsetting.index import EngineIndex
+from thistlelever.subsetting.ring import RING_SIZE
+from thistlelever.subsetting.types import SubsetParameters
+
+# A front whose arcs hold fewer ready engines than this share of what they should hold gets further ones.
+MIN_READY_SHARE = 0.5
+
+
+class ArcWidths:
+    """The widths of all arcs, at one revision of the index. They follow from how many engines there are."""
+
+    def __init__(self, index: EngineIndex, parameters: SubsetParameters, whole_cells: bool) -> None:
+        """The widths for the engines of `index` as it is now."""
+        self.parameters, self._engines = parameters, len(index.records)
+        # How many engines both arcs hold on average: with their partners they are `parameters.engines`.
+        self._target = parameters.engines
+        if whole_cells:
+            self._target = max(
+                parameters.engines * self._engines // (self._engines + index.engines_sharing_cell), 1
+            )
+        self.min_ready = max(int(self._target * MIN_READY_SHARE), 1)
+        self._home_counts = {zone: self._home_count(len(ring)) for zone, ring in index.zones.items()}
+        self._home = {
+            zone: self._home_counts[zone] * RING_SIZE // len(ring) for zone, ring in index.zones.items()
+        }
+
+    def home_width(self, zone: str) -> int:
+        """The width of an arc on a zone's own ring; 0 for a zone without engines."""
+        return self._home.get(zone, 0)
+
+    def global_width(self, zone: str) -> int:
+        """The width of the arc on the ring of all, for a front in that zone. Of the engines that it does not
+        hold at home, each is on this arc with the same chance."""
+        at_home = self._home_counts.get(zone, 0)
+        return (self._target - at_home) * RING_SIZE // (self._engines - at_home)
+
+    def max_global_width(self) -> int:
+        """The width of the widest arc on the ring of all: that of a front that holds none at home."""
+        return self._target * RING_SIZE // self._engines
+
+    def _home_count(self, in_zone: int) -> int:
+        return min(int(self._target * self.parameters.home_share), in_zone)
--- a/thistlelever/subsetting/index.py
+++ b/thistlelever/subsetting/index.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from thistlelever.subsetting.ring import Ring, engine_positions
-from thistlelever.subsetting.terms import ANYTHING, Engine, Requirement
+from thistlelever.subsetting.types import ANY_ENGINE, Engine, Requirement
 
 Key = TypeVar("Key")
 
@@ -19,30 +19,30 @@
         # Rises with each change that can alter a subset. Other changes of a record alter none.
         self.revision = 0
         # How many engines are in a cell with others.
-        self.paired = 0
+        self.engines_sharing_cell = 0
         self.records: dict[str, Engine] = {}
         self.positions: dict[str, int] = {}
         self.all = Ring()
         self.zones: dict[str, Ring] = {}
         self._cells: dict[tuple[str, int], Ring] = {}
-        self._matching: dict[Requirement, Ring] = {ANYTHING: Ring()}
+        self._matching: dict[Requirement, Ring] = {ANY_ENGINE: Ring()}
 
     def put(self, record: Engine) -> None:
         """Take in an engine, or what has changed of it."""
         before = self.records.get(record.id)
         if before is not None:
-            if _placing(before) == _placing(record):
+            if _placement_fields(before) == _placement_fields(record):
                 self.records[record.id] = record
                 return
             self.discard(record.id)
-        position, place_in_cell = engine_positions(record.id)
+        position, cell_position = engine_positions(record.id)
         self.revision += 1
         self.records[record.id], self.positions[record.id] = record, position
         self.all.add(position, record.id)
         self.zones.setdefault(record.zone, Ring()).add(position, record.id)
         cell = self._cells.setdefault((record.zone, record.cell), Ring())
-        cell.add(place_in_cell, record.id)
-        self.paired += _paired_by_one(len(cell))
+        cell.add(cell_position, record.id)
+        self.engines_sharing_cell += _sharing_change(len(cell))
         for requirement, ring in self._matching.items():
             if not record.draining and requirement.matches(record):
                 ring.add(position, record.id)
@@ -52,13 +52,13 @@
         record = self.records.pop(engine_id, None)
         if record is None:
             return
-        position, place_in_cell = engine_positions(engine_id)
+        position, cell_position = engine_positions(engine_id)
         self.revision += 1
         del self.positions[engine_id]
         self.all.remove(position, engine_id)
-        _remove(self.zones, record.zone, position, engine_id)
-        self.paired -= _paired_by_one(len(self._cells[record.zone, record.cell]))
-        _remove(self._cells, (record.zone, record.cell), place_in_cell, engine_id)
+        _remove_from_ring(self.zones, record.zone, position, engine_id)
+        self.engines_sharing_cell -= _sharing_change(len(self._cells[record.zone, record.cell]))
+        _remove_from_ring(self._cells, (record.zone, record.cell), cell_position, engine_id)
         for requirement, ring in self._matching.items():
             if not record.draining and requirement.matches(record):
                 ring.remove(position, engine_id)
@@ -73,30 +73,30 @@
                     ring.add(self.positions[engine_id], engine_id)
         return ring
 
-    def next_of_cell(self, engine_id: str) -> str:
+    def next_in_cell(self, engine_id: str) -> str:
         """The engine after this one in its cell; itself where it is alone."""
-        return self._cell_of(engine_id).following(engine_positions(engine_id)[1], engine_id)
+        return self._cell_ring(engine_id).successor(engine_positions(engine_id)[1], engine_id)
 
-    def previous_of_cell(self, engine_id: str) -> str:
+    def previous_in_cell(self, engine_id: str) -> str:
         """The engine before this one in its cell; itself where it is alone."""
-        return self._cell_of(engine_id).preceding(engine_positions(engine_id)[1], engine_id)
+        return self._cell_ring(engine_id).predecessor(engine_positions(engine_id)[1], engine_id)
 
-    def _cell_of(self, engine_id: str) -> Ring:
+    def _cell_ring(self, engine_id: str) -> Ring:
         record = self.records[engine_id]
         return self._cells[record.zone, record.cell]
 
 
-def _paired_by_one(members: int) -> int:
+def _sharing_change(members: int) -> int:
     """How many more engines are with others by the last that came to a cell of so many."""
     return {1: 0, 2: 2}.get(members, 1)
 
 
-def _placing(record: Engine) -> tuple[str, int, str, bool]:
+def _placement_fields(record: Engine) -> tuple[str, int, str, bool]:
     """All of a record that subsets depend on, besides its id."""
     return record.zone, record.cell, record.kind, record.draining
 
 
-def _remove(rings: dict[Key, Ring], key: Key, position: int, engine_id: str) -> None:
+def _remove_from_ring(rings: dict[Key, Ring], key: Key, position: int, engine_id: str) -> None:
     """Take an engine out of one of several rings; an empty ring goes."""
     ring = rings[key]
     ring.remove(position, engine_id)
--- a/thistlelever/subsetting/ring.py
+++ b/thistlelever/subsetting/ring.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 
 # Positions are whole numbers below this, so that no rounding differs from one machine to the next.
-CIRCLE = 1 << 64
+RING_SIZE = 1 << 64
 
 
 def engine_positions(engine_id: str) -> tuple[int, int]:
@@ -31,57 +31,57 @@
 
     def add(self, position: int, engine_id: str) -> None:
         """Put in an engine that is not on the ring."""
-        place = self._place(position, engine_id)
-        self.positions.insert(place, position)
-        self.ids.insert(place, engine_id)
+        index = self._insertion_index(position, engine_id)
+        self.positions.insert(index, position)
+        self.ids.insert(index, engine_id)
 
     def remove(self, position: int, engine_id: str) -> None:
         """Take out an engine that is on the ring."""
-        place = self._place(position, engine_id)
-        del self.positions[place]
-        del self.ids[place]
+        index = self._insertion_index(position, engine_id)
+        del self.positions[index]
+        del self.ids[index]
 
     def arc(self, start: int, width: int) -> list[str]:
         """The engines from `start` on, up to but without `start + width`."""
-        if width >= CIRCLE:
+        if width >= RING_SIZE:
             return list(self.ids)
         first, end = bisect_left(self.positions, start), start + width
-        if end <= CIRCLE:
+        if end <= RING_SIZE:
             return self.ids[first : bisect_left(self.positions, end)]
-        return self.ids[first:] + self.ids[: bisect_left(self.positions, end - CIRCLE)]
+        return self.ids[first:] + self.ids[: bisect_left(self.positions, end - RING_SIZE)]
 
-    def onward(self, start: int) -> Iterator[tuple[int, str]]:
+    def iter_from(self, start: int) -> Iterator[tuple[int, str]]:
         """Every engine once, from `start` on, with its distance from there."""
         first = bisect_left(self.positions, start)
-        for place in range(first, len(self.ids)):
-            yield self.positions[place] - start, self.ids[place]
-        for place in range(first):
-            yield self.positions[place] + CIRCLE - start, self.ids[place]
+        for index in range(first, len(self.ids)):
+            yield self.positions[index] - start, self.ids[index]
+        for index in range(first):
+            yield self.positions[index] + RING_SIZE - start, self.ids[index]
 
     def distance_back(self, position: int, count: int) -> int:
         """How far back the engine is that is `count` places before `position`; the whole circle where the
         ring has no so many others."""
-        place = bisect_left(self.positions, position) - count
+        index = bisect_left(self.positions, position) - count
         others = len(self.ids) - (
             bisect_right(self.positions, position) - bisect_left(self.positions, position)
         )
         if others < count:
-            return CIRCLE
-        return (position - self.positions[place]) % CIRCLE
+            return RING_SIZE
+        return (position - self.positions[index]) % RING_SIZE
 
-    def following(self, position: int, engine_id: str) -> str:
+    def successor(self, position: int, engine_id: str) -> str:
         """The engine after one that is on the ring; itself where it is alone."""
-        return self.ids[(self._place(position, engine_id) + 1) % len(self.ids)]
+        return self.ids[(self._insertion_index(position, engine_id) + 1) % len(self.ids)]
 
-    def preceding(self, position: int, engine_id: str) -> str:
+    def predecessor(self, position: int, engine_id: str) -> str:
         """The engine before one that is on the ring; itself where it is alone."""
-        return self.ids[self._place(position, engine_id) - 1]
+        return self.ids[self._insertion_index(position, engine_id) - 1]
 
-    def _place(self, position: int, engine_id: str) -> int:
-        place = bisect_left(self.positions, position)
-        while place < len(self.ids) and self.positions[place] == position and self.ids[place] < engine_id:
-            place += 1
-        return place
+    def _insertion_index(self, position: int, engine_id: str) -> int:
+        index = bisect_left(self.positions, position)
+        while index < len(self.ids) and self.positions[index] == position and self.ids[index] < engine_id:
+            index += 1
+        return index
 
 
 class FrontPositions:
@@ -96,13 +96,13 @@
 
     def position(self, rank: int) -> int:
         """Where the front of that rank is."""
-        return rank * self.step % CIRCLE
+        return rank * self.step % RING_SIZE
 
     def count(self, end: int, width: int) -> int:
         """How many fronts are less than `width` before `end`, or at it."""
-        if width >= CIRCLE:
+        if width >= RING_SIZE:
             return len(self.sorted)
         upper, start = bisect_right(self.sorted, end), end - width
         if start >= 0:
             return upper - bisect_right(self.sorted, start)
-        return upper + len(self.sorted) - bisect_right(self.sorted, start + CIRCLE)
+        return upper + len(self.sorted) - bisect_right(self.sorted, start + RING_SIZE)
--- a/thistlelever/subsetting/subsets.py
+++ b/thistlelever/subsetting/subsets.py
@@ -8,15 +8,22 @@
 from math import isqrt
 from zlib import crc32
 
+from thistlelever.subsetting.arc_widths import ArcWidths
+from thistlelever.subsetting.fan_in import FanInBounds
 from thistlelever.subsetting.index import EngineIndex
-from thistlelever.subsetting.reach import Reach
-from thistlelever.subsetting.ring import CIRCLE, FrontPositions
-from thistlelever.subsetting.terms import ANYTHING, Engine, FrontPlace, Requirement, Subset, SubsetTerms
-from thistlelever.subsetting.widths import ArcWidths
+from thistlelever.subsetting.ring import RING_SIZE, FrontPositions
+from thistlelever.subsetting.types import (
+    ANY_ENGINE,
+    Engine,
+    FrontIdentity,
+    Requirement,
+    Subset,
+    SubsetParameters,
+)
 
 # The golden ratio's and the square root of two's fractions of the circle.
-GOLDEN_STEP = (isqrt(5 * CIRCLE * CIRCLE) - CIRCLE) // 2
-SILVER_STEP = isqrt(2 * CIRCLE * CIRCLE) - CIRCLE
+GLOBAL_STEP = (isqrt(5 * RING_SIZE * RING_SIZE) - RING_SIZE) // 2
+ZONE_STEP = isqrt(2 * RING_SIZE * RING_SIZE) - RING_SIZE
 
 
 class EngineRing:
@@ -24,24 +31,24 @@
 
     A front holds the engines on two arcs: one of its own zone's ring, one of the ring of all. An arc has a
     fixed width and not a fixed number of engines: so each engine is held by the same number of fronts, and
-    a front holds about `terms.engines`. The width follows from how many engines there are, draining ones
+    a front holds about `parameters.engines`. The width follows from how many engines there are, draining ones
     included. Engines are added to that, nearest first, only where the arcs hold too few ready ones, too few
     for a requirement, or too few outside one zone.
 
-    A subset depends on nothing but the records, the terms and the front's place. `Subset.fronts` supposes
-    that each front has a rank of its own below `terms.fronts` and that all ask for the same requirements.
+    A subset depends on nothing but the records, the parameters and the front's place. `Subset.fronts` supposes
+    that each front has a rank of its own below `parameters.fronts` and that all ask for the same requirements.
     """
 
-    def __init__(self, terms: SubsetTerms) -> None:
+    def __init__(self, parameters: SubsetParameters) -> None:
         """No engines yet."""
-        self.terms = terms
+        self.parameters = parameters
         self._index = EngineIndex()
-        self._fronts = FrontPositions(GOLDEN_STEP, terms.fronts)
-        self._home_fronts = FrontPositions(SILVER_STEP, terms.zone_fronts or terms.fronts)
+        self._fronts = FrontPositions(GLOBAL_STEP, parameters.fronts)
+        self._home_fronts = FrontPositions(ZONE_STEP, parameters.zone_fronts or parameters.fronts)
         # What holds for all subsets at one revision, by what is asked for.
-        self._derived_at = -1
+        self._derived_revision = -1
         self._widths: dict[bool, ArcWidths] = {}
-        self._reaches: dict[tuple[tuple[Requirement, ...], bool], Reach] = {}
+        self._bounds: dict[tuple[tuple[Requirement, ...], bool], FanInBounds] = {}
 
     def __len__(self) -> int:
         """How many engines there are."""
@@ -61,82 +68,86 @@
         """Take out an engine; one that is not there is no fault."""
         self._index.discard(engine_id)
 
-    def subset(self, front: FrontPlace, requirements: tuple[Requirement, ...], whole_cells: bool) -> Subset:
+    def subset(
+        self, front: FrontIdentity, requirements: tuple[Requirement, ...], whole_cells: bool
+    ) -> Subset:
         """The engines that a front holds, and how many fronts hold any one of them at most."""
         ids = self.ids(front, requirements, whole_cells)
-        return Subset(ids, self.most_fronts(front, ids, requirements, whole_cells))
+        return Subset(ids, self.max_fronts(front, ids, requirements, whole_cells))
 
     def ids(
-        self, front: FrontPlace, requirements: tuple[Requirement, ...], whole_cells: bool
+        self, front: FrontIdentity, requirements: tuple[Requirement, ...], whole_cells: bool
     ) -> tuple[str, ...]:
         """The engines that a front holds. With `whole_cells` each comes with the next one of its cell."""
         records = self._index.records
-        if len(records) <= self.terms.engines:
+        if len(records) <= self.parameters.engines:
             return tuple(sorted(records))
-        widths = self._widths_now(whole_cells)
+        widths = self._current_widths(whole_cells)
         rank = front.rank if front.rank >= 0 else crc32(front.name.encode())
         start = self._fronts.position(rank)
-        held = self._arcs(front, rank, start, widths)
-        self._add(held, self.terms.least - len(held), self._index.all.onward(start))
-        self._add_matching(held, ANYTHING, widths.ready_least, start)
+        held = self._engines_on_arcs(front, rank, start, widths)
+        self._add_missing(held, self.parameters.least - len(held), self._index.all.iter_from(start))
+        self._ensure_matching(held, ANY_ENGINE, widths.min_ready, start)
         for requirement in requirements:
-            self._add_matching(held, requirement, self.terms.least, start)
-        self._add_outside_zone(held, start)
+            self._ensure_matching(held, requirement, self.parameters.least, start)
+        self._ensure_outside_zone(held, start)
         if whole_cells:
-            held.update(dict.fromkeys([self._index.next_of_cell(engine_id) for engine_id in held]))
+            held.update(dict.fromkeys([self._index.next_in_cell(engine_id) for engine_id in held]))
         return tuple(sorted(held))
 
-    def most_fronts(
+    def max_fronts(
         self,
-        front: FrontPlace,
+        front: FrontIdentity,
         ids: tuple[str, ...],
         requirements: tuple[Requirement, ...],
         whole_cells: bool,
     ) -> int:
         """The most fronts that hold any one of the engines that a front holds: an upper bound."""
-        fronts, zone_fronts = self.terms.fronts, self.terms.zone_fronts
+        fronts, zone_fronts = self.parameters.fronts, self.parameters.zone_fronts
         unknown_at_home = zone_fronts and not 0 <= front.zone_rank < zone_fronts
-        holds_all = len(self._index.records) <= self.terms.engines
+        holds_all = len(self._index.records) <= self.parameters.engines
         if holds_all or not 0 <= front.rank < fronts or unknown_at_home:
             return fronts
-        reach = self._reach_now(requirements, whole_cells)
-        return min(max(reach.holders(engine_id, whole_cells) for engine_id in ids), fronts)
+        bounds = self._current_bounds(requirements, whole_cells)
+        return min(max(bounds.max_holders(engine_id, whole_cells) for engine_id in ids), fronts)
 
-    def _derive(self) -> None:
+    def _discard_stale(self) -> None:
         """Forget what was derived from an earlier revision."""
-        if self._derived_at != self._index.revision:
-            self._derived_at = self._index.revision
+        if self._derived_revision != self._index.revision:
+            self._derived_revision = self._index.revision
             self._widths.clear()
-            self._reaches.clear()
+            self._bounds.clear()
 
-    def _widths_now(self, whole_cells: bool) -> ArcWidths:
-        self._derive()
+    def _current_widths(self, whole_cells: bool) -> ArcWidths:
+        self._discard_stale()
         widths = self._widths.get(whole_cells)
         if widths is None:
-            widths = self._widths[whole_cells] = ArcWidths(self._index, self.terms, whole_cells)
+            widths = self._widths[whole_cells] = ArcWidths(self._index, self.parameters, whole_cells)
         return widths
 
-    def _reach_now(self, requirements: tuple[Requirement, ...], whole_cells: bool) -> Reach:
-        widths = self._widths_now(whole_cells)
-        reach = self._reaches.get((requirements, whole_cells))
-        if reach is None:
-            reach = Reach(self._index, widths, requirements, self._fronts, self._home_fronts)
-            self._reaches[requirements, whole_cells] = reach
-        return reach
-
-    def _arcs(self, front: FrontPlace, rank: int, start: int, widths: ArcWidths) -> dict[str, None]:
+    def _current_bounds(self, requirements: tuple[Requirement, ...], whole_cells: bool) -> FanInBounds:
+        widths = self._current_widths(whole_cells)
+        bounds = self._bounds.get((requirements, whole_cells))
+        if bounds is None:
+            bounds = FanInBounds(self._index, widths, requirements, self._fronts, self._home_fronts)
+            self._bounds[requirements, whole_cells] = bounds
+        return bounds
+
+    def _engines_on_arcs(
+        self, front: FrontIdentity, rank: int, start: int, widths: ArcWidths
+    ) -> dict[str, None]:
         """The engines on both arcs, as the keys of a dict: it keeps their order."""
-        held = dict.fromkeys(self._index.all.arc(start, widths.everywhere(front.zone)))
+        held = dict.fromkeys(self._index.all.arc(start, widths.global_width(front.zone)))
         home = self._index.zones.get(front.zone)
         if home is not None:
             # Where some fronts of a zone went by one rank and some by the other, two could be at one place.
-            by_zone = self.terms.zone_fronts and front.zone_rank >= 0
+            by_zone = self.parameters.zone_fronts and front.zone_rank >= 0
             home_rank = front.zone_rank if by_zone else rank
             home_start = self._home_fronts.position(home_rank)
-            held.update(dict.fromkeys(home.arc(home_start, widths.home(front.zone))))
+            held.update(dict.fromkeys(home.arc(home_start, widths.home_width(front.zone))))
         return held
 
-    def _add(self, held: dict[str, None], missing: int, further: Iterable[tuple[int, str]]) -> None:
+    def _add_missing(self, held: dict[str, None], missing: int, further: Iterable[tuple[int, str]]) -> None:
         """Add the first `missing` of some engines that are not held yet."""
         if missing <= 0:
             return
@@ -147,7 +158,9 @@
                 if missing <= 0:
                     return
 
-    def _add_matching(self, held: dict[str, None], requirement: Requirement, least: int, start: int) -> None:
+    def _ensure_matching(
+        self, held: dict[str, None], requirement: Requirement, least: int, start: int
+    ) -> None:
         """Add ready engines until `least` are held that meet the requirement."""
         missing = least
         for engine_id in held:
@@ -156,21 +169,21 @@
                 missing -= 1
                 if missing <= 0:
                     return
-        self._add(held, missing, self._index.matching(requirement).onward(start))
+        self._add_missing(held, missing, self._index.matching(requirement).iter_from(start))
 
-    def _add_outside_zone(self, held: dict[str, None], start: int) -> None:
+    def _ensure_outside_zone(self, held: dict[str, None], start: int) -> None:
         """Add ready engines until `least` are held outside the zone that most of the ready ones are in."""
         records = self._index.records
         zones = Counter(records[engine_id].zone for engine_id in held if not records[engine_id].draining)
         if not zones:
             return
         main = max(zones, key=lambda zone: (zones[zone], zone))
-        missing = self.terms.least - (zones.total() - zones[main])
-        self._add(held, missing, self._ready_outside(main, start))
+        missing = self.parameters.least - (zones.total() - zones[main])
+        self._add_missing(held, missing, self._ready_outside(main, start))
 
     def _ready_outside(self, zone: str, start: int) -> Iterator[tuple[int, str]]:
         """The ready engines outside a zone from `start` on."""
-        rings = [ring.onward(start) for name, ring in self._index.zones.items() if name != zone]
+        rings = [ring.iter_from(start) for name, ring in self._index.zones.items() if name != zone]
         for distance, engine_id in merge(*rings):
             if not self._index.records[engine_id].draining:
                 yield distance, engine_id
--- a/thistlelever/subsetting/terms.py
+++ b/thistlelever/subsetting/types.py
@@ -29,7 +29,7 @@
         """Whether it takes nothing new."""
 
 
-class FrontPlace(NamedTuple):
+class FrontIdentity(NamedTuple):
     """A front: its name, its zone, its place among the tier's fronts, and among those of its zone. A rank of
     -1 is unknown: the name's CRC stands in for it, and the tier's rank for that in the zone."""
 
@@ -52,10 +52,10 @@
         return self.kinds is None or engine.kind in self.kinds
 
 
-ANYTHING = Requirement(None, None)
+ANY_ENGINE = Requirement(None, None)
 
 
-class SubsetTerms(NamedTuple):
+class SubsetParameters(NamedTuple):
     """How many engines a front holds (about: see `EngineRing`), which share of them in its own zone, how many
     at least that meet each requirement, and how many fronts the tier has. `zone_fronts` is how many fronts
     the largest zone has, where every front knows its rank in its zone; 0 where they do not: then nobody's
