--- a/thistlelever/distribution/__init__.py
+++ b/thistlelever/distribution/__init__.py
@@ -1,9 +1,10 @@
-"""Versioned distribution of the engine list from a publisher, through distributors, to the fronts: the
-policy, without I/O or clock.
+"""Versioned distribution of the engine list from a publisher, through distributors, to the fronts.
 
-Uses nothing but the standard library. Never opens a connection, never reads a clock, never decides on a
-query. `versions` orders the versions, `records` is what is distributed, `messages` is what passes between
-two parties, `replica` holds the content of one version, `publisher` makes versions of what `validation`
-lets pass, `claim` says who may publish, `history` keeps the last changes, `views` says what one front is
-told. The ways weighed are in `docs/distribution.md`.
+This package holds the policy: it does no I/O, reads no clock and decides on no query. Besides msgspec (in
+`codec`) it uses only the standard library. `versions` orders the versions, `records` defines the distributed
+content, `messages` the updates between two parties, `replica` holds the content of one version, `publisher`
+creates versions from input that `validation` accepts, `claim` decides who may publish, `election` when a
+distributor claims that role by itself, `history` keeps the latest changes, `views` and `reconnect` compute
+the update for one front, `failover` picks the distributor that a client asks, and `codec` encodes the
+protocol. The alternatives considered are described in `docs/distribution.md`.
 """
--- a/thistlelever/distribution/claim.py
+++ b/thistlelever/distribution/claim.py
@@ -1,32 +1,35 @@
-"""How a distributor becomes the publisher.
-
-A claimant asks the distributors twice. First for the highest version that each has held or promised
-(`Claim.record_highest`): a majority of answers, its own included, gives the term. Then for a promise of that term
-(`promise`, `Claim.record_promise`): who gives it accepts nothing of an earlier term any more, and says which
-version it holds. The claimant promises first. With a majority of promises it brings its replica to what
-`Claim.newest_holder` holds (`catch_up`) and starts a `Publisher` of the term. A distributor stores its promise (the
-replica's floor) before it answers.
-
-Two claims at once: their terms differ, because each index has its own terms. Both may become publishers for
-a while. A distributor that has promised the higher term refuses what comes of the lower one, and shows the
-higher term with the refusal, whereupon the lower publisher steps down (`Publisher.observe`). A change that a
-majority holds under the lower term is found by `newest_holder` of the higher one; a change that fewer hold may be
-lost, and is replaced everywhere by what the higher term publishes. Never do two contents share a version.
-
-A claim that was promised but went no further leaves those that promised with what they hold until the next
-claim: they refuse the present publisher, which learns of it from the first refusal, steps down, and may claim
-anew (`Claim.observe` tells the new claim what the refusal showed). Every distributor therefore shows
-`Replica.highest` whenever it asks the publisher for something.
-
-A publisher that restarts, also one restored from a backup, claims anew at every start and never goes on with
-a stored term: it can't know what it published after the backup was made. Since a majority promised its former
-term before it published anything in it, the new claim hears of that term and gets a higher one.
-
-Restored state has forgotten promises. Until a distributor has heard from enough others since it started
-(`Claim.term` of a claim with `remembers=False` is not None), it answers no claim and its own answer does not
-count in its own; then it raises its floor to `Claim.highest` (`promise`). That covers one that has forgotten
-at a time, or several if enough others remember; if most are restored at once, nobody can know which terms
-there were, and the operator must have them start with a term that was never used.
+"""How a distributor becomes the publisher: a claim in two phases.
+
+In the first phase the claimant asks the distributors for the highest version that each has held or promised
+(`Claim.record_highest`). A majority of replies, including its own, determines the term. In the second phase
+it asks for a promise of that term (`promise`, `Claim.record_promise`): a distributor that promises accepts
+nothing of an earlier term from then on, and replies with the version that it holds. The claimant promises
+first. With a majority of promises it brings its replica to the content of `Claim.newest_holder` (`catch_up`)
+and starts a `Publisher` of the term. A distributor stores its promise (the floor of its replica) before it
+replies.
+
+Concurrent claims have different terms, because each distributor index has its own terms. Both claimants may
+be publishers for a while. A distributor that has promised the higher term refuses updates of the lower one
+and returns the higher term with the refusal, upon which the lower publisher steps down (`Publisher.observe`).
+A change of the lower term that a majority holds is found by `newest_holder` of the higher one. A change that
+fewer distributors hold may be lost; the publisher of the higher term then replaces it everywhere. Two
+contents never share a version.
+
+If a claim has collected promises but does not complete, the distributors that promised keep their content
+until the next claim and refuse the present publisher. The publisher learns of it from the first refusal,
+steps down, and may claim again; `Claim.observe` passes the version from the refusal to the new claim. For
+this reason each distributor sends `Replica.highest` with every request to the publisher.
+
+A publisher that restarts, also from a backup, makes a new claim at every start and never resumes a stored
+term: it cannot know what it published after the backup was made. A majority promised its former term before
+it published anything in that term, so the new claim learns of the former term and chooses a higher one.
+
+State restored from a backup may lack promises made since. Until a distributor has replies from enough others
+since its start (until `Claim.term` of a claim with `remembers=False` is not None), it answers no claims and
+its own reply does not count in its own claim; then it raises its floor to `Claim.highest` (`promise`). This
+covers one such distributor at a time, or several if enough others have kept their promises. If most are
+restored at once, nobody knows which terms existed, and the operator must start them with a term that was
+never used.
 """
 
 from __future__ import annotations
@@ -35,18 +38,20 @@
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import NO_VERSION, Version
 
-# A term is a round and the index of the claimant: round * TERMS_PER_ROUND + index.
+# A term combines a round and the claimant's index: round * TERMS_PER_ROUND + index.
 TERMS_PER_ROUND = 64
 
 
 def majority(distributors: int) -> int:
-    """How many of the distributors are more than half of them."""
+    """Returns the smallest number of distributors that is more than half of them."""
     return distributors // 2 + 1
 
 
 def promise(replica: Replica, term: int) -> bool:
-    """A distributor's answer to the claim of a term: True if it promises to accept nothing older. It may be
-    asked again, and answers the same as long as nothing newer came."""
+    """Promises to accept nothing older than `term`, by raising the floor of the replica.
+
+    Returns False if the replica has held or promised something newer than the start of `term`. Idempotent: a
+    repeated request for the same term is granted until something newer arrives."""
     first = Version(term, 0)
     if replica.highest() > first:
         return False
@@ -55,8 +60,8 @@
 
 
 def catch_up(replica: Replica, update: Update) -> Outcome:
-    """Gives a claimant the newest content that a majority told of. That is older than the term which the
-    claimant itself has promised, so that the floor doesn't count here."""
+    """Applies the newest content held by a majority to the replica of a claimant, ignoring its floor: this
+    content is older than the term that the claimant itself has promised. The floor stays as it was."""
     floor = replica.floor
     replica.floor = NO_VERSION
     try:
@@ -67,10 +72,12 @@
 
 class Claim:
     """One attempt of the distributor `index` among `distributors` to become the publisher. `remembers` is
-    False for one that may have forgotten promises: its own answer doesn't count then."""
+    False if that distributor may have lost promises, for example after a restore from a backup; its own reply
+    then does not count."""
 
     def __init__(self, index: int, distributors: int, *, remembers: bool = True) -> None:
-        """The claim of one place among so many; `ValueError` for a place or a number that can't be."""
+        """Raises `ValueError` unless 1 <= `distributors` <= `TERMS_PER_ROUND` and 0 <= `index` <
+        `distributors`."""
         if not 1 <= distributors <= TERMS_PER_ROUND:
             raise ValueError(f"1 to {TERMS_PER_ROUND} distributors expected, found {distributors}")
         _check_index(index, distributors)
@@ -83,35 +90,36 @@
         self._fixed_term: int | None = None
 
     def record_highest(self, index: int, highest: Version) -> None:
-        """The distributor `index`, which may be the claimant, has seen no version above `highest`
-        (`Replica.highest`)."""
+        """Records the reply of the first phase of distributor `index`, which may be the claimant itself: it
+        has held or promised no version above `highest` (`Replica.highest`)."""
         _check_index(index, self._distributors)
         self._responders.add(index)
         self.observe(highest)
 
     def observe(self, version: Version) -> None:
-        """Somebody has seen this version, but answers no question by it: it was shown with a refusal, or to a
-        former claim or publisher of the claimant."""
+        """Records a version that exists elsewhere but is no reply of the first phase: it came with a refusal,
+        or was seen by an earlier claim or publisher of the claimant."""
         self._highest = max(self._highest, version)
 
     def term(self) -> int | None:
-        """The term that is claimed; None until a majority has answered. The first promise fixes it, which is
-        that of the claimant itself, before it asks others."""
+        """The term that is claimed, or None until enough distributors have replied. The first promise fixes
+        it, which is the claimant's own, given before it asks others."""
         if self._fixed_term is not None:
             return self._fixed_term
         return self._next_term() if self._has_quorum() else None
 
     def superseded(self) -> bool:
-        """Whether something above the fixed term was seen: this claim is best given up for a new one, since
-        whoever has seen that refuses what is published in this term."""
+        """Whether a version above the fixed term was observed. The claim should then be abandoned for a new
+        one, since distributors that have seen that version refuse updates of this term."""
         return self._fixed_term is not None and self._highest > Version(self._fixed_term, 0)
 
     def highest(self) -> Version:
-        """The highest version that was heard of."""
+        """The highest version observed so far."""
         return self._highest
 
     def record_promise(self, index: int, held: Version) -> None:
-        """The distributor `index` has promised the term and holds this version."""
+        """Records that distributor `index` promised the term and holds version `held`. Raises `ValueError`
+        while there is no term."""
         _check_index(index, self._distributors)
         self._fixed_term = self.term()
         if self._fixed_term is None:
@@ -119,9 +127,11 @@
         self._promises[index] = held
 
     def newest_holder(self) -> int | None:
-        """Whose content the new publisher starts from; None until a majority has promised the term.
+        """The index of the distributor whose content the new publisher starts from; None until a majority has
+        promised the term.
 
-        It is the newest content that a promise told of, the claimant's own where several have that."""
+        This is the newest content reported with a promise: the claimant's own if it is among the newest,
+        otherwise that of the lowest index."""
         if len(self._promises) < majority(self._distributors):
             return None
         newest = max(self._promises.values())
@@ -129,7 +139,7 @@
         return self._index if self._index in holders else min(holders)
 
     def _has_quorum(self) -> bool:
-        """Whether the answers include one of every majority that may have promised an earlier term."""
+        """Whether the replies include a member of every majority that may have promised an earlier term."""
         if self._remembers or self._distributors == 1:
             return len(self._responders) >= majority(self._distributors)
         others_in_majority = majority(self._distributors) - 1
--- a/thistlelever/distribution/codec.py
+++ b/thistlelever/distribution/codec.py
@@ -1,7 +1,7 @@
-"""The bodies of the distribution protocol as MessagePack: requests, updates and replies. Pure functions.
+"""MessagePack encoding of the distribution protocol's requests, updates and replies. Pure functions.
 
-A digest travels as 16 bytes, as MessagePack's integers end at 64 bits; a record is an array in the order of
-the fields of `EngineRecord`.
+A digest is encoded as 16 bytes, since MessagePack integers have at most 64 bits. A record is encoded as an
+array of the fields of `EngineRecord` or `DocumentRecord`, in their order.
 """
 
 from __future__ import annotations
@@ -25,29 +25,30 @@
 
 
 class ProtocolError(Exception):
-    """A body that is not of this protocol."""
+    """The body is not a valid message of this protocol."""
 
 
 class HeldRecord(Struct, array_like=True, frozen=True):
-    """A record that a front holds, told by its short digest (`reconnect`)."""
+    """The id and the short digest of a record that a front holds (`reconnect.short_digest`)."""
 
     id: str
     digest: bytes
 
 
 class RequirementField(Struct, array_like=True, frozen=True):
-    """Zones and kinds that some query class may run on, sorted; None for any."""
+    """Zones and kinds of engines that a query class may run on, sorted; None for any."""
 
     zones: tuple[str, ...] | None
     kinds: tuple[str, ...] | None
 
 
 class WatchRequest(Struct, array_like=True, frozen=True):
-    """A front asks for what differs from what it holds, and waits `wait` seconds at most for a difference.
+    """A long poll of a front for the difference to the content that it holds; the distributor replies after
+    `wait` seconds at the latest.
 
-    `held` is told on the first request of a connection; afterwards it is None, which means: as this
-    distributor told it last. `retained` are engines that the front still has queries at, whether or not
-    they are in its subset.
+    `held` is sent with the first request of a connection. It is None in later requests, which means that the
+    front holds what this distributor sent last. `retained` lists the engines that still run queries of this
+    front, whether or not they are in its subset.
     """
 
     front: str
@@ -64,8 +65,8 @@
 
 
 class FollowRequest(Struct, array_like=True, frozen=True):
-    """A distributor asks another for what differs from the whole content that it holds. `index` is its place
-    among the distributors; below `floor` it accepts nothing."""
+    """A long poll of a distributor to another for the difference to the whole content that it holds. `index`
+    is the sender's index among the distributors; it accepts no version below `floor`."""
 
     index: int
     version: Version
@@ -75,38 +76,39 @@
 
 
 class AnnounceRequest(Struct, array_like=True, frozen=True):
-    """A publisher tells which version it holds, so that whoever follows another learns of it."""
+    """A publisher announces the version that it holds, so that distributors that follow another one learn of
+    it."""
 
     index: int
     version: Version
 
 
 class HighestRequest(Struct, array_like=True, frozen=True):
-    """A claimant of the publisher's role asks for the highest version that the other has held or promised."""
+    """First phase of a claim: requests the highest version that the receiver has held or promised."""
 
     index: int
 
 
 class PromiseRequest(Struct, array_like=True, frozen=True):
-    """A claimant asks the other to accept nothing of an earlier term any more."""
+    """Second phase of a claim: requests a promise to accept nothing of an earlier term than `term`."""
 
     index: int
     term: int
 
 
 class VersionReply(Struct, array_like=True, frozen=True):
-    """The answer to a claimant and to an announcement: the version held, the highest that was held or
-    promised, and whether what was asked for is granted."""
+    """The reply to a claimant or an announcement: the version held, the highest version held or promised, and
+    whether the request is granted."""
 
     held: Version
     highest: Version
-    # How many seconds ago the content was known to be the newest.
+    # Seconds since the content was last known to be the newest.
     age: float
     granted: bool = True
 
 
 class DeltaBody(Struct, array_like=True, frozen=True, tag="delta"):
-    """`Delta` on the wire."""
+    """The encoded form of `messages.Delta`."""
 
     base: Version
     base_digest: bytes
@@ -118,7 +120,7 @@
 
 
 class SnapshotBody(Struct, array_like=True, frozen=True, tag="snapshot"):
-    """`Snapshot` on the wire."""
+    """The encoded form of `messages.Snapshot`."""
 
     version: Version
     digest: bytes
@@ -127,9 +129,10 @@
 
 
 class Reply(Struct, array_like=True, frozen=True):
-    """The answer to a watch or to a follow. `update` is None where nothing differs and the version is the
-    one held. `age` says how many seconds ago the sender last knew its content to be the newest; `fronts`,
-    to a front, how many fronts may send queries to any one of its engines, itself included."""
+    """The reply to `WatchRequest` and `FollowRequest`. `update` is None if neither content nor version differ
+    from what is held. `age` is the number of seconds since the sender last knew its content to be the newest.
+    `fronts`, in a reply to a front, is the largest number of fronts, itself included, that may send queries
+    to any one of its engines."""
 
     update: DeltaBody | SnapshotBody | None
     age: float
@@ -165,12 +168,12 @@
 
 
 def encode(body: Body) -> bytes:
-    """The bytes of a request or of a reply."""
+    """Encodes a request or a reply."""
     return _encode(body)
 
 
 def decode(data: bytes | memoryview, kind: type[Kind]) -> Kind:
-    """The request or reply that the bytes hold; `ProtocolError` where they hold none."""
+    """Decodes a request or a reply of the given class; raises `ProtocolError` if the bytes are not valid."""
     try:
         return _decoders[kind](data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -178,17 +181,17 @@
 
 
 def digest_bytes(digest: int) -> bytes:
-    """A digest as it travels."""
+    """Encodes a digest as `DIGEST_BYTES` bytes, big-endian."""
     return digest.to_bytes(DIGEST_BYTES, "big")
 
 
 def digest_from(data: bytes) -> int:
-    """The digest that `digest_bytes` made `data` of."""
+    """Decodes a digest; the inverse of `digest_bytes`."""
     return int.from_bytes(data, "big")
 
 
 def update_to_body(update: Update) -> DeltaBody | SnapshotBody:
-    """An update as it travels."""
+    """Converts an update to its encoded form, with engines and documents apart."""
     if isinstance(update, Snapshot):
         engines, documents = tuple(engines_of(update.records)), tuple(documents_of(update.records))
         return SnapshotBody(update.version, digest_bytes(update.digest), engines, documents)
@@ -204,7 +207,7 @@
 
 
 def update_from_body(body: DeltaBody | SnapshotBody) -> Update:
-    """The update that travelled as `body`."""
+    """Converts the encoded form to an update; the inverse of `update_to_body`."""
     if isinstance(body, SnapshotBody):
         return Snapshot(body.version, digest_from(body.digest), (*body.records, *body.documents))
     return Delta(
--- a/thistlelever/distribution/election.py
+++ b/thistlelever/distribution/election.py
@@ -1,4 +1,4 @@
-"""When a distributor claims the publisher's role by itself, because nobody hears the publisher any more."""
+"""When a distributor claims the publisher's role by itself, because the publisher is unreachable."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from thistlelever.distribution.claim import TERMS_PER_ROUND
 from thistlelever.distribution.versions import Version
 
-# The distributors behind the lost publisher claim one after the other, this far apart, so that one claim
-# mostly meets no other; past so many places all are as late as the last.
+# Distributors claim one after the other, in the order of their indexes after that of the lost publisher and
+# this many seconds apart, so that claims rarely collide. After MAX_STAGGER_STEPS steps the delay no longer
+# grows.
 STAGGER_S = 0.4
 MAX_STAGGER_STEPS = 5
-# After a claim that failed the next comes this much later at least, and up to twice as late, by chance.
+# After a failed claim the next one follows after one to two times this delay (pseudo-random jitter).
 RETRY_DELAY_S = 1.0
 
 
 class Election:
-    """One distributor's view: `index` of `distributors`; the publisher counts as lost once nobody has heard
-    it for `after` seconds."""
+    """The view of the distributor `index` among `distributors`. The publisher counts as lost once no
+    distributor has had contact with it for `timeout` seconds."""
 
     def __init__(self, index: int, distributors: int, timeout: float) -> None:
-        """Nothing has failed yet."""
+        """Starts without failed claims."""
         self.index, self.distributors, self.timeout = index, distributors, timeout
         self.failures, self.not_before = 0, 0.0
 
     def is_due(self, now: float, age: float, highest: Version) -> bool:
-        """Whether to claim now. `age` is how long ago the content was last known to be the newest,
-        `highest` the highest version that was seen: its term names the publisher that is lost. A tier that
-        never had one elects none."""
+        """Whether to claim at time `now`, in seconds. `age` is the number of seconds since the content was
+        last known to be the newest. `highest` is the highest version seen; its term identifies the lost
+        publisher. A tier that never had a publisher elects none."""
         if not highest.term or now < self.not_before:
             return False
         publisher = highest.term % TERMS_PER_ROUND
@@ -35,11 +36,12 @@
         return age > self.timeout + min(offset, MAX_STAGGER_STEPS) * STAGGER_S
 
     def is_publisher_alive(self, ages: list[float]) -> bool:
-        """Whether one of those that answered has heard the publisher lately: then it is not lost."""
+        """Whether any distributor that replied had contact with the publisher within the timeout, by the
+        `ages` of their contents in seconds."""
         return any(age <= self.timeout for age in ages)
 
     def failed(self, now: float) -> None:
-        """A claim has failed: the next comes later."""
+        """Delays the next claim after a failed one at time `now`."""
         self.failures += 1
         jitter = crc32(b"%d election %d" % (self.index, self.failures)) / 2**32
         self.not_before = now + RETRY_DELAY_S * (1 + jitter)
--- a/thistlelever/distribution/history.py
+++ b/thistlelever/distribution/history.py
@@ -1,4 +1,4 @@
-"""The last changes of the whole content, from which a receiver that is a little behind gets one delta."""
+"""The latest changes of the whole content, from which a receiver that lags a little gets one delta."""
 
 from __future__ import annotations
 
@@ -10,38 +10,40 @@
 from thistlelever.distribution.records import Record
 from thistlelever.distribution.versions import Version
 
-# A history keeps no more upserts and removals than this, however few its changes are.
+# Default limit of the upserts and removals kept, which bounds memory when single changes are large.
 MAX_HISTORY_RECORDS = 65_536
 
 
 class History:
-    """The last `max_changes` changes, in order, together of at most `max_records` upserts and removals."""
+    """At most `max_changes` consecutive changes with together at most `max_records` upserts and removals."""
 
     def __init__(self, max_changes: int, max_records: int = MAX_HISTORY_RECORDS) -> None:
-        """An empty history with these bounds."""
+        """Creates an empty history; raises `ValueError` if a limit is below 1."""
         if max_changes < 1 or max_records < 1:
             raise ValueError("a history keeps at least one change of one record")
         self._max_changes = max_changes
         self._max_records = max_records
         self._changes: deque[Delta] = deque()
         self._record_count = 0
-        # Changes are numbered as they are appended; that of the oldest one kept is `_first_position`.
+        # Changes are numbered in the order of `append`; `_first_position` is the number of the oldest one
+        # kept.
         self._first_position = 0
-        # The position of the change that starts at a version, with that version's digest.
+        # By base version: the number of the change that starts there, and the digest of that version.
         self._starts: dict[Version, tuple[int, int]] = {}
         self._newest: tuple[Version, int] | None = None
 
     def __len__(self) -> int:
-        """How many changes are kept."""
+        """The number of changes kept."""
         return len(self._changes)
 
     @property
     def record_count(self) -> int:
-        """How many upserts and removals are kept."""
+        """The number of upserts and removals kept."""
         return self._record_count
 
     def append(self, delta: Delta) -> None:
-        """Adds the change that was just applied; `ValueError` where it doesn't follow the newest one."""
+        """Appends a change that was just applied; raises `ValueError` if it does not follow the newest
+        one."""
         base = (delta.base, delta.base_digest)
         if self._newest is not None and base != self._newest:
             raise ValueError(f"a change from {self._newest[0]} expected, found one from {delta.base}")
@@ -53,8 +55,9 @@
             self._drop_oldest()
 
     def since(self, version: Version, digest: int) -> Delta | None:
-        """One delta from there to the newest version; empty if that is the newest. None where the version is
-        not kept, or was kept with another digest: the receiver needs a snapshot."""
+        """Merges the changes from `version` to the newest version into one delta, which is empty if `version`
+        is the newest. Returns None if the version is not kept or has another digest: the receiver then needs
+        a snapshot."""
         if self._newest is None:
             return None
         if (version, digest) == self._newest:
@@ -65,7 +68,8 @@
         return _merge(islice(self._changes, position - self._first_position, None), version, digest)
 
     def clear(self) -> None:
-        """Forgets everything: a snapshot was taken, and what was kept no longer leads to what is held."""
+        """Drops all changes. Needed after a snapshot was applied, as they no longer lead to the content
+        held."""
         self._changes.clear()
         self._starts.clear()
         self._record_count = 0
@@ -84,7 +88,7 @@
 
 
 def _merge(changes: Iterable[Delta], base: Version, base_digest: int) -> Delta:
-    """One delta for several that follow each other: the last word on each id counts."""
+    """Merges consecutive deltas into one; the last change of each id wins."""
     upserts: dict[str, Record] = {}
     removals: dict[str, Removal] = {}
     version, digest = base, base_digest
--- a/thistlelever/distribution/messages.py
+++ b/thistlelever/distribution/messages.py
@@ -1,4 +1,4 @@
-"""What a sender tells a receiver of the content: a whole version, or the difference between two."""
+"""Updates from a sender to a receiver: the whole content of a version, or the difference between two."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Removal(NamedTuple):
-    """An engine that the receiver shall no longer hold. `gone`: it has left the content altogether; otherwise
-    it only left what this receiver is told."""
+    """A record that the receiver must drop. `gone` is True if it was removed from the whole content, False if
+    it only left the part of the content that this receiver is sent."""
 
     id: str
     gone: bool
 
 
 class Delta(NamedTuple):
-    """The difference between what the receiver holds and `version`. It applies to nothing but the content
-    whose version is `base` and whose digest is `base_digest`; afterwards the digest is `digest`."""
+    """The difference between the content of a receiver and `version`. It applies only to the content with
+    version `base` and digest `base_digest`; the resulting content has the digest `digest`."""
 
     base: Version
     base_digest: int
--- a/thistlelever/distribution/publisher.py
+++ b/thistlelever/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""Makes the versions of the whole content: one change after the other, each checked before it is in force."""
+"""Creates the versions of the whole content: one validated change after the other."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
 
 
 class SupersededError(PublishRefusedError):
-    """Another publisher has a higher term."""
+    """Another publisher has a newer version or a higher term."""
 
 
 class UnexpectedVersionError(PublishRefusedError):
-    """The change was made for another version than the present one."""
+    """The change was prepared for another version than the present one."""
 
 
 class Publisher:
-    """The publisher of one term. It changes `replica` and appends to `history`; nobody else may meanwhile.
+    """The publisher of one term. It modifies `replica` and appends to `history`; nothing else may modify
+    them.
 
-    A refusal (`PublishRefusedError`) leaves everything as it was. Once somebody showed a version that this
-    publisher has not made and that is newer than its own (`observe`), `superseded` holds that version and
-    nothing can be published any more: the role needs a new claim (`claim.Claim`) and a new publisher.
+    A refused change (`PublishRefusedError`) has no effect. Once a version is observed that is newer than
+    those of this publisher and was not created by it (`observe`), `superseded` holds that version and every
+    further publish is refused: the role requires a new claim (`claim.Claim`) and a new publisher.
     """
 
     def __init__(self, replica: Replica, history: History, term: int) -> None:
-        """`ValueError` where a higher term than `term` was seen or promised."""
+        """Raises `ValueError` if the replica has held or promised a version above the start of `term`."""
         if replica.highest() > Version(term, 0):
             raise ValueError(f"a term above that of {replica.highest()} expected, found {term}")
         self.replica = replica
@@ -57,25 +58,26 @@
         self._ids_by_address = {record.address: record.id for record in engines_of(replica.records.values())}
 
     def observe(self, version: Version) -> None:
-        """Notes a version that somebody showed. One that is newer than the newest of this publisher comes
-        from another publisher, or from this one before it was restored from a backup."""
+        """Records a version that exists elsewhere. If it is newer than this publisher's newest version, it
+        comes from another publisher, or from this one before it was restored from a backup."""
         if version > max(self._published, Version(self.term, 0)):
             self.superseded = max(version, self.superseded or version)
 
     def begin(self) -> Delta:
-        """A version of this term without a change, so that receivers accept nothing of earlier terms even
-        before the first change."""
+        """Publishes a version of this term without changes, so that receivers refuse earlier terms even
+        before the first change. Raises `SupersededError`."""
         self._check_role(None)
         return self._commit([], [])
 
     def publish(
         self, upserts: Sequence[Record], removed_ids: Sequence[str], expected: Version | None
     ) -> Delta | None:
-        """Publishes a change in time by its own size. `expected` is the version that the change was made
-        for; None for whichever is present.
+        """Publishes a change; the time depends on the size of the change, not of the content. `expected` is
+        the version that the change was prepared for, None for any.
 
-        Upserts equal to what is held and removals of unknown ids are left out, so that a change may be sent
-        again; None if nothing is left, and the version stays.
+        Upserts equal to the records held and removals of unknown ids are dropped, so that a change may be
+        sent again. Returns None, and keeps the version, if nothing remains. Raises `PublishRefusedError` or
+        one of its subclasses.
         """
         self._check_role(expected)
         size = len(upserts) + len(removed_ids)
@@ -94,11 +96,11 @@
         return self._commit_if_any(changed, removed)
 
     def replace_all(self, records: Sequence[EngineRecord], expected: Version | None) -> Delta | None:
-        """Publishes the smallest change that leaves exactly these engines, and documents as they are; None if
-        nothing differs.
+        """Publishes the smallest change that results in exactly these engines and leaves documents unchanged.
+        Returns None if nothing differs. Raises `PublishRefusedError` or one of its subclasses.
 
-        An empty list is refused: it is far more often a fault of its source than meant. Whoever means it
-        removes by id.
+        An empty list is refused, since it is far more often a fault of its source than intended. To remove
+        all engines, remove them by id.
         """
         self._check_role(expected)
         if not records:
@@ -120,7 +122,7 @@
             raise UnexpectedVersionError(f"expected: {self.replica.version} expected; found {expected}")
 
     def _check_addresses(self, upserts: Sequence[EngineRecord], changed_ids: set[str]) -> None:
-        """No upsert may have the address of an engine that keeps its own; addresses may be exchanged."""
+        """Refuses an upsert with the address of an engine outside this change; engines may swap addresses."""
         for position, record in enumerate(upserts):
             owner = self._ids_by_address.get(record.address)
             if owner is not None and owner not in changed_ids:
@@ -140,7 +142,7 @@
         return self._commit(upserts, removed_ids)
 
     def _check_documents(self, upserts: list[Record]) -> None:
-        """The number of documents is bounded, as every front holds all of them."""
+        """Limits the number of documents, since every front holds all of them."""
         new = [record for record in documents_of(upserts) if record.id not in self.replica.records]
         if new and len(new) + sum(1 for _ in documents_of(self.replica.records.values())) > MAX_DOCUMENTS:
             raise PublishRefusedError(f"documents: at most {MAX_DOCUMENTS} expected")
@@ -169,7 +171,7 @@
         return unfinished._replace(digest=(replica.digest - before + after) & DIGEST_MASK)
 
     def _held(self, delta: Delta) -> list[Record]:
-        """The records of the present version that this delta replaces or removes."""
+        """The records of the present version that `delta` replaces or removes."""
         ids = [record.id for record in delta.upserts] + [removal.id for removal in delta.removals]
         held = self.replica.records
         return [held[engine_id] for engine_id in ids if engine_id in held]
--- a/thistlelever/distribution/reconnect.py
+++ b/thistlelever/distribution/reconnect.py
@@ -1,7 +1,9 @@
-"""What a front is told that comes with content from elsewhere: after a cut or a restart of either side.
+"""The update for a front that connects with content received elsewhere: after a lost connection or a restart
+of either side.
 
-It names what it holds by short digests of its records, some 25 bytes each, so that any distributor can answer
-with a delta, whatever was told by whom before. Cost: the size of the two, whatever the size of the content.
+The front identifies its content by short digests of its records, about 25 bytes each, so that any distributor
+can reply with a delta, regardless of what was sent before and by which one. The time depends on the sizes of
+the content held and wanted, not of the whole content.
 """
 
 from __future__ import annotations
@@ -14,17 +16,18 @@
 from thistlelever.distribution.versions import Version
 from thistlelever.distribution.views import compute_removals
 
-# Enough to tell two states of one engine apart; a digest of all that is held is compared in the end.
+# Long enough to distinguish two states of one record; the digest of the whole result is checked by the
+# receiver.
 SHORT_DIGEST_BYTES = 8
 
 
 def short_digest(record: Record) -> bytes:
-    """The first bytes of a record's digest."""
+    """The first `SHORT_DIGEST_BYTES` bytes of the digest of a record."""
     return record_digest(record).to_bytes(DIGEST_BITS // 8, "big")[:SHORT_DIGEST_BYTES]
 
 
 class HeldDigests(NamedTuple):
-    """What a front holds: version and digest of all, and the short digest of each record by its id."""
+    """The content of a front: its version and digest, and the short digest of each record by id."""
 
     version: Version
     digest: int
@@ -38,8 +41,9 @@
     exists: Callable[[str], bool],
     retained: tuple[str, ...],
 ) -> Delta:
-    """The delta from what a front holds to the records wanted for it at `version`. An engine that it
-    retains and that exists no more is told as gone."""
+    """Computes the delta from the content that a front holds to the `wanted` records at `version`. `exists`
+    tells whether an id is in the whole content; a retained engine that no longer exists is reported as
+    gone."""
     wanted_ids = {record.id for record in wanted}
     upserts = tuple(record for record in wanted if held.records.get(record.id) != short_digest(record))
     removals = compute_removals(held.records, wanted_ids, exists, retained)
--- a/thistlelever/distribution/replica.py
+++ b/thistlelever/distribution/replica.py
@@ -16,36 +16,36 @@
 
 
 class Outcome(Enum):
-    """What became of an update. Anything but `APPLIED` left the replica as it was."""
+    """The result of an update. All but `APPLIED` leave the replica unchanged."""
 
-    # The update is in force.
+    # The replica holds the content of the update.
     APPLIED = "applied"
-    # The replica holds this already, for example because the update came twice.
+    # The replica held this content already, for example because the update was delivered twice.
     UNCHANGED = "unchanged"
-    # Older than what is held, or than the floor: the sender is behind. Ask another one.
+    # Older than the version held or than the floor: the sender is behind, so another one should be asked.
     STALE = "stale"
-    # A delta against something else than what is held: ask anew, naming what is held.
+    # The base of the delta is not the content held: request again with the version and digest held.
     GAP = "gap"
-    # The content would not have the digest that the sender announced: ask for a snapshot.
+    # The result would not have the announced digest, or ids are repeated: request a snapshot.
     DAMAGED = "damaged"
-    # Two contents under one version. Only the next newer version ends this; tell the operator.
+    # Two contents share one version. Lasts until a newer version arrives; needs the operator's attention.
     CONFLICT = "conflict"
 
 
 class Replica:
     """The records of one version. An update is applied as a whole or not at all.
 
-    With `strict` the replica holds the whole content, of which there is one for each version: another content
-    under the version that is held is a `CONFLICT`. Without it the replica holds what one front is told. That
-    may differ at one version (the front retains other engines, or the subset is computed on other terms), so
-    that a snapshot of the version held is applied, and a delta too if its base is exactly what is held.
+    With `strict` the replica holds the whole content, which is unique for each version: other content with
+    the version held is a `CONFLICT`. Without it the replica holds the content of one front, which may change
+    within a version (when the front retains other engines, or the subset is computed with other parameters).
+    A snapshot of the version held is then applied, and so is a delta whose base is exactly the content held.
 
-    Nothing older than `floor` is accepted. A front that restarts sets it to the last version that it had; a
+    Versions older than `floor` are refused. A front that restarts sets it to the last version that it held; a
     distributor raises it when it promises a term (`claim.promise`).
     """
 
     def __init__(self, *, strict: bool = True, floor: Version = NO_VERSION) -> None:
-        """An empty replica."""
+        """Creates an empty replica."""
         self.strict = strict
         self.floor = floor
         self.version = NO_VERSION
@@ -53,8 +53,8 @@
         self.records: dict[str, Record] = {}
 
     def receive(self, update: Update) -> Outcome:
-        """Applies the update if it is newer and fits. A delta costs time by its own size, not by the size of
-        the content."""
+        """Applies the update if it is newer and matches the content held. The time for a delta depends on its
+        size, not on that of the content."""
         if update.version < self.highest():
             return Outcome.STALE
         if isinstance(update, Snapshot):
@@ -62,11 +62,11 @@
         return self._receive_delta(update)
 
     def highest(self) -> Version:
-        """The version below which nothing is accepted."""
+        """The version below which updates are refused: the highest held or promised."""
         return max(self.version, self.floor)
 
     def snapshot(self) -> Snapshot:
-        """All that is held, as an update for others."""
+        """The content held, as an update for other receivers."""
         return Snapshot(self.version, self.digest, tuple(self.records.values()))
 
     def _receive_snapshot(self, snapshot: Snapshot) -> Outcome:
@@ -107,8 +107,8 @@
         return delta.base == self.version and delta.base_digest == self.digest
 
     def _carries_changes(self, delta: Delta) -> bool:
-        """A delta that ends at what is held may still tell a front that an engine is gone that it no longer
-        holds a record of."""
+        """Whether a delta whose result is the content held must still be applied: it may report to a front
+        that an engine is gone of which the front holds no record."""
         return not self.strict and self._holds_base(delta) and bool(delta.upserts or delta.removals)
 
     def _digest_after(self, delta: Delta) -> int:
--- a/thistlelever/distribution/validation.py
+++ b/thistlelever/distribution/validation.py
@@ -1,4 +1,4 @@
-"""Which records may be published: the bounds of each field, and what must be unique."""
+"""Which records may be published: the limits of each field, and what must be unique."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 MAX_NAME_CHARACTERS = 128
 MAX_RECORDS = 65_536
 MAX_RECORDS_PER_CHANGE = 4_096
-# A document goes whole to every front at each change of it: one that changes each 3 s takes 5.5 KB a second.
+# Each change of a document sends all of it to every front: one of this size that changes every 3 s takes 5.5
+# KB/s.
 MAX_DOCUMENT_BYTES = 16_384
 MAX_DOCUMENTS = 16
 
-# `HOST:PORT` in its one spelling: no leading zeros, 0 to 255 four times, 1 to 65535.
+# Canonical IPv4 `HOST:PORT`: four octets of 0 to 255 and a port of 1 to 65535, without leading zeros.
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
 _PORT = r"(?:6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5][0-9]{4}|[1-9][0-9]{0,3})"
 _ADDRESS = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}")
 
 
 class PublishRefusedError(Exception):
-    """A publish was refused and the present version stays. The text names the path of the fault."""
+    """A change was refused and the present version stays. The message begins with the path of the invalid
+    value."""
 
 
 def validate(records: Sequence[EngineRecord], path: str = "engines") -> None:
-    """Checks records that are to stand together: each for itself, and that no id and no address comes
-    twice. Raises `PublishRefusedError` at the first fault."""
+    """Checks each of the records, and that their ids and addresses are unique. Raises `PublishRefusedError`
+    at the first fault; `path` is the name of the list in the message."""
     if len(records) > MAX_RECORDS:
         raise PublishRefusedError(f"{path}: at most {MAX_RECORDS} records expected; found {len(records)}")
     positions_by_id: dict[str, int] = {}
@@ -47,7 +49,8 @@
 
 
 def validate_documents(documents: Sequence[DocumentRecord]) -> None:
-    """Checks documents for themselves, each with the check that its publisher has for its name."""
+    """Checks the names and sizes of documents; their content is not checked here. Raises
+    `PublishRefusedError` at the first fault."""
     names: set[str] = set()
     for record in documents:
         path = f"documents.{record.name}"
@@ -62,7 +65,8 @@
 
 
 def validate_removed_ids(removed_ids: Sequence[str], upserted_ids: Collection[str]) -> None:
-    """Checks that ids to be removed are ids, come once and are not upserted as well."""
+    """Checks that the ids to remove are valid, unique and not upserted by the same change. Raises
+    `PublishRefusedError` at the first fault."""
     seen: set[str] = set()
     for position, removed_id in enumerate(removed_ids):
         path = f"removed_ids[{position}]"
@@ -98,12 +102,12 @@
 
 
 def _is_number(value: object) -> bool:
-    # -0.0 doesn't pass: it equals 0.0 and yet has another digest.
+    # -0.0 is refused: it equals 0.0 but has a different digest.
     return type(value) is float and math.isfinite(value) and math.copysign(1.0, value) > 0
 
 
 class _Rule(NamedTuple):
-    """What must hold of one field."""
+    """The constraint of one field of `EngineRecord`."""
 
     field: str
     holds: Callable[[object], bool]
@@ -112,7 +116,7 @@
 
 _NAME_EXPECTED = f"1 to {MAX_NAME_CHARACTERS} printable characters"
 _NUMBER_EXPECTED = "a finite float of at least 0.0"
-# In the order of the fields of `EngineRecord`.
+# In the order of the fields of `EngineRecord`, with which they are zipped.
 _RULES = (
     _Rule("id", _is_name, _NAME_EXPECTED),
     _Rule("zone", _is_name, _NAME_EXPECTED),
--- a/thistlelever/distribution/views.py
+++ b/thistlelever/distribution/views.py
@@ -1,8 +1,8 @@
-"""What a distributor remembers of what it told one front, and what it tells it next.
+"""Tracks the content that a distributor sent to one front, and computes the next update for it.
 
-A front holds a subset of the content, and the engines that it retains while queries of its own are still
-out there (`EngineRecord.in_subset` False). The caller computes these records; here they are compared with
-what the front holds, in time by the size of the two and whatever the size of the content.
+A front holds a subset of the content, and the engines that it retains while they still run its queries
+(`EngineRecord.in_subset` is False). The caller selects these records; this module compares them with the
+content that the front holds, in time that depends on the sizes of these two and not of the whole content.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 
 class FrontView(NamedTuple):
-    """What one front holds after an update. Views share records and may share `records` too: it is never
-    changed."""
+    """The content of one front after an update. Views share records and may share the dict `records`, which
+    is never modified."""
 
     version: Version = NO_VERSION
     digest: int = EMPTY_DIGEST
     records: dict[str, Record] = {}
 
     def is_at(self, version: Version, digest: int) -> bool:
-        """Whether a front that holds this version with this digest holds this view."""
+        """Whether a front with this version and digest holds this view."""
         return self.version == version and self.digest == digest
 
     def after(self, update: Update) -> FrontView:
-        """The view of a front that has applied this update, which was made for this view."""
+        """The view of a front after it applied `update`, which was computed from this view."""
         if isinstance(update, Snapshot):
             records = {record.id: record for record in update.records}
             return FrontView(update.version, update.digest, records)
@@ -48,17 +48,17 @@
 
 
 class SentViews:
-    """The last two views of one front: the one that it is known to hold and the one told since, of which
-    nobody knows whether it arrived. With both, a lost answer costs no snapshot."""
+    """The last two views of one front: the one that it acknowledged, and the one sent since, which may not
+    have arrived. With both, a lost reply does not require a snapshot."""
 
     def __init__(self) -> None:
-        """Nothing was told yet."""
+        """Starts with no view sent."""
         self._acknowledged: FrontView | None = None
         self._sent: FrontView | None = None
 
     def acknowledged(self, version: Version, digest: int) -> FrontView | None:
-        """The view that a front holds which names this version and digest; None if neither is it, and the
-        front needs a snapshot."""
+        """Returns the view with this version and digest, which the front reported, and marks it as
+        acknowledged. Returns None if neither view matches: the front then needs a snapshot."""
         for view in (self._sent, self._acknowledged):
             if view is not None and view.is_at(version, digest):
                 self._acknowledged = view
@@ -67,7 +67,8 @@
         return None
 
     def sent(self, update: Update) -> None:
-        """Remembers what is being sent: a delta from the acknowledged view, or a snapshot."""
+        """Records the update that is being sent: a snapshot, or a delta from the acknowledged view. Raises
+        `ValueError` for a delta from another view."""
         base = self._acknowledged or FrontView()
         if isinstance(update, Delta) and not base.is_at(update.base, update.base_digest):
             raise ValueError(f"a delta from {base.version} expected, found one from {update.base}")
@@ -81,10 +82,10 @@
     exists: Callable[[str], bool],
     retained: Iterable[str] = (),
 ) -> Delta:
-    """The delta from what the front holds to the records wanted for it at `version`.
+    """Computes the delta from the view that a front holds to the `wanted` records at `version`.
 
-    `exists` tells whether an engine is in the whole content. An engine that is `retained` by the front but
-    exists no longer is told as gone, also if the front holds no record of it any more.
+    `exists` tells whether an id is in the whole content. An engine that is `retained` by the front but no
+    longer exists is reported as gone, even if the front no longer holds a record of it.
     """
     wanted_by_id = {record.id: record for record in wanted}
     removals = compute_removals(held.records, wanted_by_id, exists, retained)
@@ -101,25 +102,27 @@
     exists: Callable[[str], bool],
     retained: Iterable[str],
 ) -> tuple[Removal, ...]:
-    """What a front that holds the ids `held` is to hold no longer, and what it retains that is gone."""
-    left = [record_id for record_id in held if record_id not in wanted]
-    lost = [
+    """The removals for a front that holds the ids `held`: ids that are not wanted, and retained engines that
+    it does not hold and that no longer exist."""
+    unwanted = [record_id for record_id in held if record_id not in wanted]
+    gone_unheld = [
         record_id
         for record_id in dict.fromkeys(retained)
         if record_id not in held and record_id not in wanted and not exists(record_id)
     ]
-    return tuple(Removal(record_id, gone=not exists(record_id)) for record_id in left + lost)
+    return tuple(Removal(record_id, gone=not exists(record_id)) for record_id in unwanted + gone_unheld)
 
 
 def snapshot(version: Version, wanted: Iterable[Record]) -> Snapshot:
-    """All the records wanted for a front at `version`."""
+    """Creates a snapshot of the records wanted for a front at `version`."""
     records = tuple(wanted)
     return Snapshot(version, digest_of(records), records)
 
 
 def smallest_update(full: Snapshot, held_version: Version, held_digest: int) -> Update:
-    """What to send of `full` to a front whose view isn't remembered here: if its digest shows that it holds
-    these records already, an empty delta that moves its version. Either way `full` is what to remember."""
+    """The update to send to a front whose view is not known here: an empty delta that only changes the
+    version if the digest shows that the front holds the records of `full` already, otherwise `full`. In both
+    cases `full` is the update to record as sent."""
     if held_digest != full.digest:
         return full
     return Delta(held_version, held_digest, full.version, full.digest, (), ())
