--- a/thistlelever/subsetting/__init__.py
+++ b/thistlelever/subsetting/__init__.py
@@ -1,13 +1,15 @@
-"""Which engines a front holds, where there are too many for each front to hold all: the policy, without I/O
-or clock. Chance comes from hashes of names, so that every process computes the same subsets.
+"""Subsetting: which engines a front holds, where there are too many for each front to hold all.
+
+This package holds the policy, without I/O or clock. Pseudo-random choices derive from hashes of names, so
+that every process computes the same subsets.
 
     ring = EngineRing(SubsetParameters(fronts=3200))
-    ring.put(record)                                            # for each engine
-    ring.subset(FrontIdentity("front-7", "zone-1", 7), (), False)  # what that front holds
+    ring.put(record)                                               # for each engine
+    ring.subset(FrontIdentity("front-7", "zone-1", 7), (), False)  # the engines of that front
 
-Uses nothing else of the package; records are those of `distribution.records`. `subsets` makes the choice, by
-the positions of `ring`, the rings of `index` and the arcs of `widths`; `bounds` counts the fronts that can
-hold an engine.
+It imports nothing else of thistlelever; records are those of `distribution.records`. `subsets` selects the
+engines, using the positions of `ring`, the rings of `index` and the arcs of `arc_widths`; `fan_in` bounds the
+number of fronts that hold an engine.
 """
 
 from thistlelever.subsetting.subsets import EngineRing
--- a/thistlelever/subsetting/arc_widths.py
+++ b/thistlelever/subsetting/arc_widths.py
@@ -1,4 +1,4 @@
-"""How wide the arcs are on which a front holds every engine."""
+"""The widths of the arcs on which a front holds every engine."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 from thistlelever.subsetting.ring import RING_SIZE
 from thistlelever.subsetting.types import SubsetParameters
 
-# A front whose arcs hold fewer ready engines than this share of what they should hold gets further ones.
+# If fewer engines on a front's arcs are ready than this fraction of the target, the front gets additional
+# ones.
 MIN_READY_SHARE = 0.5
 
 
 class ArcWidths:
-    """The widths of all arcs, at one revision of the index. They follow from how many engines there are."""
+    """The widths of all arcs at one revision of the index, computed from the numbers of engines."""
 
     def __init__(self, index: EngineIndex, parameters: SubsetParameters, whole_cells: bool) -> None:
-        """The widths for the engines of `index` as it is now."""
+        """Computes the widths for the engines that `index` holds now."""
         self.parameters, self._engines = parameters, len(index.records)
-        # How many engines both arcs hold on average: with their partners they are `parameters.engines`.
+        # The average number of engines on both arcs. With `whole_cells` each brings the next one of its cell,
+        # so the target is lower.
         self._target = parameters.engines
         if whole_cells:
             self._target = max(
@@ -29,17 +31,18 @@
         }
 
     def home_width(self, zone: str) -> int:
-        """The width of an arc on a zone's own ring; 0 for a zone without engines."""
+        """The width of the arc on the ring of a zone; 0 for a zone without engines."""
         return self._home.get(zone, 0)
 
     def global_width(self, zone: str) -> int:
-        """The width of the arc on the ring of all, for a front in that zone. Of the engines that it does not
-        hold at home, each is on this arc with the same chance."""
+        """The width of the arc on the ring of all engines for a front in `zone`. Each engine that the front
+        does not hold through its zone is on this arc with the same probability."""
         at_home = self._home_counts.get(zone, 0)
         return (self._target - at_home) * RING_SIZE // (self._engines - at_home)
 
     def max_global_width(self) -> int:
-        """The width of the widest arc on the ring of all: that of a front that holds none at home."""
+        """The width of the widest arc on the ring of all engines: that of a front in a zone without
+        engines."""
         return self._target * RING_SIZE // self._engines
 
     def _home_count(self, in_zone: int) -> int:
--- a/thistlelever/subsetting/fan_in.py
+++ b/thistlelever/subsetting/fan_in.py
@@ -1,4 +1,4 @@
-"""How many fronts can hold an engine."""
+"""Upper bounds of the number of fronts that hold an engine."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from thistlelever.subsetting.ring import RING_SIZE, FrontPositions
 from thistlelever.subsetting.types import ANY_ENGINE, Requirement
 
-# How many engines a bound looks back over for a second zone, before it counts every front.
+# Engines examined in the search for other zones; beyond them the bound counts every front.
 MAX_LOOKBACK = 256
 
 
 class FanInBounds:
-    """Upper bounds of how many fronts hold each engine, at one revision of the index, where all fronts ask
-    for the same requirements."""
+    """Upper bounds of the number of fronts that hold each engine, at one revision of the index, if all fronts
+    have the same requirements."""
 
     def __init__(
         self,
@@ -25,7 +25,8 @@
         fronts: FrontPositions,
         home_fronts: FrontPositions,
     ) -> None:
-        """Of these engines, arcs and requirements; `fronts` and `home_fronts` are where fronts lie."""
+        """`fronts` and `home_fronts` are the positions of fronts on the ring of all engines and on those of
+        zones."""
         self._index, self._widths = index, widths
         self._fronts, self._home_fronts = fronts, home_fronts
         self._ready = index.matching(ANY_ENGINE)
@@ -33,15 +34,16 @@
         self._selecting_by_engine: dict[str, int] = {}
 
     def max_holders(self, engine_id: str, whole_cells: bool) -> int:
-        """How many fronts hold an engine at most."""
+        """The largest possible number of fronts that hold an engine."""
         count = self._max_selecting(engine_id)
         if whole_cells:
             count += self._max_selecting(self._index.previous_in_cell(engine_id))
         return count
 
     def _max_selecting(self, engine_id: str) -> int:
-        """How many fronts at most hold an engine otherwise than as another's partner: those on whose arcs it
-        is, and those that could come to it while they look for further engines."""
+        """The largest possible number of fronts that select an engine directly, not as the next one of a
+        cell: fronts whose arcs contain it, and fronts that may reach it when they add engines beyond their
+        arcs."""
         count = self._selecting_by_engine.get(engine_id)
         if count is None:
             position = self._index.positions[engine_id]
@@ -52,7 +54,7 @@
         return count
 
     def _max_distance(self, engine_id: str, position: int) -> int:
-        """How far back a front can be that comes to an engine on the ring of all."""
+        """The largest distance before an engine at which a front may reach it on the ring of all engines."""
         least, width = self._widths.parameters.least, self._widths.max_global_width()
         record = self._index.records[engine_id]
         if record.draining:
@@ -67,8 +69,8 @@
         return max(width, self._distance_outside_zone(position))
 
     def _arcs_suffice(self, position: int, width: int) -> bool:
-        """Whether within `width` before `position` there are surely enough ready engines, and enough zones:
-        the usual case, told at little cost. False where it takes a closer look."""
+        """Whether a cheap check shows that `width` before `position` contains enough ready engines of enough
+        zones, which is the usual case. False means that the exact distances are needed."""
         ready, least = self._ready, self._widths.parameters.least
         end, enough = bisect_left(ready.positions, position), max(self._widths.min_ready, 2 * least)
         if end < enough or position - ready.positions[end - enough] > width:
@@ -77,7 +79,7 @@
         return len(zones) > least
 
     def _distance_outside_zone(self, position: int) -> int:
-        """How far back there are `least` ready engines outside any one zone."""
+        """The distance back within which, for any zone, `least` ready engines are outside it."""
         ready, records = self._ready, self._index.records
         zones: dict[str, int] = {}
         most, end = 0, bisect_left(ready.positions, position)
--- a/thistlelever/subsetting/index.py
+++ b/thistlelever/subsetting/index.py
@@ -1,4 +1,4 @@
-"""All engines by zone, by cell, and by what query classes may run on them."""
+"""All engines by zone, by cell, and by the requirements of query classes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class EngineIndex:
-    """The engines on a ring of all, a ring for each zone, a ring for each cell, and a ring of the ready ones
-    for each requirement that was asked for."""
+    """The engines on a ring of all, a ring for each zone and each cell, and, for each requirement that was
+    looked up, a ring of the engines that meet it and are not draining."""
 
     def __init__(self) -> None:
-        """No engines."""
-        # Rises with each change that can alter a subset. Other changes of a record alter none.
+        """Creates an empty index."""
+        # Incremented by each change that can alter a subset; other changes of a record do not count.
         self.revision = 0
-        # How many engines are in a cell with others.
+        # The number of engines that are not alone in their cell.
         self.engines_sharing_cell = 0
         self.records: dict[str, Engine] = {}
         self.positions: dict[str, int] = {}
@@ -28,7 +28,7 @@
         self._matching: dict[Requirement, Ring] = {ANY_ENGINE: Ring()}
 
     def put(self, record: Engine) -> None:
-        """Take in an engine, or what has changed of it."""
+        """Adds an engine, or replaces its record."""
         before = self.records.get(record.id)
         if before is not None:
             if _placement_fields(before) == _placement_fields(record):
@@ -48,7 +48,7 @@
                 ring.add(position, record.id)
 
     def discard(self, engine_id: str) -> None:
-        """Take out an engine; one that is not there is no fault."""
+        """Removes an engine; does nothing if it is not in the index."""
         record = self.records.pop(engine_id, None)
         if record is None:
             return
@@ -64,7 +64,7 @@
                 ring.remove(position, engine_id)
 
     def matching(self, requirement: Requirement) -> Ring:
-        """The ring of the ready engines that meet a requirement."""
+        """The ring of the engines that meet a requirement and are not draining."""
         ring = self._matching.get(requirement)
         if ring is None:
             ring = self._matching[requirement] = Ring()
@@ -74,11 +74,11 @@
         return ring
 
     def next_in_cell(self, engine_id: str) -> str:
-        """The engine after this one in its cell; itself where it is alone."""
+        """The engine after this one in its cell; itself if it is alone."""
         return self._cell_ring(engine_id).successor(engine_positions(engine_id)[1], engine_id)
 
     def previous_in_cell(self, engine_id: str) -> str:
-        """The engine before this one in its cell; itself where it is alone."""
+        """The engine before this one in its cell; itself if it is alone."""
         return self._cell_ring(engine_id).predecessor(engine_positions(engine_id)[1], engine_id)
 
     def _cell_ring(self, engine_id: str) -> Ring:
@@ -87,17 +87,17 @@
 
 
 def _sharing_change(members: int) -> int:
-    """How many more engines are with others by the last that came to a cell of so many."""
+    """The change of `engines_sharing_cell` by the engine that brings a cell to `members` engines."""
     return {1: 0, 2: 2}.get(members, 1)
 
 
 def _placement_fields(record: Engine) -> tuple[str, int, str, bool]:
-    """All of a record that subsets depend on, besides its id."""
+    """The fields of a record that subsets depend on, besides its id."""
     return record.zone, record.cell, record.kind, record.draining
 
 
 def _remove_from_ring(rings: dict[Key, Ring], key: Key, position: int, engine_id: str) -> None:
-    """Take an engine out of one of several rings; an empty ring goes."""
+    """Removes an engine from the ring at `key`, and that ring if it is then empty."""
     ring = rings[key]
     ring.remove(position, engine_id)
     if not ring:
--- a/thistlelever/subsetting/ring.py
+++ b/thistlelever/subsetting/ring.py
@@ -1,4 +1,4 @@
-"""A ring of engines in the order of their positions, and of positions for fronts."""
+"""Rings of engines, sorted by position, and the positions of fronts on them."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-# Positions are whole numbers below this, so that no rounding differs from one machine to the next.
+# Positions are integers from 0 to RING_SIZE - 1: unlike floats they are the same on every machine.
 RING_SIZE = 1 << 64
 
 
 def engine_positions(engine_id: str) -> tuple[int, int]:
-    """Where an engine is on the rings of zones and of all, and, independent of that, on its cell's ring.
-    Consistent hashing: an engine that comes or goes moves no other."""
+    """The position of an engine on the ring of all engines and that of its zone, and its independent position
+    on the ring of its cell. Consistent hashing: adding or removing an engine moves no other."""
     data = blake2b(engine_id.encode(), digest_size=16).digest()
     return int.from_bytes(data[:8], "big"), int.from_bytes(data[8:], "big")
 
 
 class Ring:
-    """Engine ids in the order of their positions; of equal positions, in the order of ids."""
+    """Engine ids sorted by position, then by id."""
 
     def __init__(self) -> None:
-        """No engines."""
+        """Creates an empty ring."""
         self.positions: list[int] = []
         self.ids: list[str] = []
 
     def __len__(self) -> int:
-        """How many engines are on the ring."""
+        """The number of engines on the ring."""
         return len(self.ids)
 
     def add(self, position: int, engine_id: str) -> None:
-        """Put in an engine that is not on the ring."""
+        """Adds an engine that is not on the ring."""
         index = self._insertion_index(position, engine_id)
         self.positions.insert(index, position)
         self.ids.insert(index, engine_id)
 
     def remove(self, position: int, engine_id: str) -> None:
-        """Take out an engine that is on the ring."""
+        """Removes an engine that is on the ring."""
         index = self._insertion_index(position, engine_id)
         del self.positions[index]
         del self.ids[index]
 
     def arc(self, start: int, width: int) -> list[str]:
-        """The engines from `start` on, up to but without `start + width`."""
+        """The engines at positions from `start` to below `start + width`, around the end of the ring."""
         if width >= RING_SIZE:
             return list(self.ids)
         first, end = bisect_left(self.positions, start), start + width
@@ -51,7 +51,7 @@
         return self.ids[first:] + self.ids[: bisect_left(self.positions, end - RING_SIZE)]
 
     def iter_from(self, start: int) -> Iterator[tuple[int, str]]:
-        """Every engine once, from `start` on, with its distance from there."""
+        """Yields every engine once, in ring order from `start`, with its distance from there."""
         first = bisect_left(self.positions, start)
         for index in range(first, len(self.ids)):
             yield self.positions[index] - start, self.ids[index]
@@ -59,8 +59,8 @@
             yield self.positions[index] + RING_SIZE - start, self.ids[index]
 
     def distance_back(self, position: int, count: int) -> int:
-        """How far back the engine is that is `count` places before `position`; the whole circle where the
-        ring has no so many others."""
+        """The distance from `position` back to the engine `count` engines before it; `RING_SIZE` if the ring
+        has fewer than `count` engines at other positions."""
         index = bisect_left(self.positions, position) - count
         others = len(self.ids) - (
             bisect_right(self.positions, position) - bisect_left(self.positions, position)
@@ -70,11 +70,11 @@
         return (position - self.positions[index]) % RING_SIZE
 
     def successor(self, position: int, engine_id: str) -> str:
-        """The engine after one that is on the ring; itself where it is alone."""
+        """The engine after one that is on the ring; itself if it is the only one."""
         return self.ids[(self._insertion_index(position, engine_id) + 1) % len(self.ids)]
 
     def predecessor(self, position: int, engine_id: str) -> str:
-        """The engine before one that is on the ring; itself where it is alone."""
+        """The engine before one that is on the ring; itself if it is the only one."""
         return self.ids[self._insertion_index(position, engine_id) - 1]
 
     def _insertion_index(self, position: int, engine_id: str) -> int:
@@ -85,21 +85,21 @@
 
 
 class FrontPositions:
-    """Positions of the fronts of ranks 0 to `fronts` - 1: multiples of an irrational share of the circle (a
-    Kronecker sequence). Whatever the number of ranks, and whichever stride picks some of them, they lie about
-    evenly; one rank more moves none of the others."""
+    """Positions of fronts by rank: multiples of an irrational fraction of the ring (a Kronecker sequence).
+    They are spread about evenly for any number of ranks, and for every n-th rank alone; a new rank moves no
+    other."""
 
     def __init__(self, step: int, fronts: int) -> None:
-        """The positions of ranks 0 to `fronts` - 1."""
+        """Places ranks 0 to `fronts` - 1 at multiples of `step`."""
         self.step = step
         self.sorted = sorted(self.position(rank) for rank in range(fronts))
 
     def position(self, rank: int) -> int:
-        """Where the front of that rank is."""
+        """The position of the front of rank `rank`, which may be above all ranks placed."""
         return rank * self.step % RING_SIZE
 
     def count(self, end: int, width: int) -> int:
-        """How many fronts are less than `width` before `end`, or at it."""
+        """The number of fronts at `end` or less than `width` before it."""
         if width >= RING_SIZE:
             return len(self.sorted)
         upper, start = bisect_right(self.sorted, end), end - width
--- a/thistlelever/subsetting/subsets.py
+++ b/thistlelever/subsetting/subsets.py
@@ -1,4 +1,4 @@
-"""Which engines each front holds, where there are too many for each front to hold all."""
+"""Selects the engines of each front, where there are too many for each front to hold all."""
 
 from __future__ import annotations
 
@@ -21,64 +21,68 @@
     SubsetParameters,
 )
 
-# The golden ratio's and the square root of two's fractions of the circle.
+# Steps of the front positions: the fractional parts of the golden ratio and of the square root of 2, times
+# the ring.
 GLOBAL_STEP = (isqrt(5 * RING_SIZE * RING_SIZE) - RING_SIZE) // 2
 ZONE_STEP = isqrt(2 * RING_SIZE * RING_SIZE) - RING_SIZE
 
 
 class EngineRing:
-    """All engines by their place on a ring, and the subset of each front.
+    """All engines, sorted by position on rings, and the subset of each front.
 
-    A front holds the engines on two arcs: one of its own zone's ring, one of the ring of all. An arc has a
-    fixed width and not a fixed number of engines: so each engine is held by the same number of fronts, and
-    a front holds about `parameters.engines`. The width follows from how many engines there are, draining ones
-    included. Engines are added to that, nearest first, only where the arcs hold too few ready ones, too few
-    for a requirement, or too few outside one zone.
+    A front holds the engines on two arcs: one on the ring of its own zone, one on the ring of all engines. An
+    arc has a fixed width rather than a fixed number of engines, so that each engine is held by the same
+    number of fronts, and a front holds about `parameters.engines`. The width depends on the number of
+    engines, including draining ones. Engines beyond the arcs are added, nearest first, only if the arcs
+    contain too few ready engines, too few for a requirement, or too few outside a single zone.
 
-    A subset depends on nothing but the records, the parameters and the front's place. `Subset.fronts` supposes
-    that each front has a rank of its own below `parameters.fronts` and that all ask for the same requirements.
+    A subset depends only on the records, the parameters, the front's identity and its requirements. The bound
+    `Subset.fronts` assumes that each front has a unique rank below `parameters.fronts` and that all fronts
+    have the same requirements.
     """
 
     def __init__(self, parameters: SubsetParameters) -> None:
-        """No engines yet."""
+        """Creates a ring without engines."""
         self.parameters = parameters
         self._index = EngineIndex()
         self._fronts = FrontPositions(GLOBAL_STEP, parameters.fronts)
         self._home_fronts = FrontPositions(ZONE_STEP, parameters.zone_fronts or parameters.fronts)
-        # What holds for all subsets at one revision, by what is asked for.
+        # Values shared by all subsets of one revision, by `whole_cells` and by requirements.
         self._derived_revision = -1
         self._widths: dict[bool, ArcWidths] = {}
         self._bounds: dict[tuple[tuple[Requirement, ...], bool], FanInBounds] = {}
 
     def __len__(self) -> int:
-        """How many engines there are."""
+        """The number of engines."""
         return len(self._index.records)
 
     @property
     def revision(self) -> int:
-        """A number that rises with each change that can alter a subset; changes of an address, a weight or a
-        start time alter none."""
+        """A number that increases with each change that can alter a subset. Changes of an address, a weight
+        or a start time alter no subset."""
         return self._index.revision
 
     def put(self, record: Engine) -> None:
-        """Take in an engine, or what has changed of it."""
+        """Adds an engine, or replaces its record."""
         self._index.put(record)
 
     def discard(self, engine_id: str) -> None:
-        """Take out an engine; one that is not there is no fault."""
+        """Removes an engine; does nothing if it is not on the ring."""
         self._index.discard(engine_id)
 
     def subset(
         self, front: FrontIdentity, requirements: tuple[Requirement, ...], whole_cells: bool
     ) -> Subset:
-        """The engines that a front holds, and how many fronts hold any one of them at most."""
+        """The engines that a front holds, with an upper bound of the number of fronts that hold any one of
+        them."""
         ids = self.ids(front, requirements, whole_cells)
         return Subset(ids, self.max_fronts(front, ids, requirements, whole_cells))
 
     def ids(
         self, front: FrontIdentity, requirements: tuple[Requirement, ...], whole_cells: bool
     ) -> tuple[str, ...]:
-        """The engines that a front holds. With `whole_cells` each comes with the next one of its cell."""
+        """The ids of the engines that a front holds, sorted. With `whole_cells` each selected engine brings
+        the next one of its cell."""
         records = self._index.records
         if len(records) <= self.parameters.engines:
             return tuple(sorted(records))
@@ -102,7 +106,7 @@
         requirements: tuple[Requirement, ...],
         whole_cells: bool,
     ) -> int:
-        """The most fronts that hold any one of the engines that a front holds: an upper bound."""
+        """An upper bound of the number of fronts that hold any one of the engines `ids` of `front`."""
         fronts, zone_fronts = self.parameters.fronts, self.parameters.zone_fronts
         unknown_at_home = zone_fronts and not 0 <= front.zone_rank < zone_fronts
         holds_all = len(self._index.records) <= self.parameters.engines
@@ -112,7 +116,7 @@
         return min(max(bounds.max_holders(engine_id, whole_cells) for engine_id in ids), fronts)
 
     def _discard_stale(self) -> None:
-        """Forget what was derived from an earlier revision."""
+        """Drops values derived from an earlier revision."""
         if self._derived_revision != self._index.revision:
             self._derived_revision = self._index.revision
             self._widths.clear()
@@ -136,11 +140,12 @@
     def _engines_on_arcs(
         self, front: FrontIdentity, rank: int, start: int, widths: ArcWidths
     ) -> dict[str, None]:
-        """The engines on both arcs, as the keys of a dict: it keeps their order."""
+        """The engines on both arcs, as the keys of a dict, which keeps their order."""
         held = dict.fromkeys(self._index.all.arc(start, widths.global_width(front.zone)))
         home = self._index.zones.get(front.zone)
         if home is not None:
-            # Where some fronts of a zone went by one rank and some by the other, two could be at one place.
+            # All fronts of a zone must use the same kind of rank: with both kinds two fronts could share a
+            # position.
             by_zone = self.parameters.zone_fronts and front.zone_rank >= 0
             home_rank = front.zone_rank if by_zone else rank
             home_start = self._home_fronts.position(home_rank)
@@ -148,7 +153,7 @@
         return held
 
     def _add_missing(self, held: dict[str, None], missing: int, further: Iterable[tuple[int, str]]) -> None:
-        """Add the first `missing` of some engines that are not held yet."""
+        """Adds the first `missing` engines of `further` that are not held yet."""
         if missing <= 0:
             return
         for _, engine_id in further:
@@ -161,7 +166,7 @@
     def _ensure_matching(
         self, held: dict[str, None], requirement: Requirement, least: int, start: int
     ) -> None:
-        """Add ready engines until `least` are held that meet the requirement."""
+        """Adds ready engines until `least` of those held meet the requirement."""
         missing = least
         for engine_id in held:
             record = self._index.records[engine_id]
@@ -172,7 +177,7 @@
         self._add_missing(held, missing, self._index.matching(requirement).iter_from(start))
 
     def _ensure_outside_zone(self, held: dict[str, None], start: int) -> None:
-        """Add ready engines until `least` are held outside the zone that most of the ready ones are in."""
+        """Adds ready engines until `least` of those held are outside the zone with most of the ready ones."""
         records = self._index.records
         zones = Counter(records[engine_id].zone for engine_id in held if not records[engine_id].draining)
         if not zones:
@@ -182,7 +187,7 @@
         self._add_missing(held, missing, self._ready_outside(main, start))
 
     def _ready_outside(self, zone: str, start: int) -> Iterator[tuple[int, str]]:
-        """The ready engines outside a zone from `start` on."""
+        """Yields the ready engines outside a zone with their distances, nearest after `start` first."""
         rings = [ring.iter_from(start) for name, ring in self._index.zones.items() if name != zone]
         for distance, engine_id in merge(*rings):
             if not self._index.records[engine_id].draining:
--- a/thistlelever/subsetting/types.py
+++ b/thistlelever/subsetting/types.py
@@ -1,4 +1,4 @@
-"""What subsets are asked for with, and what a subset is."""
+"""The input and the result of subsetting."""
 
 from __future__ import annotations
 
@@ -6,32 +6,33 @@
 
 
 class Engine(Protocol):
-    """What subsets depend on of an engine's record (`distribution.records.EngineRecord` has it all)."""
+    """The fields of an engine's record that subsets depend on; `distribution.records.EngineRecord` has
+    them."""
 
     @property
     def id(self) -> str:
-        """Its name."""
+        """The unique name of the engine."""
 
     @property
     def zone(self) -> str:
-        """The zone that it is in."""
+        """The zone of the engine."""
 
     @property
     def cell(self) -> int:
-        """Which engines of its zone drop each other's repeats."""
+        """The deduplication cell: engines of one cell in a zone drop repeats of each other's queries."""
 
     @property
     def kind(self) -> str:
-        """The kind of machine."""
+        """The kind of machine that the engine runs on."""
 
     @property
     def draining(self) -> bool:
-        """Whether it takes nothing new."""
+        """Whether the engine accepts no new queries."""
 
 
 class FrontIdentity(NamedTuple):
-    """A front: its name, its zone, its place among the tier's fronts, and among those of its zone. A rank of
-    -1 is unknown: the name's CRC stands in for it, and the tier's rank for that in the zone."""
+    """A front: its name, its zone, its rank among all fronts, and its rank among those of its zone, from 0. A
+    rank of -1 is unknown: the CRC-32 of the name replaces `rank`, and `rank` replaces `zone_rank`."""
 
     name: str
     zone: str
@@ -40,13 +41,13 @@
 
 
 class Requirement(NamedTuple):
-    """What some query class may run on; None: any."""
+    """The zones and kinds of engines that a query class may run on; None for any."""
 
     zones: frozenset[str] | None
     kinds: frozenset[str] | None
 
     def matches(self, engine: Engine) -> bool:
-        """Whether the query class may run on that engine."""
+        """Whether the query class may run on `engine`."""
         if self.zones is not None and engine.zone not in self.zones:
             return False
         return self.kinds is None or engine.kind in self.kinds
@@ -56,10 +57,12 @@
 
 
 class SubsetParameters(NamedTuple):
-    """How many engines a front holds (about: see `EngineRing`), which share of them in its own zone, how many
-    at least that meet each requirement, and how many fronts the tier has. `zone_fronts` is how many fronts
-    the largest zone has, where every front knows its rank in its zone; 0 where they do not: then nobody's
-    rank in a zone counts."""
+    """Parameters that are the same for all fronts.
+
+    `engines` is the approximate number of engines that a front holds (see `EngineRing`), `home_share` the
+    fraction of them in the front's own zone, `least` the minimum number that meets each requirement, and
+    `fronts` the number of all fronts. `zone_fronts` is the number of fronts in the largest zone if every
+    front knows its rank in its zone; with 0 ranks in zones are ignored."""
 
     engines: int = 96
     home_share: float = 0.5
@@ -69,8 +72,8 @@
 
 
 class Subset(NamedTuple):
-    """The engines that a front holds, sorted by id. `fronts` is the most fronts, itself included, that hold
-    any one of them: an upper bound."""
+    """The ids of the engines that a front holds, sorted. `fronts` is an upper bound of the number of fronts,
+    itself included, that hold any one of them."""
 
     ids: tuple[str, ...]
     fronts: int
