--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,5 @@
-"""Distribution of the engine list: the hard cases, each on the policy objects alone."""
+"""Distribution of the engine list: versions, digests, lost or damaged updates, lagging senders and the
+history."""
 
 from random import Random
 
@@ -46,7 +47,7 @@
     return replica.version, replica.digest, dict(replica.records)
 
 
-def drained(publisher, number):
+def drain(publisher, number):
     return publisher.publish([engine(number, draining=True)], [], None)
 
 
@@ -85,15 +86,15 @@
     assert len({record_digest(engine(1, id=first, zone=second)) for first, second in pairs}) == len(pairs)
 
 
-# Deltas that are lost, doubled, out of order, damaged.
+# Deltas that are lost, duplicated, reordered or damaged.
 
 
 def test_a_lost_delta_is_a_gap_and_the_history_closes_it():
     publisher = publisher_of(5)
     follower = follower_of(publisher)
-    drained(publisher, 1)
+    drain(publisher, 1)
     before = state(follower)
-    assert follower.receive(drained(publisher, 2)) is Outcome.GAP
+    assert follower.receive(drain(publisher, 2)) is Outcome.GAP
     assert state(follower) == before
     assert follower.receive(publisher.history.since(follower.version, follower.digest)) is Outcome.APPLIED
     assert same_content(follower, publisher.replica)
@@ -102,7 +103,7 @@
 def test_a_doubled_delta_changes_nothing():
     publisher = publisher_of(5)
     follower = follower_of(publisher)
-    delta = drained(publisher, 1)
+    delta = drain(publisher, 1)
     assert [follower.receive(delta), follower.receive(delta)] == [Outcome.APPLIED, Outcome.UNCHANGED]
     assert same_content(follower, publisher.replica)
 
@@ -110,7 +111,7 @@
 def test_deltas_out_of_order_are_a_gap_and_then_stale():
     publisher = publisher_of(5)
     follower = follower_of(publisher)
-    first, second, third = (drained(publisher, number) for number in (1, 2, 3))
+    first, second, third = (drain(publisher, number) for number in (1, 2, 3))
     outcomes = [follower.receive(delta) for delta in (second, first, third, second, first)]
     assert outcomes == [Outcome.GAP, Outcome.APPLIED, Outcome.GAP, Outcome.APPLIED, Outcome.STALE]
     assert follower.receive(third) is Outcome.APPLIED
@@ -139,7 +140,7 @@
 def test_a_damaged_snapshot_changes_nothing():
     publisher = publisher_of(5)
     follower = follower_of(publisher)
-    drained(publisher, 1)
+    drain(publisher, 1)
     whole = publisher.replica.snapshot()
     before = state(follower)
     for damaged in (
@@ -155,7 +156,7 @@
 def test_a_delta_against_the_same_version_with_another_digest_is_a_gap():
     publisher = publisher_of(5)
     follower = follower_of(publisher)
-    delta = drained(publisher, 1)
+    delta = drain(publisher, 1)
     assert follower.receive(delta._replace(base_digest=delta.base_digest ^ 1)) is Outcome.GAP
 
 
@@ -181,7 +182,7 @@
 def test_a_delta_costs_by_its_size_and_not_by_the_content(monkeypatch):
     publisher = publisher_of(5_000)
     follower = follower_of(publisher)
-    delta = drained(publisher, 1)
+    delta = drain(publisher, 1)
     hashed = []
     monkeypatch.setattr(replica_module, "record_digest", lambda r: hashed.append(r.id) or record_digest(r))
     monkeypatch.setattr(replica_module, "digest_of", None)
@@ -191,21 +192,21 @@
 
 
 class NeverIterated(dict):
-    """Fails whoever walks through the whole content."""
+    """A dict that fails the test on iteration over the whole content."""
 
     def _refuse(self, *_):
-        raise AssertionError("walked through the whole content")
+        raise AssertionError("iterated over the whole content")
 
     __iter__ = keys = values = items = copy = _refuse
 
 
-# Senders that are behind.
+# Senders and receivers that lag behind.
 
 
 def test_an_older_distributor_is_stale_for_a_front_that_is_ahead():
     publisher = publisher_of(5)
     behind = publisher.replica.snapshot()
-    drained(publisher, 1)
+    drain(publisher, 1)
     front = Replica(strict=False)
     front.receive(publisher.replica.snapshot())
     before = state(front)
@@ -218,7 +219,7 @@
     backup = publisher.replica.snapshot()
     front = Replica(strict=False)
     front.receive(backup)
-    front.receive(drained(publisher, 1))
+    front.receive(drain(publisher, 1))
     restored = Replica()
     restored.receive(backup)
     assert front.receive(restored.snapshot()) is Outcome.STALE
@@ -229,7 +230,7 @@
 def test_a_restarted_front_does_not_go_back_behind_its_floor():
     publisher = publisher_of(5)
     behind = publisher.replica.snapshot()
-    drained(publisher, 1)
+    drain(publisher, 1)
     front = Replica(strict=False, floor=publisher.replica.version)
     assert front.receive(behind) is Outcome.STALE
     assert front.records == {}
@@ -240,7 +241,7 @@
     publisher = publisher_of(5, max_changes=3)
     follower = follower_of(publisher)
     for number in range(4):
-        drained(publisher, number)
+        drain(publisher, number)
     assert publisher.history.since(follower.version, follower.digest) is None
     assert follower.receive(publisher.replica.snapshot()) is Outcome.APPLIED
     assert same_content(follower, publisher.replica)
@@ -249,7 +250,7 @@
 def test_a_receiver_of_the_same_version_with_another_digest_needs_a_snapshot():
     publisher = publisher_of(5)
     version, digest = publisher.replica.version, publisher.replica.digest
-    drained(publisher, 1)
+    drain(publisher, 1)
     assert publisher.history.since(version, digest) is not None
     assert publisher.history.since(version, digest ^ 1) is None
 
@@ -262,7 +263,7 @@
     first = Delta(NO_VERSION, EMPTY_DIGEST, other.replica.version, other.replica.digest, (), ())
     assert follower.receive(first) is Outcome.CONFLICT
     assert state(follower) == before
-    assert follower.receive(drained(other, 1)) is Outcome.GAP
+    assert follower.receive(drain(other, 1)) is Outcome.GAP
     assert follower.receive(other.replica.snapshot()) is Outcome.APPLIED
 
 
@@ -307,17 +308,17 @@
     publisher.publish([engine(number, weight=99.0) for number in range(21)], [], None)
     assert (len(history), history.record_count) == (0, 0)
     assert history.since(replica.version, replica.digest).upserts == ()
-    drained(publisher, 1)
+    drain(publisher, 1)
     assert len(history) == 1
 
 
 def test_a_history_refuses_a_change_that_does_not_follow_and_starts_anew_when_cleared():
     publisher = publisher_of(5)
     history = History(10)
-    history.append(drained(publisher, 1))
+    history.append(drain(publisher, 1))
     version, digest = publisher.replica.version, publisher.replica.digest
-    drained(publisher, 2)
-    skipped = drained(publisher, 3)
+    drain(publisher, 2)
+    skipped = drain(publisher, 3)
     with pytest.raises(ValueError, match="expected"):
         history.append(skipped)
     history.clear()
@@ -326,12 +327,12 @@
     assert history.since(skipped.base, skipped.base_digest) == skipped
 
 
-# Changes that overlap, and a distributor that dies.
+# Overlapping changes, and a distributor that fails.
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_change_every_step_while_the_former_still_spread(seed):
-    chance = Random(seed)
+    rng = Random(seed)
     publisher = publisher_of(40)
     followers = [follower_of(publisher) for _ in range(4)]
     late = [[] for _ in followers]
@@ -340,9 +341,9 @@
         delta = publisher.publish([engine(step % 40, weight=2.0 + step)], [], None)
         for follower, waiting in zip(followers, late, strict=True):
             waiting.append(delta)
-            if len(waiting) < 5 + chance.randrange(20):
+            if len(waiting) < 5 + rng.randrange(20):
                 continue
-            chance.shuffle(waiting)
+            rng.shuffle(waiting)
             outcomes = [follower.receive(waiting.pop()) for _ in range(len(waiting) // 2)]
             if Outcome.GAP in outcomes:
                 missing = publisher.history.since(follower.version, follower.digest)
@@ -358,7 +359,7 @@
     fronts = [Replica(strict=False) for _ in range(4)]
     for front in fronts:
         front.receive(dying.snapshot())
-    delta = drained(publisher, 1)
+    delta = drain(publisher, 1)
     dying.receive(delta)
     informed.receive(delta)
     for front in fronts[:2]:
--- a/tests/test_distribution_claims.py
+++ b/tests/test_distribution_claims.py
@@ -1,9 +1,10 @@
-"""Several distributors that believe they may publish: claims, promises, restored publishers."""
+"""Claims to the publisher's role: terms, promises, concurrent publishers, and publishers restored from a
+backup."""
 
 import pytest
 
-from test_distribution import drained, engine, publisher_of, same_content
-from test_distribution_publishing import refused
+from test_distribution import drain, engine, publisher_of, same_content
+from test_distribution_publishing import expect_refusal
 from thistlelever.distribution.claim import Claim, catch_up, majority, promise
 from thistlelever.distribution.history import History
 from thistlelever.distribution.messages import Snapshot
@@ -13,8 +14,9 @@
 from thistlelever.distribution.versions import NO_VERSION, Version
 
 
-def claim_by(index, replicas, asked):
-    """A claim to its end; the publisher, or None if there is no majority."""
+def complete_claim(index, replicas, asked):
+    """Runs a whole claim that asks the distributors `asked`; returns the publisher, or None without a
+    majority."""
     claim = Claim(index, len(replicas))
     for other in asked:
         claim.record_highest(other, replicas[other].highest())
@@ -90,17 +92,17 @@
 
 def test_of_two_that_believe_they_may_publish_the_later_prevails():
     replicas = [Replica() for _ in range(3)]
-    former = claim_by(0, replicas, [0, 1])
+    former = complete_claim(0, replicas, [0, 1])
     first = former.replace_all([engine(number) for number in range(5)], None)
     replicas[1].receive(first)
-    successor = claim_by(2, replicas, [1, 2])
-    lost = drained(former, 1)
+    successor = complete_claim(2, replicas, [1, 2])
+    lost = drain(former, 1)
     assert replicas[1].receive(lost) is Outcome.STALE
     change = successor.publish([engine(2, weight=2.0)], [], None)
     assert replicas[1].receive(change) is Outcome.APPLIED
     former.observe(replicas[1].highest())
-    refused(former, lambda: drained(former, 3), SupersededError)
-    refused(former, former.begin, SupersededError)
+    expect_refusal(former, lambda: drain(former, 3), SupersededError)
+    expect_refusal(former, former.begin, SupersededError)
     assert former.replica.receive(change) is Outcome.GAP
     assert former.replica.receive(replicas[1].snapshot()) is Outcome.APPLIED
     assert same_content(replicas[0], replicas[2]) and same_content(replicas[1], replicas[2])
@@ -108,12 +110,12 @@
 
 def test_a_change_that_a_majority_holds_survives_the_claim_of_one_that_lacks_it():
     replicas = [Replica() for _ in range(3)]
-    former = claim_by(0, replicas, [0, 1, 2])
+    former = complete_claim(0, replicas, [0, 1, 2])
     first = former.replace_all([engine(number) for number in range(5)], None)
     replicas[1].receive(first)
     replicas[2].receive(first)
-    replicas[1].receive(drained(former, 4))
-    successor = claim_by(2, replicas, [1, 2])
+    replicas[1].receive(drain(former, 4))
+    successor = complete_claim(2, replicas, [1, 2])
     assert successor.replica.records["engine-4"].draining
     assert successor.begin().version.term == successor.term
 
@@ -122,22 +124,22 @@
     publisher = publisher_of(5)
     replica = Replica()
     replica.receive(publisher.replica.snapshot())
-    delta = drained(publisher, 1)
+    delta = drain(publisher, 1)
     assert promise(replica, 130)
     assert replica.receive(delta) is Outcome.STALE
     assert catch_up(replica, delta) is Outcome.APPLIED
     assert replica.highest() == Version(130, 0)
-    assert replica.receive(drained(publisher, 2)) is Outcome.STALE
+    assert replica.receive(drain(publisher, 2)) is Outcome.STALE
     assert not promise(replica, 129)
     assert catch_up(replica, Snapshot(Version(1, 1), EMPTY_DIGEST, ())) is Outcome.STALE
 
 
 def test_a_publisher_whose_distributor_promised_a_higher_term_publishes_no_more():
     replicas = [Replica() for _ in range(3)]
-    former = claim_by(0, replicas, [0, 1])
+    former = complete_claim(0, replicas, [0, 1])
     former.replace_all([engine(1)], None)
-    assert claim_by(2, replicas, [0, 2]) is not None
-    refused(former, lambda: drained(former, 1), SupersededError)
+    assert complete_claim(2, replicas, [0, 2]) is not None
+    expect_refusal(former, lambda: drain(former, 1), SupersededError)
 
 
 def test_a_promise_holds_against_lower_terms_and_may_be_asked_again():
@@ -151,7 +153,7 @@
 
 def test_a_publisher_restored_from_a_backup_claims_a_higher_term():
     replicas = [Replica() for _ in range(3)]
-    publisher = claim_by(0, replicas, [0, 1])
+    publisher = complete_claim(0, replicas, [0, 1])
     backup = publisher.replica.snapshot()
     publisher.replace_all([engine(number) for number in range(5)], None)
     replicas[1].receive(publisher.replica.snapshot())
@@ -167,7 +169,7 @@
 
 def test_a_restored_publisher_that_counted_its_own_answer_would_take_its_former_term():
     replicas = [Replica() for _ in range(3)]
-    publisher = claim_by(0, replicas, [0, 1])
+    publisher = complete_claim(0, replicas, [0, 1])
     replicas[0] = Replica()
     terms = {}
     for remembers in (True, False):
@@ -181,6 +183,6 @@
 def test_a_version_of_its_own_term_that_it_never_made_supersedes_a_restored_publisher():
     restored = publisher_of(5)
     former = publisher_of(5)
-    drained(former, 1)
+    drain(former, 1)
     restored.observe(former.replica.version)
-    refused(restored, lambda: drained(restored, 2), SupersededError)
+    expect_refusal(restored, lambda: drain(restored, 2), SupersededError)
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -1,5 +1,8 @@
-"""The policy of distribution in a world of faults: a machine that makes them in any order, and replicas with
-a fault of their own that the same checks must find."""
+"""Randomized tests of the distribution policy: a state machine and random walks that inject faults in any
+order.
+
+The same checks must also detect replicas and claims with a deliberate fault.
+"""
 
 from collections import Counter
 from random import Random
@@ -26,7 +29,7 @@
 
 
 class Distribution(RuleBasedStateMachine):
-    """Any order of publishes, claims, deliveries, losses, restarts and restores."""
+    """Publishes, claims, deliveries, losses, restarts and restores in any order."""
 
     replica_class = Replica
 
@@ -49,11 +52,11 @@
         self.world.start_claim(index)
 
     @rule(index=distributors, other=distributors)
-    def hear(self, index, other):
+    def ask_for_highest(self, index, other):
         self.world.ask_for_highest(index, other)
 
     @rule(index=distributors, other=distributors)
-    def promise(self, index, other):
+    def ask_for_promise(self, index, other):
         self.world.ask_for_promise(index, other)
 
     @rule(index=distributors)
@@ -82,8 +85,8 @@
         self.world.lose(position)
 
     @rule(position=positions)
-    def double(self, position):
-        self.world.double(position)
+    def duplicate(self, position):
+        self.world.duplicate(position)
 
     @rule(position=positions)
     def deliver_damaged(self, position):
@@ -91,7 +94,7 @@
         self.world.deliver(position)
 
     @rule(number=fronts, index=distributors, damaged=st.booleans())
-    def watch_and_hear_at_once(self, number, index, damaged):
+    def watch_and_deliver_at_once(self, number, index, damaged):
         self.world.watch(number, index)
         if damaged:
             self.world.damage(-1)
@@ -118,11 +121,11 @@
         self.world.fronts[number].retained.discard(f"engine-{engine_number}")
 
     @invariant()
-    def everybody_holds_what_the_book_says(self):
+    def contents_match_published_versions(self):
         self.world.check()
 
     def teardown(self):
-        self.world.heal()
+        self.world.converge()
 
 
 TestDistribution = Distribution.TestCase
@@ -134,68 +137,68 @@
 )
 
 
-def distributor(chance):
-    return chance.randrange(DISTRIBUTORS)
+def distributor(rng):
+    return rng.randrange(DISTRIBUTORS)
 
 
-def front(chance):
-    return chance.randrange(FRONTS)
+def front(rng):
+    return rng.randrange(FRONTS)
 
 
-def position(chance):
-    """Mostly the oldest under way, at times the newest or any."""
-    return chance.choice([0, 0, 0, -1, chance.randrange(100)])
+def position(rng):
+    """Mostly the oldest update in transit, sometimes the newest or any."""
+    return rng.choice([0, 0, 0, -1, rng.randrange(100)])
 
 
-def publish_by_all(world, chance):
-    """Everybody who believes that it is the publisher publishes the same change."""
-    record = engine(chance.randrange(ENGINES), weight=float(chance.randrange(1, 5)))
-    removed_ids = [f"engine-{chance.randrange(ENGINES)}"] if chance.random() < 0.3 else []
+def publish_by_all(world, rng):
+    """Every distributor that considers itself the publisher publishes the same change."""
+    record = engine(rng.randrange(ENGINES), weight=float(rng.randrange(1, 5)))
+    removed_ids = [f"engine-{rng.randrange(ENGINES)}"] if rng.random() < 0.3 else []
     upserts = [] if record.id in removed_ids else [record]
     for index in range(DISTRIBUTORS):
         world.publish(index, upserts, removed_ids)
 
 
-def deliver_damaged(world, chance):
-    where = position(chance)
+def deliver_damaged(world, rng):
+    where = position(rng)
     world.damage(where)
     world.deliver(where)
 
 
-def last_query_ends(world, chance):
-    world.fronts[front(chance)].retained.discard(f"engine-{chance.randrange(ENGINES)}")
+def last_query_ends(world, rng):
+    world.fronts[front(rng)].retained.discard(f"engine-{rng.randrange(ENGINES)}")
 
 
-# What a walk does, each with how often.
+# The steps of a walk, with their weights.
 STEPS = {
     publish_by_all: 8,
-    lambda world, chance: world.deliver(position(chance)): 20,
-    lambda world, chance: world.watch(front(chance), distributor(chance)): 10,
-    lambda world, chance: world.pull(distributor(chance), distributor(chance)): 4,
-    lambda world, chance: world.lose(position(chance)): 3,
-    lambda world, chance: world.double(position(chance)): 2,
+    lambda world, rng: world.deliver(position(rng)): 20,
+    lambda world, rng: world.watch(front(rng), distributor(rng)): 10,
+    lambda world, rng: world.pull(distributor(rng), distributor(rng)): 4,
+    lambda world, rng: world.lose(position(rng)): 3,
+    lambda world, rng: world.duplicate(position(rng)): 2,
     deliver_damaged: 3,
-    lambda world, chance: world.promote(distributor(chance)): 1,
-    lambda world, chance: world.start_claim(distributor(chance)): 2,
-    lambda world, chance: world.ask_for_highest(distributor(chance), distributor(chance)): 3,
-    lambda world, chance: world.ask_for_promise(distributor(chance), distributor(chance)): 3,
-    lambda world, chance: world.back_up(distributor(chance)): 1,
-    lambda world, chance: world.restart(distributor(chance)): 1,
-    lambda world, chance: world.restore(distributor(chance)): 1,
-    lambda world, chance: world.fronts[front(chance)].restart(): 1,
+    lambda world, rng: world.promote(distributor(rng)): 1,
+    lambda world, rng: world.start_claim(distributor(rng)): 2,
+    lambda world, rng: world.ask_for_highest(distributor(rng), distributor(rng)): 3,
+    lambda world, rng: world.ask_for_promise(distributor(rng), distributor(rng)): 3,
+    lambda world, rng: world.back_up(distributor(rng)): 1,
+    lambda world, rng: world.restart(distributor(rng)): 1,
+    lambda world, rng: world.restore(distributor(rng)): 1,
+    lambda world, rng: world.fronts[front(rng)].restart(): 1,
     last_query_ends: 1,
 }
 
 
 def walk(seed, replica_class=Replica, length=200):
-    """A world after so many steps, checked after each, and healed at the end."""
-    chance = Random(seed)
+    """Runs `length` random steps with a check after each, then lets the world converge without faults."""
+    rng = Random(seed)
     world = World(replica_class)
     world.promote(0)
-    for step in chance.choices(list(STEPS), STEPS.values(), k=length):
-        step(world, chance)
+    for step in rng.choices(list(STEPS), STEPS.values(), k=length):
+        step(world, rng)
         world.check()
-    world.heal()
+    world.converge()
     return world
 
 
@@ -204,18 +207,18 @@
     for seed in range(60):
         world = walk(seed)
         outcomes += world.outcomes
-        versions += len(world.book)
-        terms += len({version.term for version in world.book})
-        retained += world.retained_records_seen
-    # The walks have met what they are for.
+        versions += len(world.published)
+        terms += len({version.term for version in world.published})
+        retained += world.retained_records_checked
+    # The walks have covered every outcome, many terms, and retained engines.
     assert versions > 600 and terms > 100 and retained > 50
     expected = {(kind, outcome) for kind in ("Delta", "Snapshot") for outcome in Outcome}
     impossible = {(kind, Outcome.CONFLICT) for kind in ("Delta", "Snapshot")} | {("Snapshot", Outcome.GAP)}
-    assert {met for met, count in outcomes.items() if count >= 10} == expected - impossible
+    assert {pair for pair, count in outcomes.items() if count >= 10} == expected - impossible
 
 
-class IgnoresTheBase(Replica):
-    """Applies any delta that is newer, and takes the announced digest on trust."""
+class IgnoresBase(Replica):
+    """Applies any newer delta, whatever its base, without checking the digest."""
 
     def _holds_base(self, delta):
         return True
@@ -225,28 +228,28 @@
 
 
 class AcceptsOlderVersions(Replica):
-    """Has no floor, neither by what it holds nor by what it was given."""
+    """Accepts versions below the one held and below the floor."""
 
     def highest(self):
         return NO_VERSION
 
 
-class TrustsTheDigest(Replica):
-    """Takes the announced digest of a delta on trust."""
+class IgnoresDeltaDigest(Replica):
+    """Does not check the digest of a delta."""
 
     def _digest_after(self, delta):
         return delta.digest
 
 
-class ForgetsItsFloor(Replica):
-    """Promises nothing, and goes back behind what it had before a restart."""
+class IgnoresFloor(Replica):
+    """Ignores its floor: breaks promises, and accepts versions older than those held before a restart."""
 
     def highest(self):
         return self.version
 
 
-class AppliesByHalves(Replica):
-    """Applies the upserts before it finds a fault."""
+class AppliesBeforeChecking(Replica):
+    """Applies the upserts before it checks the digest."""
 
     def _receive_delta(self, delta):
         if self._holds_base(delta) and self._digest_after(delta) != delta.digest:
@@ -254,8 +257,8 @@
         return super()._receive_delta(delta)
 
 
-class TakesAnySnapshot(Replica):
-    """Does not look at a snapshot's digest."""
+class IgnoresSnapshotDigest(Replica):
+    """Does not check the digest of a snapshot."""
 
     def _receive_snapshot(self, snapshot):
         held = Snapshot(self.version, self.digest, ())
@@ -269,12 +272,12 @@
 @pytest.mark.parametrize(
     "faulty",
     [
-        IgnoresTheBase,
+        IgnoresBase,
         AcceptsOlderVersions,
-        TrustsTheDigest,
-        ForgetsItsFloor,
-        AppliesByHalves,
-        TakesAnySnapshot,
+        IgnoresDeltaDigest,
+        IgnoresFloor,
+        AppliesBeforeChecking,
+        IgnoresSnapshotDigest,
     ],
 )
 def test_a_replica_with_a_fault_is_found(faulty):
@@ -283,20 +286,20 @@
             walk(seed, faulty)
 
 
-def without_own_term(claim):
+def shared_next_term(claim):
     return (claim.highest().term // TERMS_PER_ROUND + 1) * TERMS_PER_ROUND
 
 
-def with_one_promise(claim):
+def newest_holder_of_one_promise(claim):
     return claim._index if claim._promises else None
 
 
 @pytest.mark.parametrize(
     "target, name, faulty",
     [
-        (Claim, "_next_term", without_own_term),
+        (Claim, "_next_term", shared_next_term),
         (Claim, "_has_quorum", lambda claim: bool(claim._responders)),
-        (Claim, "newest_holder", with_one_promise),
+        (Claim, "newest_holder", newest_holder_of_one_promise),
         (world_module, "promise", lambda replica, term: True),
     ],
     ids=["terms are shared", "no majority is heard", "no majority promises", "promises are not kept"],
--- a/tests/test_distribution_publishing.py
+++ b/tests/test_distribution_publishing.py
@@ -1,4 +1,5 @@
-"""Publishing: what is refused, with the present version staying, and what a publish makes."""
+"""Publishing: which changes are refused, leaving the present version, and what an accepted change
+contains."""
 
 import math
 
@@ -14,7 +15,7 @@
 from thistlelever.distribution.validation import MAX_RECORDS, MAX_RECORDS_PER_CHANGE
 
 
-def refused(publisher, call, error=PublishRefusedError):
+def expect_refusal(publisher, call, error=PublishRefusedError):
     before, kept = state(publisher.replica), len(publisher.history)
     with pytest.raises(error) as refusal:
         call()
@@ -65,8 +66,8 @@
     publisher = publisher_of(5)
     records = [engine(0), engine(1), engine(2), engine(3, **{field: value})]
     found = f".{field}: {expected} expected; found {value!r}"
-    assert refused(publisher, lambda: publisher.replace_all(records, None)) == f"engines[3]{found}"
-    assert refused(publisher, lambda: publisher.publish(records[3:], [], None)) == f"upserts[0]{found}"
+    assert expect_refusal(publisher, lambda: publisher.replace_all(records, None)) == f"engines[3]{found}"
+    assert expect_refusal(publisher, lambda: publisher.publish(records[3:], [], None)) == f"upserts[0]{found}"
 
 
 def test_every_field_has_its_rule_in_the_order_of_the_record():
@@ -81,31 +82,35 @@
 def test_a_publish_that_is_too_large_is_refused():
     publisher = publisher_of(5)
     many = [engine(number) for number in range(MAX_RECORDS_PER_CHANGE + 1)]
-    assert "found 4097" in refused(publisher, lambda: publisher.publish(many, [], None))
+    assert "found 4097" in expect_refusal(publisher, lambda: publisher.publish(many, [], None))
     too_many = [engine(number) for number in range(MAX_RECORDS + 1)]
-    assert "found 65537" in refused(publisher, lambda: publisher.replace_all(too_many, None))
+    assert "found 65537" in expect_refusal(publisher, lambda: publisher.replace_all(too_many, None))
 
 
 def test_a_publish_that_makes_the_content_too_large_is_refused(monkeypatch):
     monkeypatch.setattr(publisher_module, "MAX_RECORDS", 50)
     publisher = publisher_of(50)
     more = engine(50)
-    assert "found 51" in refused(publisher, lambda: publisher.publish([more], [], None))
+    assert "found 51" in expect_refusal(publisher, lambda: publisher.publish([more], [], None))
     assert publisher.publish([more], ["engine-0"], None) is not None
 
 
 def test_an_empty_list_is_refused():
     publisher = publisher_of(5)
-    assert "at least one" in refused(publisher, lambda: publisher.replace_all([], None))
+    assert "at least one" in expect_refusal(publisher, lambda: publisher.replace_all([], None))
 
 
 def test_ids_and_addresses_that_come_twice_are_refused():
     publisher = publisher_of(5)
     twice = [engine(8), engine(8, address="10.9.9.9:1")]
-    assert refused(publisher, lambda: publisher.publish(twice, [], None)).startswith("upserts[1].id")
+    assert expect_refusal(publisher, lambda: publisher.publish(twice, [], None)).startswith("upserts[1].id")
     shared = [engine(8), engine(9, address=engine(8).address)]
-    assert refused(publisher, lambda: publisher.replace_all(shared, None)).startswith("engines[1].address")
-    assert refused(publisher, lambda: publisher.publish(shared, [], None)).startswith("upserts[1].address")
+    assert expect_refusal(publisher, lambda: publisher.replace_all(shared, None)).startswith(
+        "engines[1].address"
+    )
+    assert expect_refusal(publisher, lambda: publisher.publish(shared, [], None)).startswith(
+        "upserts[1].address"
+    )
     with pytest.raises(PublishRefusedError, match=r"^engines\[1\]\.address"):
         validate(shared)
 
@@ -118,21 +123,21 @@
         "removed_ids[0]: 1 to 128 printable characters": ([], [""]),
     }
     for text, (upserts, removed_ids) in cases.items():
-        message = refused(publisher, lambda u=upserts, r=removed_ids: publisher.publish(u, r, None))
+        message = expect_refusal(publisher, lambda u=upserts, r=removed_ids: publisher.publish(u, r, None))
         assert message.startswith(text)
 
 
 def test_an_address_of_another_engine_is_refused_until_that_engine_gives_it_up():
     publisher = publisher_of(5)
-    taken = engine(9, address=engine(2).address)
-    message = refused(publisher, lambda: publisher.publish([taken], [], None))
+    conflicting = engine(9, address=engine(2).address)
+    message = expect_refusal(publisher, lambda: publisher.publish([conflicting], [], None))
     assert message.startswith("upserts[0].address") and "engine-2" in message
     exchanged = [engine(0, address=engine(1).address), engine(1, address=engine(0).address)]
     assert publisher.publish(exchanged, [], None) is not None
-    assert publisher.publish([taken], ["engine-2"], None) is not None
-    message = refused(publisher, lambda: publisher.publish([engine(2)], [], None))
+    assert publisher.publish([conflicting], ["engine-2"], None) is not None
+    message = expect_refusal(publisher, lambda: publisher.publish([engine(2)], [], None))
     assert "engine-9" in message
-    moved = [taken._replace(address="10.9.9.9:1"), engine(2)]
+    moved = [conflicting._replace(address="10.9.9.9:1"), engine(2)]
     assert publisher.publish(moved, [], None) is not None
     addresses = [record.address for record in publisher.replica.records.values()]
     assert len(addresses) == len(set(addresses))
@@ -143,11 +148,11 @@
     publisher.replica.records = NeverIterated(publisher.replica.records)
     publisher._ids_by_address = NeverIterated(publisher._ids_by_address)
     assert publisher.publish([engine(1, weight=2.0)], ["engine-2"], None) is not None
-    taken = engine(5, address=engine(4).address)
-    assert "engine-4" in refused_quickly(publisher, taken)
+    conflicting = engine(5, address=engine(4).address)
+    assert "engine-4" in refusal_message(publisher, conflicting)
 
 
-def refused_quickly(publisher, record):
+def refusal_message(publisher, record):
     with pytest.raises(PublishRefusedError) as refusal:
         publisher.publish([record], [], None)
     return str(refusal.value)
@@ -157,9 +162,11 @@
     publisher = publisher_of(5)
     former = publisher.replica.version
     assert publisher.publish([engine(1, weight=2.0)], [], former).base == former
-    message = refused(publisher, lambda: publisher.publish([engine(1)], [], former), UnexpectedVersionError)
+    message = expect_refusal(
+        publisher, lambda: publisher.publish([engine(1)], [], former), UnexpectedVersionError
+    )
     assert message == "expected: 64.2 expected; found 64.1"
-    refused(publisher, lambda: publisher.replace_all([engine(1)], former), UnexpectedVersionError)
+    expect_refusal(publisher, lambda: publisher.replace_all([engine(1)], former), UnexpectedVersionError)
 
 
 def test_a_publish_of_what_is_in_force_makes_no_version():
--- a/tests/test_distribution_views.py
+++ b/tests/test_distribution_views.py
@@ -1,4 +1,4 @@
-"""What a distributor tells one front."""
+"""The updates that a distributor sends to one front."""
 
 import pytest
 
--- a/tests/test_distribution_world.py
+++ b/tests/test_distribution_world.py
@@ -1,5 +1,7 @@
-"""A world of distributors and fronts in which a test decides what is sent, lost, doubled, reordered, damaged,
-restarted and restored; after each step it checks what each receiver holds against a book of the versions."""
+"""A simulation of distributors and fronts in which a test decides which updates are sent, lost, duplicated,
+reordered or damaged, and which parties restart or are restored. After each step it checks the content of each
+receiver against the published versions.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +23,8 @@
 MAX_CHANGES = 3
 
 
-class Flight(NamedTuple):
-    """One update under way."""
+class Message(NamedTuple):
+    """One update in transit."""
 
     sender: int
     receiver: Distributor | Front
@@ -30,14 +32,14 @@
 
 
 class Backup(NamedTuple):
-    """What a distributor's file held at one moment."""
+    """The stored state of a distributor at one moment."""
 
     content: Snapshot
     floor: Version
 
 
 class Distributor:
-    """The whole content; at times the role of the publisher, and a claim to it."""
+    """A distributor with the whole content, which may also be the publisher or a claimant."""
 
     def __init__(self, index: int, replica_class: type[Replica]) -> None:
         self.index = index
@@ -46,7 +48,7 @@
         self.start(self.backup, remembers=True)
 
     def start(self, backup: Backup, *, remembers: bool) -> None:
-        """Starts from a file: the present one, or an old one that may have forgotten promises."""
+        """Starts from stored state: the present one, or an older one that may lack promises."""
         self.replica = self.replica_class(strict=True)
         self.replica.receive(backup.content)
         self.replica.floor = backup.floor
@@ -56,13 +58,13 @@
         self.claim: Claim | None = None
         self.remembers = remembers
 
-    def learned(self) -> Version:
-        """What its last claim or publisher heard of."""
+    def highest_observed(self) -> Version:
+        """The highest version observed by its last claim or publisher."""
         by_claim = self.claim.highest() if self.claim is not None else NO_VERSION
         by_publisher = self.publisher.superseded if self.publisher is not None else None
         return max(by_claim, by_publisher or NO_VERSION)
 
-    def file(self) -> Backup:
+    def stored(self) -> Backup:
         return Backup(self.replica.snapshot(), self.replica.floor)
 
     def content_since(self, version: Version, digest: int) -> Update:
@@ -70,7 +72,7 @@
 
 
 class Front:
-    """A view of the content, and the engines that it retains."""
+    """A front with its subset of the content, and the engines that it retains."""
 
     def __init__(self, name: str, replica_class: type[Replica]) -> None:
         self.name = name
@@ -78,26 +80,26 @@
         self.retained: set[str] = set()
 
     def restart(self) -> None:
-        """All that it keeps is the version below which it does not go."""
+        """Restarts without content; only the version below which it accepts nothing is kept."""
         self.replica = type(self.replica)(strict=False, floor=self.replica.highest())
         self.retained = set()
 
     def holds_in_subset(self, record: EngineRecord) -> bool:
-        """An engine also leaves and enters the subset while it exists: here by its weight."""
+        """The subset depends on the weight, so that an engine leaves and enters it while it exists."""
         return crc32(f"{self.name}/{record.id}/{record.weight}".encode()) % 3 != 0
 
 
 class World:
-    """All of it. `book` has the content of each version that was ever published."""
+    """The whole simulation. `published` holds the content of each version ever published."""
 
     def __init__(self, replica_class: type[Replica] = Replica) -> None:
-        self.book: dict[Version, dict[str, EngineRecord]] = {NO_VERSION: {}}
+        self.published: dict[Version, dict[str, EngineRecord]] = {NO_VERSION: {}}
         self.distributors = [Distributor(index, replica_class) for index in range(DISTRIBUTORS)]
         self.fronts = [Front(f"front-{number}", replica_class) for number in range(FRONTS)]
-        self.under_way: list[Flight] = []
-        # How often the world met what it is for.
+        self.in_transit: list[Message] = []
+        # Coverage: how often each outcome occurred, and how many retained records were checked.
         self.outcomes: Counter[tuple[str, Outcome]] = Counter()
-        self.retained_records_seen = 0
+        self.retained_records_checked = 0
 
     # Publishing.
 
@@ -114,16 +116,16 @@
             self._spread(distributor, delta)
 
     def _spread(self, sender: Distributor, delta: Delta) -> None:
-        assert delta.version not in self.book, f"two contents of {delta.version}"
-        self.book[delta.version] = dict(sender.replica.records)
+        assert delta.version not in self.published, f"two contents of {delta.version}"
+        self.published[delta.version] = dict(sender.replica.records)
         for receiver in self.distributors:
             if receiver is not sender:
-                self.under_way.append(Flight(sender.index, receiver, delta))
+                self.in_transit.append(Message(sender.index, receiver, delta))
 
     # Claims.
 
     def promote(self, index: int) -> None:
-        """A whole claim in which everybody answers."""
+        """Runs a whole claim in which every distributor replies."""
         self.start_claim(index)
         for other in range(DISTRIBUTORS):
             self.ask_for_highest(index, other)
@@ -132,9 +134,9 @@
 
     def start_claim(self, index: int) -> None:
         claimant = self.distributors[index]
-        learned = claimant.learned()
+        observed = claimant.highest_observed()
         claimant.claim = Claim(index, DISTRIBUTORS, remembers=claimant.remembers)
-        claimant.claim.observe(learned)
+        claimant.claim.observe(observed)
         claimant.claim.record_highest(index, claimant.replica.highest())
 
     def ask_for_highest(self, index: int, other: int) -> None:
@@ -147,16 +149,17 @@
             claimant.remembers = True
 
     def ask_for_promise(self, index: int, other: int) -> None:
-        """The claimant promises first; with the last promise that it needs it becomes the publisher."""
+        """Requests a promise, after the claimant's own; the claimant becomes the publisher with a
+        majority."""
         claimant, asked = self.distributors[index], self.distributors[other]
         claim = claimant.claim
         if claim is None or claim.term() is None or claim.superseded() or not asked.remembers:
             return
-        for giver in (claimant, asked):
-            if not promise(giver.replica, claim.term()):
-                claim.observe(giver.replica.highest())
+        for promiser in (claimant, asked):
+            if not promise(promiser.replica, claim.term()):
+                claim.observe(promiser.replica.highest())
                 return
-            claim.record_promise(giver.index, giver.replica.version)
+            claim.record_promise(promiser.index, promiser.replica.version)
         if claim.newest_holder() is not None:
             self._begin(claimant, claim)
 
@@ -175,10 +178,10 @@
     def pull(self, index: int, source: int) -> None:
         receiver, sender = self.distributors[index], self.distributors[source]
         update = sender.content_since(receiver.replica.version, receiver.replica.digest)
-        self.under_way.append(Flight(source, receiver, update))
+        self.in_transit.append(Message(source, receiver, update))
 
     def watch(self, number: int, index: int) -> None:
-        """A front asks a distributor, which answers by what it remembers of the front."""
+        """A front polls a distributor, which replies by the views that it recorded for that front."""
         front, distributor = self.fronts[number], self.distributors[index]
         held, records = front.replica, distributor.replica.records
         views = distributor.views.setdefault(front.name, SentViews())
@@ -193,64 +196,64 @@
             retained = sorted(front.retained)
             answer = difference(view, distributor.replica.version, wanted, exists, retained)
             views.sent(answer)
-        self.under_way.append(Flight(index, front, answer))
+        self.in_transit.append(Message(index, front, answer))
 
     def deliver(self, position: int) -> None:
-        if not self.under_way:
+        if not self.in_transit:
             return
-        flight = self.under_way.pop(position % len(self.under_way))
-        if isinstance(flight.receiver, Distributor):
-            self._deliver_to_distributor(flight)
+        message = self.in_transit.pop(position % len(self.in_transit))
+        if isinstance(message.receiver, Distributor):
+            self._deliver_to_distributor(message)
         else:
-            self._deliver_to_front(flight)
+            self._deliver_to_front(message)
 
     def lose(self, position: int) -> None:
-        if self.under_way:
-            self.under_way.pop(position % len(self.under_way))
+        if self.in_transit:
+            self.in_transit.pop(position % len(self.in_transit))
 
-    def double(self, position: int) -> None:
-        if self.under_way:
-            self.under_way.append(self.under_way[position % len(self.under_way)])
+    def duplicate(self, position: int) -> None:
+        if self.in_transit:
+            self.in_transit.append(self.in_transit[position % len(self.in_transit)])
 
     def damage(self, position: int) -> None:
-        """Changes what is under way, but for the digest that its sender announced."""
-        if not self.under_way:
+        """Changes the records of an update in transit, but not the digest announced by its sender."""
+        if not self.in_transit:
             return
-        position %= len(self.under_way)
-        flight = self.under_way[position]
-        if isinstance(flight.update, Snapshot):
-            update = flight.update._replace(records=flight.update.records[1:])
+        position %= len(self.in_transit)
+        message = self.in_transit[position]
+        if isinstance(message.update, Snapshot):
+            update = message.update._replace(records=message.update.records[1:])
         else:
-            update = flight.update._replace(upserts=flight.update.upserts[1:])
-        self.under_way[position] = flight._replace(update=update)
+            update = message.update._replace(upserts=message.update.upserts[1:])
+        self.in_transit[position] = message._replace(update=update)
 
-    def _deliver_to_distributor(self, flight: Flight) -> None:
-        receiver, sender = flight.receiver, self.distributors[flight.sender]
-        outcome = self._receive(receiver.replica, flight.update)
+    def _deliver_to_distributor(self, message: Message) -> None:
+        receiver, sender = message.receiver, self.distributors[message.sender]
+        outcome = self._receive(receiver.replica, message.update)
         self.check_distributor(receiver)
-        if outcome is Outcome.APPLIED and isinstance(flight.update, Delta):
-            receiver.history.append(flight.update)
+        if outcome is Outcome.APPLIED and isinstance(message.update, Delta):
+            receiver.history.append(message.update)
         elif outcome is Outcome.APPLIED:
             receiver.history.clear()
         elif outcome is Outcome.STALE and sender.publisher is not None:
             sender.publisher.observe(receiver.replica.highest())
 
-    def _deliver_to_front(self, flight: Flight) -> None:
-        front, update = flight.receiver, flight.update
+    def _deliver_to_front(self, message: Message) -> None:
+        front, update = message.receiver, message.update
         outcome = self._receive(front.replica, update)
         self.check_front(front)
         if outcome is not Outcome.APPLIED:
             return
         if isinstance(update, Snapshot):
-            front.retained -= self._gone(front.replica.version, front.retained)
+            front.retained -= self._removed_ids(front.replica.version, front.retained)
             return
         for removal in update.removals:
-            exists = removal.id in self.book[update.version]
+            exists = removal.id in self.published[update.version]
             assert removal.gone != exists, f"{removal} at {update.version}"
             (front.retained.discard if removal.gone else front.retained.add)(removal.id)
 
-    def _gone(self, version: Version, ids: set[str]) -> set[str]:
-        return {engine_id for engine_id in ids if engine_id not in self.book[version]}
+    def _removed_ids(self, version: Version, ids: set[str]) -> set[str]:
+        return {engine_id for engine_id in ids if engine_id not in self.published[version]}
 
     def _receive(self, replica: Replica, update: Update) -> Outcome:
         before = (replica.version, replica.digest, dict(replica.records))
@@ -269,19 +272,19 @@
     # Restarts.
 
     def back_up(self, index: int) -> None:
-        self.distributors[index].backup = self.distributors[index].file()
+        self.distributors[index].backup = self.distributors[index].stored()
 
     def restart(self, index: int) -> None:
         distributor = self.distributors[index]
-        distributor.start(distributor.file(), remembers=distributor.remembers)
+        distributor.start(distributor.stored(), remembers=distributor.remembers)
 
     def restore(self, index: int) -> None:
-        """Starts from an older file, if nobody else may have forgotten promises."""
+        """Starts from the backup, unless another distributor may already lack promises."""
         others = [other for other in self.distributors if other.index != index]
         if all(other.remembers for other in others):
             self.distributors[index].start(self.distributors[index].backup, remembers=False)
 
-    # What must hold.
+    # Invariants.
 
     def check(self) -> None:
         for distributor in self.distributors:
@@ -291,23 +294,24 @@
 
     def check_distributor(self, distributor: Distributor) -> None:
         replica = distributor.replica
-        assert replica.records == self.book[replica.version], f"not the content of {replica.version}"
+        assert replica.records == self.published[replica.version], f"not the content of {replica.version}"
         assert replica.digest == digest_of(replica.records.values())
 
     def check_front(self, front: Front) -> None:
-        replica, content = front.replica, self.book[front.replica.version]
+        replica, content = front.replica, self.published[front.replica.version]
         in_subset = {key: record for key, record in replica.records.items() if record.in_subset}
         retained = {key: record for key, record in replica.records.items() if not record.in_subset}
         subset = {key: record for key, record in content.items() if front.holds_in_subset(record)}
-        self.retained_records_seen += len(retained)
+        self.retained_records_checked += len(retained)
         assert in_subset == subset, f"not the subset of {replica.version}"
         assert all(content[key]._replace(in_subset=False) == record for key, record in retained.items())
         assert replica.digest == digest_of(replica.records.values())
 
-    def heal(self) -> None:
-        """Ends all faults, and lets everybody ask as often as it takes: then all must agree."""
-        self.under_way.clear()
-        self._claim_for_good()
+    def converge(self) -> None:
+        """Drops the updates in transit and polls without faults until all parties must hold the newest
+        version."""
+        self.in_transit.clear()
+        self._restore_publisher()
         newest = self.distributors[0].replica
         for _ in range(2):
             for number in range(FRONTS):
@@ -317,12 +321,12 @@
         for receiver in [*self.distributors, *self.fronts]:
             assert receiver.replica.version == newest.version, "not all have the newest version"
         for front in self.fronts:
-            assert not self._gone(newest.version, front.retained), "retained though gone"
+            assert not self._removed_ids(newest.version, front.retained), "retained though gone"
             assert front.retained <= front.replica.records.keys()
 
-    def _claim_for_good(self) -> None:
-        """Whoever forgot hears from the others; then the first distributor claims, and once more if somebody
-        had promised a higher term."""
+    def _restore_publisher(self) -> None:
+        """Distributors that may lack promises get replies of the others; then distributor 0 claims, twice in
+        case another one had promised a higher term."""
         for index in (1, 2):
             self.start_claim(index)
             for other in range(DISTRIBUTORS):
@@ -336,12 +340,12 @@
         assert publisher is not None and publisher.superseded is None
 
     def _deliver_all(self) -> None:
-        while self.under_way:
+        while self.in_transit:
             self.deliver(0)
 
 
 def wanted_records(front: Front, records: dict[str, EngineRecord]) -> list[EngineRecord]:
-    """The front's subset, and what it retains besides."""
+    """The front's subset, and the engines that it retains besides."""
     wanted = [record for record in records.values() if front.holds_in_subset(record)]
     for engine_id in sorted(front.retained):
         record = records.get(engine_id)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets of engines: which engines each front holds, and how many fronts hold each engine."""
+"""Subsetting: which engines each front holds, and how many fronts hold each engine."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def fleet(engines: int, zones: int = 6, cells: int = 4, kinds: int = 3) -> list[EngineRecord]:
-    """Engines that are spread over zones, cells and kinds, without these going together."""
+    """Engines spread over zones, cells and kinds independently of each other."""
     return [
         record(
             number,
@@ -43,7 +43,7 @@
     return ring
 
 
-def places(fronts: int = FRONTS, zones: int = 6) -> list[FrontIdentity]:
+def front_identities(fronts: int = FRONTS, zones: int = 6) -> list[FrontIdentity]:
     return [
         FrontIdentity(f"front-{rank}", f"zone-{rank % zones}", rank, rank // zones) for rank in range(fronts)
     ]
@@ -56,11 +56,11 @@
     fronts: int = FRONTS,
     zones: int = 6,
 ) -> list[Subset]:
-    return [ring.subset(front, requirements, whole_cells) for front in places(fronts, zones)]
+    return [ring.subset(front, requirements, whole_cells) for front in front_identities(fronts, zones)]
 
 
-def holders(held: list[Subset]) -> Counter[str]:
-    """How many of the fronts hold each engine."""
+def fronts_per_engine(held: list[Subset]) -> Counter[str]:
+    """The number of fronts that hold each engine."""
     return Counter(engine_id for subset in held for engine_id in subset.ids)
 
 
@@ -116,8 +116,8 @@
 
 
 def evenness_faults(held: list[Subset], engines: int) -> list[str]:
-    """What is uneven in how many fronts hold each engine."""
-    counts = holders(held)
+    """The violations of an even spread: engines held by no front, or by far more fronts than the mean."""
+    counts = fronts_per_engine(held)
     mean = sum(counts.values()) / engines
     faults = []
     if len(counts) < engines:
@@ -133,7 +133,7 @@
 
 
 def test_a_subset_drawn_by_hash_order_is_caught():
-    """Sabotage: the first of a set, as a careless subset would take them."""
+    """Fault injection: every front takes the same first engines of a set, in hash order."""
     engines = {engine.id for engine in fleet(3000)}
     drawn = [Subset(tuple(sorted(list(engines)[:96])), FRONTS) for _ in range(FRONTS)]
     assert evenness_faults(drawn, 3000) != []
@@ -148,7 +148,7 @@
         ring.discard(engine.id)
         after = subsets(ring)
         changes = [len(set(a.ids) ^ set(b.ids)) for a, b in zip(before, after, strict=True)]
-        # Those that held it, and those whose arcs reach one engine further as there are fewer.
+        # Fronts that held it, and fronts whose arcs, wider with fewer engines, now include another one.
         assert sum(map(bool, changes)) <= 4 * fraction * FRONTS
         assert max(changes) <= 4
         assert all(engine.id not in subset.ids for subset in after)
@@ -225,7 +225,7 @@
     zones = {engine.id: engine.zone for engine in fleet(6000)}
     ring = ring_of(fleet(6000))
     at_home = 0
-    for front in places():
+    for front in front_identities():
         ids = ring.subset(front, (), False).ids
         at_home += sum(zones[engine_id] == front.zone for engine_id in ids) / len(ids)
     assert 0.5 <= at_home / FRONTS <= 0.65
@@ -233,7 +233,7 @@
 
 def test_a_front_in_a_zone_without_engines_holds_as_many():
     ring = ring_of(fleet(3000))
-    sizes = [len(ring.subset(front._replace(zone="empty"), (), False).ids) for front in places()]
+    sizes = [len(ring.subset(front._replace(zone="empty"), (), False).ids) for front in front_identities()]
     assert 90 <= sum(sizes) / len(sizes) <= 102
 
 
@@ -310,7 +310,7 @@
     fronts = 60
     ring = ring_of(records, engines=engines, fronts=fronts, zone_fronts=-(-fronts // zones) if ranked else 0)
     held = subsets(ring, REQUIREMENTS[:needs], whole_cells, fronts, zones)
-    counts = holders(held)
+    counts = fronts_per_engine(held)
     for subset in held:
         assert max(counts[engine_id] for engine_id in subset.ids) <= subset.fronts <= fronts
 
--- a/tests/test_subsetting_model.py
+++ b/tests/test_subsetting_model.py
@@ -1,4 +1,5 @@
-"""The rigs of subsets and of lists, small, as CI plays them; and that one says no to uneven subsets."""
+"""The rigs of subsets and of lists in a small size, as in CI, and that the subsetting rig rejects uneven
+subsets."""
 
 from __future__ import annotations
 
