--- a/thistlelever/wire/binding.py
+++ b/thistlelever/wire/binding.py
@@ -1,7 +1,7 @@
-"""Parameters of a prepared statement, written into it as SQL literals.
+"""Binds parameters of prepared statements by writing them into the text as SQL literals.
 
-Engines of the platform take a statement as text and know no parameters, so a value is bound here. A `?`
-counts as a place where it stands in no string, comment or quoted name.
+Engines accept statements as text only and do not support parameters. A `?` is a placeholder unless it
+stands in a string, a comment or a quoted name.
 """
 
 from __future__ import annotations
@@ -13,27 +13,31 @@
 from math import isfinite
 
 TOKEN = re.compile(
-    rb"--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|(?P<place>\?)", re.DOTALL
+    rb"--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|(?P<placeholder>\?)",
+    re.DOTALL,
 )
-# The values of an insert, whose places may be filled once for each row of parameters.
+# The value list of an insert, which is repeated for each row of parameters.
 VALUES = re.compile(rb"\bvalues\s*(\([^()]*\))\s*;?\s*\Z", re.IGNORECASE)
-# A bound statement may be as long as one that a client sends whole.
-LONGEST = 190_000
+# The limit that also holds for statements without parameters.
+MAX_STATEMENT_BYTES = 190_000
 
 
 class Unbindable(Exception):
     """The parameters do not fit the statement."""
 
 
-def places(statement: bytes) -> int:
-    """How many parameters a statement has."""
-    return sum(match["place"] is not None for match in TOKEN.finditer(statement))
+def count_placeholders(statement: bytes) -> int:
+    """Return the number of placeholders in a statement."""
+    return sum(match["placeholder"] is not None for match in TOKEN.finditer(statement))
 
 
-def bound(statement: bytes, rows: Sequence[Sequence]) -> bytes:
-    """The statement with the parameters in place. More than one row fits only an insert of values, which then
-    inserts them all: one batch, one effect."""
-    wanted = places(statement)
+def bind(statement: bytes, rows: Sequence[Sequence]) -> bytes:
+    """Return the statement with its parameters bound; raises `Unbindable`.
+
+    Several rows of parameters are accepted only for an insert of values. They become one statement that
+    inserts all of them, so that the batch has one effect.
+    """
+    wanted = count_placeholders(statement)
     if not wanted and not rows:
         return statement
     if not rows:
@@ -42,34 +46,39 @@
         if len(row) != wanted:
             raise Unbindable(f"{wanted} parameters wanted, {len(row)} bound")
     if len(rows) == 1:
-        return limited(filled(statement, rows[0]))
+        return check_length(substitute(statement, rows[0]))
     values = VALUES.search(statement)
-    if not values or places(values[1]) != wanted:
+    if not values or count_placeholders(values[1]) != wanted:
         raise Unbindable(f"{len(rows)} rows of parameters, and no insert whose values hold all places")
-    # Risk: thousands of rows are joined to megabytes before the length is looked at.
-    if len(rows) * len(values[1]) > LONGEST:
-        raise Unbindable(f"{len(rows)} rows make a statement of more than {LONGEST} bytes")
-    tuples = b", ".join(filled(values[1], row) for row in rows)
-    return limited(statement[: values.start(1)] + tuples)
+    # Checked before the rows are joined, as thousands of them would build a text of megabytes first.
+    if len(rows) * len(values[1]) > MAX_STATEMENT_BYTES:
+        raise Unbindable(f"{len(rows)} rows make a statement of more than {MAX_STATEMENT_BYTES} bytes")
+    tuples = b", ".join(substitute(values[1], row) for row in rows)
+    return check_length(statement[: values.start(1)] + tuples)
 
 
-def limited(statement: bytes) -> bytes:
-    if len(statement) > LONGEST:
-        raise Unbindable(f"a bound statement of {len(statement)} bytes; {LONGEST} at most")
+def check_length(statement: bytes) -> bytes:
+    """Return the statement; raises `Unbindable` if it is too long."""
+    if len(statement) > MAX_STATEMENT_BYTES:
+        raise Unbindable(f"a bound statement of {len(statement)} bytes; {MAX_STATEMENT_BYTES} at most")
     return statement
 
 
-def filled(statement: bytes, row: Sequence) -> bytes:
+def substitute(statement: bytes, row: Sequence) -> bytes:
+    """Replace the placeholders by the literals of a row of values."""
     values = iter(row)
 
     def fill(match: re.Match) -> bytes:
-        return literal(next(values)) if match["place"] else match[0]
+        return literal(next(values)) if match["placeholder"] else match[0]
 
     return TOKEN.sub(fill, statement)
 
 
 def literal(value) -> bytes:
-    """A value as SQL text. Risk: a quote in a string that ends the literal runs the rest as a statement."""
+    """Return a value as an SQL literal; raises `Unbindable`.
+
+    Quotes in strings are doubled: one that ended the literal would run the rest of the string as SQL.
+    """
     if value is None:
         return b"null"
     if value is True or value is False:
