--- a/tests/test_distribution_claims.py
+++ b/tests/test_distribution_claims.py
@@ -73,19 +73,19 @@
 
 
 def test_a_claim_of_one_that_may_have_forgotten_does_not_count_its_own_answer():
-    claim = Claim(0, 3, remembers=False)
+    claim = Claim(0, 3, promises_intact=False)
     claim.record_highest(0, NO_VERSION)
     claim.record_highest(1, NO_VERSION)
     assert claim.term() is None
     claim.record_highest(2, Version(64, 5))
     assert claim.term() == 128
-    of_many = Claim(0, 24, remembers=False)
+    of_many = Claim(0, 24, promises_intact=False)
     for other in range(12):
         of_many.record_highest(other, NO_VERSION)
     assert of_many.term() is None
     of_many.record_highest(12, NO_VERSION)
     assert of_many.term() == 64
-    alone = Claim(0, 1, remembers=False)
+    alone = Claim(0, 1, promises_intact=False)
     alone.record_highest(0, Version(64, 2))
     assert alone.term() == 128
 
@@ -159,7 +159,7 @@
     replicas[1].receive(publisher.replica.snapshot())
     replicas[0] = Replica()
     replicas[0].receive(backup)
-    claim = Claim(0, 3, remembers=False)
+    claim = Claim(0, 3, promises_intact=False)
     for other in (1, 2):
         claim.record_highest(other, replicas[other].highest())
     assert claim.term() > publisher.term
@@ -172,11 +172,11 @@
     publisher = complete_claim(0, replicas, [0, 1])
     replicas[0] = Replica()
     terms = {}
-    for remembers in (True, False):
-        claim = Claim(0, 3, remembers=remembers)
+    for promises_intact in (True, False):
+        claim = Claim(0, 3, promises_intact=promises_intact)
         for other in (0, 2):
             claim.record_highest(other, replicas[other].highest())
-        terms[remembers] = claim.term()
+        terms[promises_intact] = claim.term()
     assert terms == {True: publisher.term, False: None}
 
 
--- a/tests/test_distribution_views.py
+++ b/tests/test_distribution_views.py
@@ -59,17 +59,17 @@
 def test_a_lost_answer_costs_no_snapshot():
     views = SentViews()
     front = Replica(strict=False)
-    assert views.acknowledged(front.version, front.digest) is None
+    assert views.acknowledge(front.version, front.digest) is None
     first = snapshot(Version(TERM, 1), [engine(1)])
     views.sent(first)
     front.receive(first)
     for number in (2, 3):
-        view = views.acknowledged(front.version, front.digest)
+        view = views.acknowledge(front.version, front.digest)
         answer = difference(view, Version(TERM, number), [engine(number)], lambda _: True)
         views.sent(answer)
     assert front.receive(answer) is Outcome.APPLIED
-    assert views.acknowledged(front.version, front.digest).records == front.records
-    assert views.acknowledged(Version(TERM, 1), first.digest) is None
+    assert views.acknowledge(front.version, front.digest).records == front.records
+    assert views.acknowledge(Version(TERM, 1), first.digest) is None
 
 
 def test_a_delta_from_another_view_is_not_remembered():
--- a/tests/test_distribution_world.py
+++ b/tests/test_distribution_world.py
@@ -45,9 +45,9 @@
         self.index = index
         self.replica_class = replica_class
         self.backup = Backup(Snapshot(NO_VERSION, 0, ()), NO_VERSION)
-        self.start(self.backup, remembers=True)
+        self.start(self.backup, promises_intact=True)
 
-    def start(self, backup: Backup, *, remembers: bool) -> None:
+    def start(self, backup: Backup, *, promises_intact: bool) -> None:
         """Starts from stored state: the present one, or an older one that may lack promises."""
         self.replica = self.replica_class(strict=True)
         self.replica.receive(backup.content)
@@ -56,7 +56,7 @@
         self.views: dict[str, SentViews] = {}
         self.publisher: Publisher | None = None
         self.claim: Claim | None = None
-        self.remembers = remembers
+        self.promises_intact = promises_intact
 
     def highest_observed(self) -> Version:
         """The highest version observed by its last claim or publisher."""
@@ -135,25 +135,25 @@
     def start_claim(self, index: int) -> None:
         claimant = self.distributors[index]
         observed = claimant.highest_observed()
-        claimant.claim = Claim(index, DISTRIBUTORS, remembers=claimant.remembers)
+        claimant.claim = Claim(index, DISTRIBUTORS, promises_intact=claimant.promises_intact)
         claimant.claim.observe(observed)
         claimant.claim.record_highest(index, claimant.replica.highest())
 
     def ask_for_highest(self, index: int, other: int) -> None:
         claimant, asked = self.distributors[index], self.distributors[other]
-        if claimant.claim is None or not asked.remembers or other == index:
+        if claimant.claim is None or not asked.promises_intact or other == index:
             return
         claimant.claim.record_highest(other, asked.replica.highest())
-        if claimant.claim.term() is not None and not claimant.remembers:
+        if claimant.claim.term() is not None and not claimant.promises_intact:
             promise(claimant.replica, claimant.claim.highest().term)
-            claimant.remembers = True
+            claimant.promises_intact = True
 
     def ask_for_promise(self, index: int, other: int) -> None:
         """Requests a promise, after the claimant's own; the claimant becomes the publisher with a
         majority."""
         claimant, asked = self.distributors[index], self.distributors[other]
         claim = claimant.claim
-        if claim is None or claim.term() is None or claim.superseded() or not asked.remembers:
+        if claim is None or claim.term() is None or claim.superseded() or not asked.promises_intact:
             return
         for promiser in (claimant, asked):
             if not promise(promiser.replica, claim.term()):
@@ -185,7 +185,7 @@
         front, distributor = self.fronts[number], self.distributors[index]
         held, records = front.replica, distributor.replica.records
         views = distributor.views.setdefault(front.name, SentViews())
-        view = views.acknowledged(held.version, held.digest)
+        view = views.acknowledge(held.version, held.digest)
         wanted = wanted_records(front, records)
         if view is None:
             full = snapshot(distributor.replica.version, wanted)
@@ -276,13 +276,13 @@
 
     def restart(self, index: int) -> None:
         distributor = self.distributors[index]
-        distributor.start(distributor.stored(), remembers=distributor.remembers)
+        distributor.start(distributor.stored(), promises_intact=distributor.promises_intact)
 
     def restore(self, index: int) -> None:
         """Starts from the backup, unless another distributor may already lack promises."""
         others = [other for other in self.distributors if other.index != index]
-        if all(other.remembers for other in others):
-            self.distributors[index].start(self.distributors[index].backup, remembers=False)
+        if all(other.promises_intact for other in others):
+            self.distributors[index].start(self.distributors[index].backup, promises_intact=False)
 
     # Invariants.
 
--- a/thistlelever/distribution/claim.py
+++ b/thistlelever/distribution/claim.py
@@ -25,9 +25,9 @@
 it published anything in that term, so the new claim learns of the former term and chooses a higher one.
 
 State restored from a backup may lack promises made since. Until a distributor has replies from enough others
-since its start (until `Claim.term` of a claim with `remembers=False` is not None), it answers no claims and
-its own reply does not count in its own claim; then it raises its floor to `Claim.highest` (`promise`). This
-covers one such distributor at a time, or several if enough others have kept their promises. If most are
+since its start (until `Claim.term` of a claim with `promises_intact=False` is not None), it answers no claims
+and its own reply does not count in its own claim; then it raises its floor to `Claim.highest` (`promise`).
+This covers one such distributor at a time, or several if enough others have kept their promises. If most are
 restored at once, nobody knows which terms existed, and the operator must start them with a term that was
 never used.
 """
@@ -71,11 +71,11 @@
 
 
 class Claim:
-    """One attempt of the distributor `index` among `distributors` to become the publisher. `remembers` is
-    False if that distributor may have lost promises, for example after a restore from a backup; its own reply
-    then does not count."""
+    """One attempt of the distributor `index` among `distributors` to become the publisher. `promises_intact`
+    is False if that distributor may have lost promises, for example after a restore from a backup; its own
+    reply then does not count."""
 
-    def __init__(self, index: int, distributors: int, *, remembers: bool = True) -> None:
+    def __init__(self, index: int, distributors: int, *, promises_intact: bool = True) -> None:
         """Raises `ValueError` unless 1 <= `distributors` <= `TERMS_PER_ROUND` and 0 <= `index` <
         `distributors`."""
         if not 1 <= distributors <= TERMS_PER_ROUND:
@@ -83,7 +83,7 @@
         _check_index(index, distributors)
         self._index = index
         self._distributors = distributors
-        self._remembers = remembers
+        self._promises_intact = promises_intact
         self._responders: set[int] = set()
         self._promises: dict[int, Version] = {}
         self._highest = NO_VERSION
@@ -140,7 +140,7 @@
 
     def _has_quorum(self) -> bool:
         """Whether the replies include a member of every majority that may have promised an earlier term."""
-        if self._remembers or self._distributors == 1:
+        if self._promises_intact or self._distributors == 1:
             return len(self._responders) >= majority(self._distributors)
         others_in_majority = majority(self._distributors) - 1
         other_responders = len(self._responders - {self._index})
--- a/thistlelever/distribution/views.py
+++ b/thistlelever/distribution/views.py
@@ -28,7 +28,7 @@
     digest: int = EMPTY_DIGEST
     records: dict[str, Record] = {}
 
-    def is_at(self, version: Version, digest: int) -> bool:
+    def matches(self, version: Version, digest: int) -> bool:
         """Whether a front with this version and digest holds this view."""
         return self.version == version and self.digest == digest
 
@@ -56,11 +56,11 @@
         self._acknowledged: FrontView | None = None
         self._sent: FrontView | None = None
 
-    def acknowledged(self, version: Version, digest: int) -> FrontView | None:
+    def acknowledge(self, version: Version, digest: int) -> FrontView | None:
         """Returns the view with this version and digest, which the front reported, and marks it as
         acknowledged. Returns None if neither view matches: the front then needs a snapshot."""
         for view in (self._sent, self._acknowledged):
-            if view is not None and view.is_at(version, digest):
+            if view is not None and view.matches(version, digest):
                 self._acknowledged = view
                 self._sent = None
                 return view
@@ -70,7 +70,7 @@
         """Records the update that is being sent: a snapshot, or a delta from the acknowledged view. Raises
         `ValueError` for a delta from another view."""
         base = self._acknowledged or FrontView()
-        if isinstance(update, Delta) and not base.is_at(update.base, update.base_digest):
+        if isinstance(update, Delta) and not base.matches(update.base, update.base_digest):
             raise ValueError(f"a delta from {base.version} expected, found one from {update.base}")
         self._sent = base.after(update)
 
--- a/thistlelever/distributor/claiming.py
+++ b/thistlelever/distributor/claiming.py
@@ -54,7 +54,7 @@
     keeps its own promise. With `election` nothing is claimed while another distributor hears the
     publisher."""
     index, distributors, replica = follower.index, follower.distributors, follower.catalog.replica
-    claim = Claim(index, len(distributors), remembers=memory.remembers())
+    claim = Claim(index, len(distributors), promises_intact=memory.remembers())
     claim.observe(max(follower.highest_seen, above))
     claim.record_highest(index, replica.highest())
     answers = await ask_others(distributors, index, HIGHEST_PATH, codec.HighestRequest(index))
--- a/thistlelever/distributor/sessions.py
+++ b/thistlelever/distributor/sessions.py
@@ -154,7 +154,7 @@
         """What brings the front to the records wanted."""
         catalog, version = self.catalog, self.catalog.version
         exists = catalog.replica.records.__contains__
-        held = session.views.acknowledged(*held_by(request))
+        held = session.views.acknowledge(*held_by(request))
         if held is not None:
             return difference(held, version, wanted, exists, session.retained)
         if request.held is None:
--- a/thistlelever/subsetting/subsets.py
+++ b/thistlelever/subsetting/subsets.py
@@ -152,11 +152,13 @@
             held.update(dict.fromkeys(home.arc(home_start, widths.home_width(front.zone))))
         return held
 
-    def _add_missing(self, held: dict[str, None], missing: int, further: Iterable[tuple[int, str]]) -> None:
-        """Adds the first `missing` engines of `further` that are not held yet."""
+    def _add_missing(
+        self, held: dict[str, None], missing: int, candidates: Iterable[tuple[int, str]]
+    ) -> None:
+        """Adds the first `missing` engines of `candidates` that are not held yet."""
         if missing <= 0:
             return
-        for _, engine_id in further:
+        for _, engine_id in candidates:
             if engine_id not in held:
                 held[engine_id] = None
                 missing -= 1
@@ -182,9 +184,9 @@
         zones = Counter(records[engine_id].zone for engine_id in held if not records[engine_id].draining)
         if not zones:
             return
-        main = max(zones, key=lambda zone: (zones[zone], zone))
-        missing = self.parameters.least - (zones.total() - zones[main])
-        self._add_missing(held, missing, self._ready_outside(main, start))
+        largest_zone = max(zones, key=lambda zone: (zones[zone], zone))
+        missing = self.parameters.least - (zones.total() - zones[largest_zone])
+        self._add_missing(held, missing, self._ready_outside(largest_zone, start))
 
     def _ready_outside(self, zone: str, start: int) -> Iterator[tuple[int, str]]:
         """Yields the ready engines outside a zone with their distances, nearest after `start` first."""
--- a/thistlelever/subsetting/types.py
+++ b/thistlelever/subsetting/types.py
@@ -60,9 +60,10 @@
     """Parameters that are the same for all fronts.
 
     `engines` is the approximate number of engines that a front holds (see `EngineRing`), `home_share` the
-    fraction of them in the front's own zone, `least` the minimum number that meets each requirement, and
-    `fronts` the number of all fronts. `zone_fronts` is the number of fronts in the largest zone if every
-    front knows its rank in its zone; with 0 ranks in zones are ignored."""
+    fraction of them in the front's own zone, `least` the minimum number that meets each requirement
+    and the minimum outside a single zone, and `fronts` the number of all fronts. `zone_fronts` is the number
+    of fronts in the largest zone if every front knows its rank in its zone; with 0 ranks in zones are
+    ignored."""
 
     engines: int = 96
     home_share: float = 0.5
