--- a/thistlelever/cli/serve.py
+++ b/thistlelever/cli/serve.py
@@ -24,21 +24,21 @@
 @operator_option
 def serve(operator: str | None) -> None:
     """Serve as one front; BALANCER_CONFIG names the configuration."""
-    # Risk: a SIGHUP that comes before it is handled ends the process, or is about a configuration newer than
-    # the one that was read. Held back from here on, it is a reload once the front is up.
+    # A SIGHUP before its handler is set would end the process, and one after the configuration was read would
+    # be lost. Blocked from here on, it becomes a reload once the front is up.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from thistlelever.lifecycle.run import serve as run
     from thistlelever.lifecycle.start_times import StartTimes
 
     start_times = StartTimes()
-    start_times.reached("loaded")
+    start_times.finish_stage("loaded")
     config = load_config()
-    switched_on = load_operator_file(operator, config)
-    start_times.reached("configured")
+    operator_file = load_operator_file(operator, config)
+    start_times.finish_stage("configured")
     log = Log(config.name)
     logging.basicConfig(handlers=[LibraryLogHandler(log)], level=logging.WARNING)
-    reread = (lambda: read_operator_file(operator)) if operator else None
+    reread_operator = (lambda: read_operator_file(operator)) if operator else None
     try:
-        sys.exit(asyncio.run(run(config, log, switched_on, reread, start_times)))
+        sys.exit(asyncio.run(run(config, log, operator_file, reread_operator, start_times)))
     except OSError as error:
         exit_with_error(error, EXIT_FAILURE)
--- a/thistlelever/cli/state.py
+++ b/thistlelever/cli/state.py
@@ -1,4 +1,4 @@
-"""`thistlelever state`: what a front keeps on disk."""
+"""`thistlelever state`: the records that a front keeps on disk."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from thistlelever.cli.common import (
     EXIT_FAILURE,
-    ask_front,
+    call_front,
     exit_with_error,
     json_option,
     load_operator_file,
@@ -39,10 +39,10 @@
 def show(operator: str | None, path: str | None, as_json: bool) -> None:
     """How many records of each kind there are; of a living front also how it started, and whether it keeps
     what it is told (exit 1 where it does not)."""
-    switched_on = load_operator_file(operator) if not path else None
-    asked = switched_on and switched_on.admin and switched_on.state
-    if asked and is_listening(switched_on.admin.socket):
-        report = ask_front(operator, "state.show")
+    operator_file = load_operator_file(operator) if not path else None
+    has_socket = operator_file and operator_file.admin and operator_file.state
+    if has_socket and is_listening(operator_file.admin.socket):
+        report = call_front(operator, "state.show")
     else:
         report = report_of_file(open_store(operator, path, read_only=True))
     if as_json:
@@ -118,7 +118,7 @@
 
 
 def open_store(operator_path: str | None, path: str | None, read_only: bool) -> LedgerFile:
-    """The store that is named, or the operator file's; exit 2 where it can't be opened."""
+    """The store at the path, or the operator file's one; exit 2 where it can't be opened."""
     from thistlelever.ledger.file import LedgerError, LedgerFile
 
     operator = load_operator_file(operator_path)
@@ -132,7 +132,7 @@
 
 
 def report_of_file(file: LedgerFile) -> dict:
-    """What `state show` says of a store that no running front answers for."""
+    """The report of `state show` on a store without a running front. Closes the store."""
     damaged: list = []
     counts = Counter(kind for kind, _, _ in file.read(damaged))
     file.close()
@@ -140,7 +140,7 @@
 
 
 def read_export(source: BinaryIO) -> list[tuple[str, bytes, bytes]]:
-    """Kind, key and packed record of each line; exit 2 at the first that is no record."""
+    """Kind, key and packed record of each line; exit 2 at the first line that is no record."""
     import msgspec
 
     from thistlelever.ledger import records
@@ -165,6 +165,6 @@
 
 
 def is_listening(path: str) -> bool:
-    """Whether a front answers at that socket."""
+    """Whether a front listens at that socket."""
     with socket.socket(socket.AF_UNIX) as probe:
         return probe.connect_ex(path) == 0
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -1,4 +1,4 @@
-"""How a front comes up, serves, and goes down."""
+"""Start, run, reload and shut down one front."""
 
 from __future__ import annotations
 
@@ -33,48 +33,52 @@
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator, Takeover
-    from thistlelever.lifecycle.admin import Administration
+    from thistlelever.lifecycle.admin import AdminServer
     from thistlelever.lifecycle.distribution import SubscribedDiscovery
-    from thistlelever.lifecycle.flight import FlightSide
-    from thistlelever.lifecycle.membership import MembershipSide
-    from thistlelever.lifecycle.parts import Parts, Side
-    from thistlelever.lifecycle.state import StateSide
-    from thistlelever.lifecycle.takeover import TakeoverSide
-
-# After a SIGTERM, requests go on coming for 0.6 s; the kill comes no sooner than the longest time limit,
-# or 3 s if that is less, and 0.7 s more after it. The last answers are written before.
-STILL_COMING, LONGEST_LIMIT, LAST_ANSWER = 0.75, 3.0, 0.3
-# What the last answers may take to leave the connections' buffers.
-LAST_BYTES = 0.2
-# Many clients come at once when a front is taken in.
+    from thistlelever.lifecycle.flight import FlightComponent
+    from thistlelever.lifecycle.membership import MembershipComponent
+    from thistlelever.lifecycle.components import Component, FrontContext
+    from thistlelever.lifecycle.state import StateComponent
+    from thistlelever.lifecycle.takeover import TakeoverComponent
+
+# After SIGTERM, requests go on arriving for 0.6 s. SIGKILL follows 0.7 s after the longest time limit at the
+# earliest, of which at most 3 s count; the last answers must be written before.
+ACCEPT_AFTER_SIGTERM_S, MAX_DRAIN_S, ANSWER_GRACE_S = 0.75, 3.0, 0.3
+# The time in which the last answers leave the connections' buffers.
+FLUSH_TIMEOUT_S = 0.2
+# Many clients connect at once when a front is added.
 BACKLOG = 512
-# What a SIGHUP renews, and what means something at a start only: neither waits for a restart.
-RENEWED = ("directory", "serial", "known", "seed", "peers")
-# The keys of the file that hold what goes by another name here.
-KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
+# Fields that SIGHUP reloads, and those used at a start only: a change of them needs no restart.
+RELOADED_FIELDS = ("directory", "serial", "known", "seed", "peers")
+# The configuration file's keys of fields whose names differ from them.
+FILE_KEYS = {name: f"limits.{name}" for name in ("sockets", "memory_mb", "cores")} | dict.fromkeys(
     ("zones", "kinds", "idle", "answer_slack", "settings"), "settings"
 )
-HOUSEKEEPING, COUNTS_EVERY = 0.5, 6.0
-# What a start is short of is tried for again so often, this far apart.
-MOST_STARTS, START_AGAIN = 50, 0.1
+HOUSEKEEPING_INTERVAL_S, COUNTS_LOG_INTERVAL_S = 0.5, 6.0
+# Retries of a start that lacks sockets or memory, and the seconds between them.
+MAX_RETRIES, RETRY_INTERVAL_S = 50, 0.1
 
 T = TypeVar("T")
 
 
-class Office:
-    """The parts of one front, put together."""
+class FrontServer:
+    """One front: builds its objects, opens them, reloads them on SIGHUP, and closes them on SIGTERM."""
 
     def __init__(
         self,
         config: Config,
         log: Log,
-        read_again: Callable[[], Config] = load,
+        reread_config: Callable[[], Config] = load,
         operator: Operator | None = None,
-        operator_again: Callable[[], Operator] | None = None,
+        reread_operator: Callable[[], Operator] | None = None,
     ) -> None:
-        self.config, self.log, self.read_again = config, log, read_again
-        # The operator file, where there is one: what is switched on beyond the platform's own front.
-        self.operator, self.operator_again = operator, operator_again
+        """Build all objects, without opening a socket.
+
+        The operator file, where there is one, enables the optional components. `reread_config` and
+        `reread_operator` read the files again at a reload, and raise `ConfigError` where they are invalid.
+        """
+        self.config, self.log, self.reread_config = config, log, reread_config
+        self.operator, self.reread_operator = operator, reread_operator
         self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
         self.roll.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
@@ -88,28 +92,30 @@
         self.dispatcher = Dispatcher(
             settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
         )
-        self.flight: FlightSide | None = None
-        self.membership: MembershipSide | None = None
-        self.state: StateSide | None = None
+        self.flight: FlightComponent | None = None
+        self.membership: MembershipComponent | None = None
+        self.state: StateComponent | None = None
         self.courses = Courses(self.desk, self.dispatcher, self.batches, self.metrics, log)
         self.pulse = Pulse()
         self.intake = Intake(settings, self.pulse, self.batches)
         self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
-        self.inquiry = self.discovery(operator)
+        self.inquiry = self.build_discovery(operator)
         self.desk.on_probe = self.dispatcher.probe
         self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
-        # What the operator file switches on beside that, in the order in which it is opened.
-        self.sides: list[Side] = self.switched_on(operator) if operator else []
+        # Optional components, in the order in which they are opened.
+        self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
-            side = self.flight
-            self.dispatcher.speech = lambda entry: side.engines if side.speaks(entry) else over_http
-        self.admin: Administration | None = None
-        self.stop, self.renew = asyncio.Event(), asyncio.Event()
-        self.inquiry.on_new_configuration = self.renew.set
+            component = self.flight
+            self.dispatcher.speech = (
+                lambda entry: component.engines if component.speaks_flight(entry) else over_http
+            )
+        self.admin: AdminServer | None = None
+        self.stop, self.reload_requested = asyncio.Event(), asyncio.Event()
+        self.inquiry.on_new_configuration = self.reload_requested.set
         self.tasks: list[asyncio.Task] = []
 
-    def discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
-        """Where the list of engines comes from: DNS, or distributors where the operator file names them."""
+    def build_discovery(self, operator: Operator | None) -> Inquiry | SubscribedDiscovery:
+        """The source of the engine list: DNS, or the distributors that the operator file names."""
         config = self.config
         if operator and operator.distribution:
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
@@ -120,11 +126,11 @@
             self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
         )
 
-    def parts(self) -> Parts:
-        """What further parts are handed."""
-        from thistlelever.lifecycle.parts import Parts
+    def component_context(self) -> FrontContext:
+        """The objects that optional components receive."""
+        from thistlelever.lifecycle.components import FrontContext
 
-        return Parts(
+        return FrontContext(
             self.config,
             self.log,
             self.metrics,
@@ -137,123 +143,127 @@
             self.inquiry,
         )
 
-    def switched_on(self, operator: Operator) -> list[Side]:
-        """Each section that is there, put together; the others are not even imported."""
-        parts = self.parts()
-        sides: list[Side] = []
+    def build_components(self, operator: Operator) -> list[Component]:
+        """A component for each section that is present; modules of the others are not imported."""
+        context = self.component_context()
+        components: list[Component] = []
         if operator.flight:
-            from thistlelever.lifecycle.flight import FlightSide
+            from thistlelever.lifecycle.flight import FlightComponent
 
-            self.flight = FlightSide(parts, operator.flight)
-            sides.append(self.flight)
+            self.flight = FlightComponent(context, operator.flight)
+            components.append(self.flight)
         if operator.state:
-            from thistlelever.lifecycle.state import StateSide
+            from thistlelever.lifecycle.state import StateComponent
 
-            self.state = StateSide(parts, operator.state)
-            sides.append(self.state)
-            # Risk: a front that starts again takes an older list than it had, of a distributor that is
-            # behind.
+            self.state = StateComponent(context, operator.state)
+            components.append(self.state)
+            # Otherwise a restarted front could accept an older list than it had from a lagging distributor.
             self.inquiry.accept_from(self.state.highest_serial())
         if operator.budgets:
-            from thistlelever.lifecycle.budgets import BudgetsSide
+            from thistlelever.lifecycle.budgets import BudgetsComponent
 
-            sides.append(BudgetsSide(parts, operator.budgets))
+            components.append(BudgetsComponent(context, operator.budgets))
         if operator.membership:
-            from thistlelever.lifecycle.membership import MembershipSide
+            from thistlelever.lifecycle.membership import MembershipComponent
 
-            self.membership = MembershipSide(parts, operator.membership)
-            sides.append(self.membership)
+            self.membership = MembershipComponent(context, operator.membership)
+            components.append(self.membership)
             if operator.takeover:
-                sides.append(self.takeover(parts, operator.takeover, self.membership))
-        return sides
+                components.append(self.build_takeover(context, operator.takeover, self.membership))
+        return components
 
-    def takeover(self, parts: Parts, section: Takeover, membership: MembershipSide) -> TakeoverSide:
-        """Takeover, which hears of it where the front keeps nothing on disk."""
-        from thistlelever.lifecycle.takeover import TakeoverSide
+    def build_takeover(
+        self, context: FrontContext, section: Takeover, membership: MembershipComponent
+    ) -> TakeoverComponent:
+        """The component for takeover, connected to the store's failures where the front has a store."""
+        from thistlelever.lifecycle.takeover import TakeoverComponent
 
-        takeover = TakeoverSide(parts, section, membership)
+        takeover = TakeoverComponent(context, section, membership)
         if self.state:
-            # A front that keeps nothing does not promise others to.
-            self.state.on_failing.append(takeover.failing)
+            # A front whose store fails must not promise to keep records for others.
+            self.state.on_failing.append(takeover.set_storage_failure)
         return takeover
 
     def forget(self, engine: it.EngineId) -> None:
-        """Connections to an engine that is gone or was started anew."""
+        """Close the connections to an engine that is gone or has restarted."""
         self.links.forget(engine)
         if self.flight:
             self.flight.engines.forget(engine)
 
     async def open(self, start_times: StartTimes | None = None) -> None:
-        """Ready only when the list is read, the decisions are made and the port listens."""
+        """Open everything, and log `ready` once the decisions have the engine list and the port listens.
+
+        Raises `OSError` where an address can't be bound.
+        """
         start_times = start_times or StartTimes()
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.unforeseen)
+        loop.set_exception_handler(self.log_unhandled_exception)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self.renew.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.inquiry.open(self.config.directory)
-        start_times.reached("directory")
+        start_times.finish_stage("directory")
         address = self.config.peer_listen
         if address and not self.membership:
-            await patiently(
+            await retry_while_out_of_resources(
                 lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
             )
         self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
-        raw = await patiently(lambda: listener(self.config.listen))
-        self.reception.listen(raw)
-        start_times.reached("listening")
-        further: dict = {}
-        for side in self.sides:
-            further |= await side.open()
-            start_times.reached(type(side).__name__)
+        sock = await retry_while_out_of_resources(lambda: listening_socket(self.config.listen))
+        self.reception.listen(sock)
+        start_times.finish_stage("listening")
+        facts: dict = {}
+        for component in self.components:
+            facts |= await component.open()
+            start_times.finish_stage(component.start_stage)
         if self.operator and self.operator.admin:
-            from thistlelever.lifecycle.admin import Administration
+            from thistlelever.lifecycle.admin import AdminServer
 
-            self.admin = Administration(self.operator.admin.socket, self.questions())
+            self.admin = AdminServer(self.operator.admin.socket, self.admin_handlers())
             await self.admin.listen()
         self.reception.ready = lambda: not self.stop.is_set()
-        works = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.renewing()
-        self.tasks = [loop.create_task(work) for work in works]
+        coroutines = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.reload_on_request()
+        self.tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         self.log(
             "ready",
-            listen=raw.getsockname(),
+            listen=sock.getsockname(),
             engines=len(self.roll.entries),
             serial=self.roll.serial,
             links=self.links.most,
             start=start_times.stages,
-            **further,
+            **facts,
         )
 
-    def questions(self) -> dict[str, Callable[..., dict]]:
-        """What the administration may be asked, by the parts that are on."""
-        asked: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
-        for part in (self.inquiry, *self.sides):
-            asked |= part.questions()
-        return asked
+    def admin_handlers(self) -> dict[str, Callable[..., dict]]:
+        """The handlers of the admin socket: the counters, and those of discovery and the components."""
+        handlers: dict[str, Callable[..., dict]] = {"counts": lambda: dict(self.metrics.counts)}
+        for component in (self.inquiry, *self.components):
+            handlers |= component.admin_handlers()
+        return handlers
 
     async def run(self, start_times: StartTimes | None = None) -> None:
-        """From the start to the end; `start_times` has the stages that were before."""
+        """Open, serve until SIGTERM, and close. `start_times` has the stages before the call."""
         await self.open(start_times)
         await self.stop.wait()
         await self.close()
 
     async def close(self) -> None:
-        """Take what still comes, answer all that was taken, and be gone before the kill."""
-        longest = max(query_class.time_limit for query_class in self.config.settings.tariffs)
-        stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
+        """Accept requests a little longer, answer all that were taken, and stop before SIGKILL."""
+        longest_time_limit = max(query_class.time_limit for query_class in self.config.settings.tariffs)
+        stop_at = clock.now() + min(longest_time_limit, MAX_DRAIN_S) + ANSWER_GRACE_S
         self.log("stopping", open=len(self.batches.by_number))
         self.intake.stop_at = stop_at
-        for side in self.sides:
-            side.stopping()
+        for component in self.components:
+            component.begin_shutdown()
         self.courses.stop(stop_at)
-        await asyncio.sleep(STILL_COMING)
-        while self.courses.tasks and clock.now() < stop_at + LAST_BYTES:
-            await asyncio.wait(self.courses.tasks, timeout=stop_at + LAST_BYTES - clock.now())
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        while self.courses.tasks and clock.now() < stop_at + FLUSH_TIMEOUT_S:
+            await asyncio.wait(self.courses.tasks, timeout=stop_at + FLUSH_TIMEOUT_S - clock.now())
         # The last answers may still lie in the connections' buffers.
-        await self.reception.finish(LAST_BYTES)
-        for side in self.sides:
-            await side.close(LAST_BYTES)
+        await self.reception.finish(FLUSH_TIMEOUT_S)
+        for component in self.components:
+            await component.close(FLUSH_TIMEOUT_S)
         if self.admin:
             await self.admin.close()
         for task in self.tasks:
@@ -262,119 +272,126 @@
         self.metrics.check_invariant(not self.batches.by_number, "all answered at the end")
         self.log("stopped", counts=self.metrics.counts)
 
-    async def renewing(self) -> None:
-        """At each SIGHUP the configuration is read again; what can't be used leaves the old one in force."""
+    async def reload_on_request(self) -> None:
+        """Reread the files at each request, by SIGHUP or by a distributor; invalid ones change nothing."""
         while True:
-            await self.renew.wait()
-            self.renew.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             if self.stop.is_set():
                 continue
             try:
-                new = self.read_again()
-                operator = self.inquiry.overlay(self.operator_again()) if self.operator_again else None
+                new_config = self.reread_config()
+                operator = self.inquiry.overlay(self.reread_operator()) if self.reread_operator else None
                 if operator and operator.budgets:
-                    from thistlelever.lifecycle.budgets import plan
-
-                    plan(operator.budgets)
-                if new.directory != self.config.directory:
-                    await self.inquiry.open(new.directory)
-                # Risk: a drain that it names is known only once the directory's new address has answered.
-                self.inquiry.hold(new.serial, list(new.known))
-            except ConfigError as why:
-                self.log("reload refused", why=str(why))
+                    from thistlelever.lifecycle.budgets import build_plan
+
+                    build_plan(operator.budgets)
+                if new_config.directory != self.config.directory:
+                    await self.inquiry.open(new_config.directory)
+                # At once: waiting for the directory's answer would delay a drain that only the file names.
+                self.inquiry.hold(new_config.serial, list(new_config.known))
+            except ConfigError as error:
+                self.log("reload refused", why=str(error))
                 continue
-            except OSError as why:
-                self.log("reload refused", why=f"dns: can't be reached: {why}")
+            except OSError as error:
+                self.log("reload refused", why=f"dns: can't be reached: {error}")
                 continue
-            waiting = sorted(
+            needs_restart = sorted(
                 {
-                    KEYS.get(name, name)
-                    for name, was in self.config._asdict().items()
-                    if name not in RENEWED and getattr(new, name) != was
+                    FILE_KEYS.get(name, name)
+                    for name, old_value in self.config._asdict().items()
+                    if name not in RELOADED_FIELDS and getattr(new_config, name) != old_value
                 }
             )
-            self.config = self.config._replace(directory=new.directory, peers=new.peers)
-            waiting += self.renewed(operator)
-            self.log("reloaded", dns=new.directory, needs_restart=waiting)
+            self.config = self.config._replace(directory=new_config.directory, peers=new_config.peers)
+            needs_restart += self.reload_operator_file(operator)
+            self.log("reloaded", dns=new_config.directory, needs_restart=needs_restart)
 
-    def renewed(self, new: Operator | None) -> list[str]:
-        """Take from the operator file what can change at once; the keys that wait for a restart."""
-        if new is None:
+    def reload_operator_file(self, operator: Operator | None) -> list[str]:
+        """Apply what can change without a restart. Returns the changed keys that need one."""
+        if operator is None:
             return []
-        for side in self.sides:
-            side.renew(new, self.config)
-        if new == self.operator:
+        for component in self.components:
+            component.reload(operator, self.config)
+        if operator == self.operator:
             return []
         from thistlelever.ground.operator import RELOADABLE_KEYS, changed_keys
 
-        return changed_keys(self.operator, new, RELOADABLE_KEYS)
+        return changed_keys(self.operator, operator, RELOADABLE_KEYS)
 
-    def unforeseen(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """What no task heeded: logged and counted, and the front goes on."""
+    def log_unhandled_exception(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
+        """Log and count an exception that no task handled; the front goes on."""
         self.metrics.add("unforeseen")
         self.log("unforeseen failed", why=repr(context.get("exception") or context["message"]))
 
     async def housekeeping(self) -> None:
-        """Closes what idles and writes the counters where they have changed."""
-        written, due = None, clock.now() + COUNTS_EVERY
+        """Close idle connections, and log the counters where they have changed; until cancelled."""
+        logged, next_log_at = None, clock.now() + COUNTS_LOG_INTERVAL_S
         while True:
-            await asyncio.sleep(HOUSEKEEPING)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.links.sweep()
             self.reception.sweep()
-            if clock.now() >= due and self.metrics.counts != written:
-                written = self.metrics.counts.copy()
+            if clock.now() >= next_log_at and self.metrics.counts != logged:
+                logged = self.metrics.counts.copy()
                 self.log(
                     "counts",
                     links=self.links.count,
-                    counts=written,
+                    counts=logged,
                     turns=self.desk.turns,
                     deciding=round(self.desk.spent, 3),
                     cpu=round(process_time(), 3),
                     lag=round(self.pulse.worst, 4),
                 )
-                due, self.pulse.worst = clock.now() + COUNTS_EVERY, 0.0
+                next_log_at, self.pulse.worst = clock.now() + COUNTS_LOG_INTERVAL_S, 0.0
 
 
 async def serve(
     config: Config,
     log: Log,
     operator: Operator | None = None,
-    operator_again: Callable[[], Operator] | None = None,
+    reread_operator: Callable[[], Operator] | None = None,
     start_times: StartTimes | None = None,
 ) -> int:
-    """Serve until SIGTERM and all that was taken is answered."""
-    office = Office(config, log, operator=operator, operator_again=operator_again)
-    # What was made at the start lives as long as the front: no collection need look at it again.
+    """Run one front until SIGTERM, and return the exit code.
+
+    Raises `ConfigError` where a section of the operator file does not fit the configuration, and `OSError`
+    where an address can't be bound.
+    """
+    server = FrontServer(config, log, operator=operator, reread_operator=reread_operator)
+    # Objects of the start live as long as the front: exclude them from later garbage collections.
     gc.collect()
     gc.freeze()
     start_times = start_times or StartTimes()
-    start_times.reached("built")
-    await office.run(start_times)
+    start_times.finish_stage("built")
+    await server.run(start_times)
     return 0
 
 
-async def patiently(make: Callable[[], Awaitable[T]]) -> T:
-    """What `make` makes, tried for again while the machine is short of sockets or memory. Risk: a front that
-    starts beside hundreds of others in one moment ends for want of what is there in the next."""
-    for _ in range(MOST_STARTS):
+async def retry_while_out_of_resources(make: Callable[[], Awaitable[T]]) -> T:
+    """The result of `make`, retried while the machine lacks sockets or memory.
+
+    When hundreds of fronts start at the same moment, the shortage is over a moment later; without retries a
+    front would exit. Raises the last `OSError`, and others at once.
+    """
+    for _ in range(MAX_RETRIES):
         try:
             return await make()
-        except OSError as why:
-            if why.errno not in OWN_WANT:
+        except OSError as error:
+            if error.errno not in OWN_WANT:
                 raise
-            await asyncio.sleep(START_AGAIN)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     return await make()
 
 
-async def listener(address: tuple[str, int]) -> socket.socket:
-    """The socket that listens for clients."""
-    raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+async def listening_socket(address: tuple[str, int]) -> socket.socket:
+    """A listening TCP socket for clients. Raises `OSError` with the address in its text."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        raw.setblocking(False)
-        raw.bind(address)
-        raw.listen(BACKLOG)
-    except OSError as why:
-        raw.close()
-        raise OSError(why.errno, f"listen: {address[0]}:{address[1]}: {why.strerror}") from None
-    return raw
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setblocking(False)
+        sock.bind(address)
+        sock.listen(BACKLOG)
+    except OSError as error:
+        sock.close()
+        raise OSError(error.errno, f"listen: {address[0]}:{address[1]}: {error.strerror}") from None
+    return sock
