--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -18,7 +18,7 @@
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
 from thistlelever.store.engine_registry import EngineRegistry
-from thistlelever.subsetting import FrontPlace, Requirement
+from thistlelever.subsetting import FrontIdentity, Requirement
 
 
 class SubscribedDiscovery:
@@ -137,11 +137,11 @@
         return {"version": str(self.subscription.replica.version), "engines": [r._asdict() for r in records]}
 
 
-def front_place(config: Config, zone_rank: int) -> FrontPlace:
+def front_place(config: Config, zone_rank: int) -> FrontIdentity:
     """The identity of this front by which its subset of the engines is chosen."""
     zone = config.settings.zone
     name = config.zones[zone] if zone < len(config.zones) else ""
-    return FrontPlace(config.name, name, config.rank, zone_rank)
+    return FrontIdentity(config.name, name, config.rank, zone_rank)
 
 
 def engine_requirements(config: Config) -> tuple[Requirement, ...]:
--- a/thistlelever/subsetting/ring.py
+++ b/thistlelever/subsetting/ring.py
@@ -1,4 +1,4 @@
-"""A ring of engines in the order of their positions, and of positions for fronts."""
+"""Rings of engines, sorted by position, and the positions of fronts on them."""
 
 from __future__ import annotations
 
@@ -6,103 +6,103 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-# Positions are whole numbers below this, so that no rounding differs from one machine to the next.
-CIRCLE = 1 << 64
+# Positions are integers from 0 to RING_SIZE - 1: unlike floats they are the same on every machine.
+RING_SIZE = 1 << 64
 
 
 def engine_positions(engine_id: str) -> tuple[int, int]:
-    """Where an engine is on the rings of zones and of all, and, independent of that, on its cell's ring.
-    Consistent hashing: an engine that comes or goes moves no other."""
+    """The position of an engine on the ring of all engines and that of its zone, and its independent position
+    on the ring of its cell. Consistent hashing: adding or removing an engine moves no other."""
     data = blake2b(engine_id.encode(), digest_size=16).digest()
     return int.from_bytes(data[:8], "big"), int.from_bytes(data[8:], "big")
 
 
 class Ring:
-    """Engine ids in the order of their positions; of equal positions, in the order of ids."""
+    """Engine ids sorted by position, then by id."""
 
     def __init__(self) -> None:
-        """No engines."""
+        """Creates an empty ring."""
         self.positions: list[int] = []
         self.ids: list[str] = []
 
     def __len__(self) -> int:
-        """How many engines are on the ring."""
+        """The number of engines on the ring."""
         return len(self.ids)
 
     def add(self, position: int, engine_id: str) -> None:
-        """Put in an engine that is not on the ring."""
-        place = self._place(position, engine_id)
-        self.positions.insert(place, position)
-        self.ids.insert(place, engine_id)
+        """Adds an engine that is not on the ring."""
+        index = self._insertion_index(position, engine_id)
+        self.positions.insert(index, position)
+        self.ids.insert(index, engine_id)
 
     def remove(self, position: int, engine_id: str) -> None:
-        """Take out an engine that is on the ring."""
-        place = self._place(position, engine_id)
-        del self.positions[place]
-        del self.ids[place]
+        """Removes an engine that is on the ring."""
+        index = self._insertion_index(position, engine_id)
+        del self.positions[index]
+        del self.ids[index]
 
     def arc(self, start: int, width: int) -> list[str]:
-        """The engines from `start` on, up to but without `start + width`."""
-        if width >= CIRCLE:
+        """The engines at positions from `start` to below `start + width`, around the end of the ring."""
+        if width >= RING_SIZE:
             return list(self.ids)
         first, end = bisect_left(self.positions, start), start + width
-        if end <= CIRCLE:
+        if end <= RING_SIZE:
             return self.ids[first : bisect_left(self.positions, end)]
-        return self.ids[first:] + self.ids[: bisect_left(self.positions, end - CIRCLE)]
+        return self.ids[first:] + self.ids[: bisect_left(self.positions, end - RING_SIZE)]
 
-    def onward(self, start: int) -> Iterator[tuple[int, str]]:
-        """Every engine once, from `start` on, with its distance from there."""
+    def iter_from(self, start: int) -> Iterator[tuple[int, str]]:
+        """Yields every engine once, in ring order from `start`, with its distance from there."""
         first = bisect_left(self.positions, start)
-        for place in range(first, len(self.ids)):
-            yield self.positions[place] - start, self.ids[place]
-        for place in range(first):
-            yield self.positions[place] + CIRCLE - start, self.ids[place]
+        for index in range(first, len(self.ids)):
+            yield self.positions[index] - start, self.ids[index]
+        for index in range(first):
+            yield self.positions[index] + RING_SIZE - start, self.ids[index]
 
     def distance_back(self, position: int, count: int) -> int:
-        """How far back the engine is that is `count` places before `position`; the whole circle where the
-        ring has no so many others."""
-        place = bisect_left(self.positions, position) - count
+        """The distance from `position` back to the engine `count` engines before it; `RING_SIZE` if the ring
+        has fewer than `count` engines at other positions."""
+        index = bisect_left(self.positions, position) - count
         others = len(self.ids) - (
             bisect_right(self.positions, position) - bisect_left(self.positions, position)
         )
         if others < count:
-            return CIRCLE
-        return (position - self.positions[place]) % CIRCLE
+            return RING_SIZE
+        return (position - self.positions[index]) % RING_SIZE
 
-    def following(self, position: int, engine_id: str) -> str:
-        """The engine after one that is on the ring; itself where it is alone."""
-        return self.ids[(self._place(position, engine_id) + 1) % len(self.ids)]
+    def successor(self, position: int, engine_id: str) -> str:
+        """The engine after one that is on the ring; itself if it is the only one."""
+        return self.ids[(self._insertion_index(position, engine_id) + 1) % len(self.ids)]
 
-    def preceding(self, position: int, engine_id: str) -> str:
-        """The engine before one that is on the ring; itself where it is alone."""
-        return self.ids[self._place(position, engine_id) - 1]
+    def predecessor(self, position: int, engine_id: str) -> str:
+        """The engine before one that is on the ring; itself if it is the only one."""
+        return self.ids[self._insertion_index(position, engine_id) - 1]
 
-    def _place(self, position: int, engine_id: str) -> int:
-        place = bisect_left(self.positions, position)
-        while place < len(self.ids) and self.positions[place] == position and self.ids[place] < engine_id:
-            place += 1
-        return place
+    def _insertion_index(self, position: int, engine_id: str) -> int:
+        index = bisect_left(self.positions, position)
+        while index < len(self.ids) and self.positions[index] == position and self.ids[index] < engine_id:
+            index += 1
+        return index
 
 
 class FrontPositions:
-    """Positions of the fronts of ranks 0 to `fronts` - 1: multiples of an irrational share of the circle (a
-    Kronecker sequence). Whatever the number of ranks, and whichever stride picks some of them, they lie about
-    evenly; one rank more moves none of the others."""
+    """Positions of fronts by rank: multiples of an irrational fraction of the ring (a Kronecker sequence).
+    They are spread about evenly for any number of ranks, and for every n-th rank alone; a new rank moves no
+    other."""
 
     def __init__(self, step: int, fronts: int) -> None:
-        """The positions of ranks 0 to `fronts` - 1."""
+        """Places ranks 0 to `fronts` - 1 at multiples of `step`."""
         self.step = step
         self.sorted = sorted(self.position(rank) for rank in range(fronts))
 
     def position(self, rank: int) -> int:
-        """Where the front of that rank is."""
-        return rank * self.step % CIRCLE
+        """The position of the front of rank `rank`, which may be above all ranks placed."""
+        return rank * self.step % RING_SIZE
 
     def count(self, end: int, width: int) -> int:
-        """How many fronts are less than `width` before `end`, or at it."""
-        if width >= CIRCLE:
+        """The number of fronts at `end` or less than `width` before it."""
+        if width >= RING_SIZE:
             return len(self.sorted)
         upper, start = bisect_right(self.sorted, end), end - width
         if start >= 0:
             return upper - bisect_right(self.sorted, start)
-        return upper + len(self.sorted) - bisect_right(self.sorted, start + CIRCLE)
+        return upper + len(self.sorted) - bisect_right(self.sorted, start + RING_SIZE)
