--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_scenarios import GROUP, SETTINGS
+from test_scenarios import QUERY_CLASS, SETTINGS
 
 from thistlelever.admission.decide import Front
 from thistlelever.carrier import http_engines
@@ -21,7 +21,7 @@
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.connections import Connection, ConnectionPool, Refused, Unreached
 
-DEDUPLICATED_GROUP = GROUP._replace(
+DEDUPLICATED_CLASS = QUERY_CLASS._replace(
     repeat=it.Idempotency.DEDUPLICATED, window=1.5, time_limit=30.0, goal=20.0
 )
 
@@ -46,22 +46,22 @@
 
 def test_all_that_goes_out_of_a_referenced_batch_begins_within_the_window_of_the_first():
     # The carrier takes time to send, and the window may end meanwhile (`Front.latest_send_time`).
-    assert [d.begin_by for d in dispatches(DEDUPLICATED_GROUP)] == [11.5, 11.5]
+    assert [d.begin_by for d in dispatches(DEDUPLICATED_CLASS)] == [11.5, 11.5]
 
 
 def test_a_repeatable_batch_may_begin_at_any_time():
-    assert [d.begin_by for d in dispatches(GROUP)] == [float("inf")] * 2
+    assert [d.begin_by for d in dispatches(QUERY_CLASS)] == [float("inf")] * 2
 
 
 def test_where_further_dispatches_are_rationed_none_is_sent_again_uncounted():
-    first, _ = dispatches(GROUP, it.RetryBudget(1.0, 0.1, 10.0))
+    first, _ = dispatches(QUERY_CLASS, it.RetryBudget(1.0, 0.1, 10.0))
     assert first.begin_by == 10.0 + SETTINGS.connect_limit
 
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
     # The engine would run on, and the next dispatch would be a second copy (`Front.dispatch_timeout`).
-    front = Front(SETTINGS._replace(tariffs=(GROUP,), cancel=cancel), 7)
+    front = Front(SETTINGS._replace(tariffs=(QUERY_CLASS,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
         10.0,
@@ -75,7 +75,7 @@
 
 def down_after(*outcomes):
     """Whether an engine counts as down after these outcomes in a row."""
-    front = Front(SETTINGS._replace(tariffs=(GROUP,), most_dispatches=99), 7)
+    front = Front(SETTINGS._replace(tariffs=(QUERY_CLASS,), most_dispatches=99), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     front.handle(10.0, [it.EngineListReceived(it.ListKind.CACHED, 1, engines)])
     for outcome in outcomes:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,5 +1,5 @@
-"""Plays every file in `scenarios/`: those in `sockets/` against a whole front with stand-ins for all that
-it talks to, the others against the decisions alone. `docs/scenarios.md` describes the notation."""
+"""Runs every file in `scenarios/`: those in `sockets/` against a whole front with fakes for all that it talks
+to, the others against the decision code alone. `docs/scenarios.md` describes the notation."""
 
 import asyncio
 from pathlib import Path
@@ -10,9 +10,9 @@
 from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
 
-FILES = sorted(Path(__file__).with_name("scenarios").glob("*.txt"))
-SOCKETS = sorted(Path(__file__).with_name("scenarios").glob("*/*.txt"))
-GROUP = it.QueryClass(
+DECISION_FILES = sorted(Path(__file__).with_name("scenarios").glob("*.txt"))
+SOCKET_FILES = sorted(Path(__file__).with_name("scenarios").glob("*/*.txt"))
+QUERY_CLASS = it.QueryClass(
     "g",
     1.0,
     0.0,
@@ -72,7 +72,7 @@
     "shortage": it.MemoryShortage,
     "reports": it.ReportDelivery,
 }
-TALLY = {
+ACTION_NAMES = {
     it.Dispatch: "dispatch",
     it.PushBack: "pushback",
     it.Error: "error",
@@ -85,7 +85,8 @@
 }
 
 
-def value(name, word):
+def parse_value(name, word):
+    """Convert the value of an option to the type that the field `name` of the decision types has."""
     if name in ENUMS:
         word = word.replace("_", " ")
         return ENUMS[name](word)
@@ -102,158 +103,189 @@
     return float(word) if "." in word else int(word)
 
 
-def pairs(words):
-    return {name: value(name, word) for name, word in (w.split("=") for w in words)}
+def parse_options(words):
+    """Convert words of the form `name=value` to a dict of field values."""
+    return {name: parse_value(name, word) for name, word in (w.split("=") for w in words)}
 
 
-class Play:
+class DecisionScenario:
+    """One scenario run against the decision code, without I/O and with a simulated clock.
+
+    Each `do_` method is a step of the notation. `actions` holds what the front decided since the last `at`.
+    """
+
     def __init__(self):
-        self.settings, self.groups, self.front, self.now, self.seen = SETTINGS, {}, None, 0.0, []
-        self.entries = {}
+        self.settings, self.query_classes, self.front, self.now, self.actions = SETTINGS, {}, None, 0.0, []
+        self.engines = {}
 
-    def tell(self, *events):
+    def handle(self, *events):
+        """Pass events to the front and record its actions. The first call creates the front."""
         if self.front is None:
-            settings = self.settings._replace(tariffs=tuple(self.groups.values()))
+            settings = self.settings._replace(tariffs=tuple(self.query_classes.values()))
             self.front = Front(settings, 7)
-            whole = it.EngineListReceived(it.ListKind.CACHED, 1, tuple(self.entries.values()))
-            events = (whole, *events)
+            initial_list = it.EngineListReceived(it.ListKind.CACHED, 1, tuple(self.engines.values()))
+            events = (initial_list, *events)
         for action in self.front.handle(self.now, list(events)):
             rest = [x.decode() if isinstance(x, bytes) else str(x) for x in action]
-            self.seen.append(" ".join([TALLY.get(type(action), "other"), *rest]))
+            self.actions.append(" ".join([ACTION_NAMES.get(type(action), "other"), *rest]))
 
-    def line(self, verb, *words):
+    def run_step(self, verb, *words):
+        """Run the step `verb` with its arguments."""
         getattr(self, "do_" + verb)(*words)
 
     def do_front(self, *words):
-        self.settings = self.settings._replace(**pairs(words))
+        """Change settings of the front; only before its first event."""
+        self.settings = self.settings._replace(**parse_options(words))
 
     def do_group(self, name, *words):
-        self.groups[name] = GROUP._replace(name=name, **pairs(words))
+        """Add a query class, with the default values except for the given ones."""
+        self.query_classes[name] = QUERY_CLASS._replace(name=name, **parse_options(words))
 
     def do_engine(self, name, *words):
-        old = self.entries.get(name, it.Engine(name.encode(), 0, 0, 0, it.EngineState.READY, 0.0, 1.0))
-        known = pairs(w for w in words if "standing" not in w)
+        """Add or change an engine; once the front runs, send it the change."""
+        old = self.engines.get(name, it.Engine(name.encode(), 0, 0, 0, it.EngineState.READY, 0.0, 1.0))
+        changes = parse_options(w for w in words if "standing" not in w)
         for word in words:
             if word.startswith("standing="):
-                known["state"] = it.EngineState[word[9:].upper()]
-        self.entries[name] = old._replace(**known)
+                changes["state"] = it.EngineState[word[9:].upper()]
+        self.engines[name] = old._replace(**changes)
         if self.front:
-            self.tell(it.EngineListReceived(it.ListKind.CHANGES, 2, (self.entries[name],)))
+            self.handle(it.EngineListReceived(it.ListKind.CHANGES, 2, (self.engines[name],)))
 
     def do_list(self, kind, *names):
-        self.tell(it.EngineListReceived(it.ListKind[kind.upper()], 3, tuple(self.entries[n] for n in names)))
+        """Send an engine list of that kind with the named engines."""
+        self.handle(
+            it.EngineListReceived(it.ListKind[kind.upper()], 3, tuple(self.engines[n] for n in names))
+        )
 
     def do_at(self, when):
-        self.now, self.seen = float(when), []
+        """Set the clock and forget the actions recorded so far."""
+        self.now, self.actions = float(when), []
         self.draws = self.front.draws if self.front else 0
 
     def do_wake(self):
-        self.tell(it.TimerDue(0))
+        """Fire the front's timer."""
+        self.handle(it.TimerDue(0))
 
     def do_take(self, batch, group, *words):
-        p = pairs(words)
-        place = list(self.groups).index(group)
-        limit = p.get("limit", self.groups[group].time_limit)
+        """Submit a batch, or a range of batches `FIRST-END` without the last."""
+        options = parse_options(words)
+        class_index = list(self.query_classes).index(group)
+        limit = options.get("limit", self.query_classes[group].time_limit)
         for number in batch.split("-")[:1] if "-" not in batch else range(*map(int, batch.split("-"))):
-            self.tell(
+            self.handle(
                 it.BatchReceived(
                     int(number),
-                    place,
-                    p.get("owner", 0),
-                    p.get("key", 0),
+                    class_index,
+                    options.get("owner", 0),
+                    options.get("key", 0),
                     limit,
-                    p.get("work"),
-                    p.get("memory", 0.0),
-                    p.get("tables", 1.0),
+                    options.get("work"),
+                    options.get("memory", 0.0),
+                    options.get("tables", 1.0),
                     False,
                 )
             )
 
     def do_end(self, dispatch, engine, outcome, *words):
-        p, (batch, number) = pairs(w for w in words if "report" not in w), map(int, dispatch.split("/"))
+        """End a dispatch `BATCH/NUMBER` with that outcome."""
+        options, (batch, number) = (
+            parse_options(w for w in words if "report" not in w),
+            map(int, dispatch.split("/")),
+        )
         report = tuple(float(x) for w in words if w.startswith("report=") for x in w[7:].split("+"))
         outcome = it.DispatchOutcome[outcome.upper()]
-        self.tell(
+        self.handle(
             it.DispatchEnded(
                 batch,
                 number,
                 engine.encode(),
                 outcome,
-                p.get("took", 0.1),
-                p.get("complete", outcome is it.DispatchOutcome.RETURNED),
-                p.get("work", 0.0),
-                p.get("memory", 0.0),
+                options.get("took", 0.1),
+                options.get("complete", outcome is it.DispatchOutcome.RETURNED),
+                options.get("work", 0.0),
+                options.get("memory", 0.0),
                 report,
             )
         )
 
     def do_note(self, dispatch, engine, kind, amount):
+        """Report progress of a dispatch."""
         batch, number = map(int, dispatch.split("/"))
-        self.tell(
+        self.handle(
             it.ProgressNote(batch, number, engine.encode(), it.ProgressKind[kind.upper()], float(amount))
         )
 
     def do_probed(self, engine, outcome, *report):
-        self.tell(
+        """End a probe of an engine."""
+        self.handle(
             it.ProbeEnded(
                 engine.encode(), it.DispatchOutcome[outcome.upper()], 0.001, tuple(map(float, report))
             )
         )
 
     def do_left(self, batch):
-        self.tell(it.ClientLeft(int(batch)))
+        """Report that the client of a batch has left."""
+        self.handle(it.ClientLeft(int(batch)))
 
     def do_stops(self, at):
-        self.tell(it.FrontStopping(float(at)))
+        """Announce that the front ends at that time."""
+        self.handle(it.FrontStopping(float(at)))
 
     def do_sees(self, *words):
-        assert any(s.startswith(" ".join(words)) for s in self.seen), (words, self.seen)
+        """Check that an action starts with these words."""
+        assert any(s.startswith(" ".join(words)) for s in self.actions), (words, self.actions)
 
     def do_lacks(self, *words):
-        assert not any(s.startswith(" ".join(words)) for s in self.seen), (words, self.seen)
+        """Check that no action starts with these words."""
+        assert not any(s.startswith(" ".join(words)) for s in self.actions), (words, self.actions)
 
     def do_draws(self, most):
+        """Check that at most this many random numbers were drawn since `at`."""
         assert self.front.draws - self.draws <= int(most), self.front.draws - self.draws
 
     def do_successes(self, group, number):
-        assert sum(self.front.success_history[list(self.groups).index(group)]) == int(number)
+        """Check how many of the recent batches of a query class ended in time."""
+        assert sum(self.front.success_history[list(self.query_classes).index(group)]) == int(number)
 
     def do_rows(self, number):
+        """Check how many engines the front has in its tables."""
         assert len(self.front.engine_index) == int(number) and len(self.front.engine_ids) <= 2, (
             self.front.engine_index
         )
 
     def do_counts(self, number, *words):
-        found = [s for s in self.seen if s.startswith(" ".join(words))]
-        assert len(found) == int(number), (words, self.seen)
+        """Check how many actions start with these words."""
+        matching = [s for s in self.actions if s.startswith(" ".join(words))]
+        assert len(matching) == int(number), (words, self.actions)
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", DECISION_FILES, ids=lambda path: path.stem)
 def test_scenario(path):
-    play = Play()
+    scenario = DecisionScenario()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         words = line.split("#")[0].split()
         if words and words[0] == "scenario":
-            play = Play()
+            scenario = DecisionScenario()
         elif words:
             try:
-                play.line(*words)
+                scenario.run_step(*words)
             except AssertionError as why:
                 raise AssertionError(f"{path.name}:{number}: {line}") from why
 
 
 def scenarios(path):
-    """Each scenario of a file by its title: its lines with their numbers."""
-    found = {}
+    """Return the scenarios of a file by title, each as a list of (`file:line`, words)."""
+    by_title = {}
     for number, line in enumerate(path.read_text().splitlines(), 1):
         words = line.split(" #")[0].split() if not line.startswith("#") else []
         if words and words[0] == "scenario":
-            lines = found[" ".join(words[1:])] = []
+            lines = by_title[" ".join(words[1:])] = []
         elif words:
             lines.append((f"{path.name}:{number}", words))
-    return found
+    return by_title
 
 
-@pytest.mark.parametrize("title, lines", [p for path in SOCKETS for p in scenarios(path).items()])
+@pytest.mark.parametrize("title, lines", [item for path in SOCKET_FILES for item in scenarios(path).items()])
 def test_on_sockets(title, lines):
     asyncio.run(played(lines))
--- a/tests/test_subset_decisions.py
+++ b/tests/test_subset_decisions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_scenarios import GROUP, SETTINGS
+from test_scenarios import QUERY_CLASS, SETTINGS
 
 from thistlelever.admission.decide import BUSY_THRESHOLD, Front
 from thistlelever.ground import interface as it
@@ -17,7 +17,7 @@
 def settings() -> it.Settings:
     return SETTINGS._replace(
         fronts=FRONTS,
-        tariffs=(GROUP._replace(goal=5.0, time_limit=10.0),),
+        tariffs=(QUERY_CLASS._replace(goal=5.0, time_limit=10.0),),
         kind_cores=(CORES,),
         kind_memory=(1e6,),
         cold_share=COLD_SHARE,
