--- a/tests/stage.py
+++ b/tests/stage.py
@@ -303,7 +303,7 @@
 
     async def do_places(self, count):
         """So many clients at once, whatever the descriptors allow."""
-        self.server.reception.bounds = self.server.reception.bounds._replace(sessions=int(count))
+        self.server.reception.limits = self.server.reception.limits._replace(client_connections=int(count))
 
     async def do_rush(self, count, silent):
         """In one moment so many clients connect with a batch each, behind them others that say nothing."""
