--- a/thistlelever/distribution/history.py
+++ b/thistlelever/distribution/history.py
@@ -1,4 +1,4 @@
-"""The last changes of the whole content, from which a receiver that is a little behind gets one delta."""
+"""The latest changes of the whole content, from which a receiver that lags a little gets one delta."""
 
 from __future__ import annotations
 
@@ -10,51 +10,54 @@
 from thistlelever.distribution.records import Record
 from thistlelever.distribution.versions import Version
 
-# A history keeps no more upserts and removals than this, however few its changes are.
-MOST_RECORDS_KEPT = 65_536
+# Default limit of the upserts and removals kept, which bounds memory when single changes are large.
+MAX_HISTORY_RECORDS = 65_536
 
 
 class History:
-    """The last `most_changes` changes, in order, together of at most `most_records` upserts and removals."""
+    """At most `max_changes` consecutive changes with together at most `max_records` upserts and removals."""
 
-    def __init__(self, most_changes: int, most_records: int = MOST_RECORDS_KEPT) -> None:
-        """An empty history with these bounds."""
-        if most_changes < 1 or most_records < 1:
+    def __init__(self, max_changes: int, max_records: int = MAX_HISTORY_RECORDS) -> None:
+        """Creates an empty history; raises `ValueError` if a limit is below 1."""
+        if max_changes < 1 or max_records < 1:
             raise ValueError("a history keeps at least one change of one record")
-        self._most_changes = most_changes
-        self._most_records = most_records
+        self._max_changes = max_changes
+        self._max_records = max_records
         self._changes: deque[Delta] = deque()
-        self._records_kept = 0
-        # Changes are numbered as they are appended; that of the oldest one kept is `_first_position`.
+        self._record_count = 0
+        # Changes are numbered in the order of `append`; `_first_position` is the number of the oldest one
+        # kept.
         self._first_position = 0
-        # The position of the change that starts at a version, with that version's digest.
+        # By base version: the number of the change that starts there, and the digest of that version.
         self._starts: dict[Version, tuple[int, int]] = {}
         self._newest: tuple[Version, int] | None = None
 
     def __len__(self) -> int:
-        """How many changes are kept."""
+        """The number of changes kept."""
         return len(self._changes)
 
     @property
-    def records_kept(self) -> int:
-        """How many upserts and removals are kept."""
-        return self._records_kept
+    def record_count(self) -> int:
+        """The number of upserts and removals kept."""
+        return self._record_count
 
     def append(self, delta: Delta) -> None:
-        """Adds the change that was just applied; `ValueError` where it doesn't follow the newest one."""
+        """Appends a change that was just applied; raises `ValueError` if it does not follow the newest
+        one."""
         base = (delta.base, delta.base_digest)
         if self._newest is not None and base != self._newest:
             raise ValueError(f"a change from {self._newest[0]} expected, found one from {delta.base}")
         self._starts[delta.base] = (self._first_position + len(self._changes), delta.base_digest)
         self._changes.append(delta)
-        self._records_kept += _size(delta)
+        self._record_count += _record_count_of(delta)
         self._newest = (delta.version, delta.digest)
-        while len(self._changes) > self._most_changes or self._records_kept > self._most_records:
+        while len(self._changes) > self._max_changes or self._record_count > self._max_records:
             self._drop_oldest()
 
     def since(self, version: Version, digest: int) -> Delta | None:
-        """One delta from there to the newest version; empty if that is the newest. None where the version is
-        not kept, or was kept with another digest: the receiver needs a snapshot."""
+        """Merges the changes from `version` to the newest version into one delta, which is empty if `version`
+        is the newest. Returns None if the version is not kept or has another digest: the receiver then needs
+        a snapshot."""
         if self._newest is None:
             return None
         if (version, digest) == self._newest:
@@ -62,13 +65,14 @@
         position, kept_digest = self._starts.get(version, (None, None))
         if position is None or kept_digest != digest:
             return None
-        return _merged(islice(self._changes, position - self._first_position, None), version, digest)
+        return _merge(islice(self._changes, position - self._first_position, None), version, digest)
 
     def clear(self) -> None:
-        """Forgets everything: a snapshot was taken, and what was kept no longer leads to what is held."""
+        """Drops all changes. Needed after a snapshot was applied, as they no longer lead to the content
+        held."""
         self._changes.clear()
         self._starts.clear()
-        self._records_kept = 0
+        self._record_count = 0
         self._first_position = 0
         self._newest = None
 
@@ -76,15 +80,15 @@
         oldest = self._changes.popleft()
         del self._starts[oldest.base]
         self._first_position += 1
-        self._records_kept -= _size(oldest)
+        self._record_count -= _record_count_of(oldest)
 
 
-def _size(delta: Delta) -> int:
+def _record_count_of(delta: Delta) -> int:
     return len(delta.upserts) + len(delta.removals)
 
 
-def _merged(changes: Iterable[Delta], base: Version, base_digest: int) -> Delta:
-    """One delta for several that follow each other: the last word on each id counts."""
+def _merge(changes: Iterable[Delta], base: Version, base_digest: int) -> Delta:
+    """Merges consecutive deltas into one; the last change of each id wins."""
     upserts: dict[str, Record] = {}
     removals: dict[str, Removal] = {}
     version, digest = base, base_digest
--- a/thistlelever/subsetting/__init__.py
+++ b/thistlelever/subsetting/__init__.py
@@ -1,16 +1,25 @@
-"""Which engines a front holds, where there are too many for each front to hold all: the policy, without I/O
-or clock. Chance comes from hashes of names, so that every process computes the same subsets.
+"""Subsetting: which engines a front holds, where there are too many for each front to hold all.
 
-    ring = EngineRing(SubsetTerms(fronts=3200))
-    ring.put(record)                                            # for each engine
-    ring.subset(FrontPlace("front-7", "zone-1", 7), (), False)  # what that front holds
+This package holds the policy, without I/O or clock. Pseudo-random choices derive from hashes of names, so
+that every process computes the same subsets.
 
-Uses nothing else of the package; records are those of `distribution.records`. `subsets` makes the choice, by
-the positions of `ring`, the rings of `index` and the arcs of `widths`; `reach` counts the fronts that can
-hold an engine.
+    ring = EngineRing(SubsetParameters(fronts=3200))
+    ring.put(record)                                               # for each engine
+    ring.subset(FrontIdentity("front-7", "zone-1", 7), (), False)  # the engines of that front
+
+It imports nothing else of thistlelever; records are those of `distribution.records`. `subsets` selects the
+engines, using the positions of `ring`, the rings of `index` and the arcs of `arc_widths`; `fan_in` bounds the
+number of fronts that hold an engine.
 """
 
 from thistlelever.subsetting.subsets import EngineRing
-from thistlelever.subsetting.terms import ANYTHING, Engine, FrontPlace, Requirement, Subset, SubsetTerms
+from thistlelever.subsetting.types import (
+    ANY_ENGINE,
+    Engine,
+    FrontIdentity,
+    Requirement,
+    Subset,
+    SubsetParameters,
+)
 
-__all__ = ["ANYTHING", "Engine", "EngineRing", "FrontPlace", "Requirement", "Subset", "SubsetTerms"]
+__all__ = ["ANY_ENGINE", "Engine", "EngineRing", "FrontIdentity", "Requirement", "Subset", "SubsetParameters"]
