--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -159,7 +159,7 @@
         begun = asyncio.get_running_loop().time()
         while self.section:
             await asyncio.sleep(0.1)
-            fair_queue = self.office.courses.gate.fair_queue
+            fair_queue = self.office.batch_tasks.gate.fair_queue
             out = Counter()
             for batch in fair_queue.running.values():
                 out[batch.spec.team] += batch.spec.width
@@ -251,7 +251,7 @@
         for name, place in (("", 1), ("naive_", 3))
         for share in (50, 90, 99)
     }
-    fair_queue = flooded.office.courses.gate.fair_queue
+    fair_queue = flooded.office.batch_tasks.gate.fair_queue
     shares = {
         "alone": alone.in_time(VICTIM),
         "with_budgets": flooded.in_time(VICTIM),
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -168,7 +168,7 @@
 
 
 class DecisionDesk:
-    """Tells the decisions at once, as the event loop's desk does within the same turn."""
+    """Tells the decisions at once, as the decision loop does within the same turn."""
 
     def __init__(self) -> None:
         self.front, self.now = decisions(), 1.0
@@ -176,7 +176,7 @@
     def log(self, event: str, **facts: object) -> None:
         pass
 
-    def tell(self, event: it.EngineListReceived) -> None:
+    def add_event(self, event: it.EngineListReceived) -> None:
         self.now += 1.0
         self.front.handle(self.now, [event])
 
--- a/rigs/flight_sabotage.py
+++ b/rigs/flight_sabotage.py
@@ -1,8 +1,8 @@
 """Guards of the front that the Flight rig breaks on purpose, so that it must say no."""
 
-from thistlelever.carrier.clients import Session
+from thistlelever.carrier.clients import ClientSession
 from thistlelever.carrier.flight_engines import FlightEngines
-from thistlelever.carrier.flow import Flow
+from thistlelever.carrier.result_stream import ResultStream
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.ground import interface as it
 
@@ -23,18 +23,18 @@
 
 def short():
     """A result that broke off ends well."""
-    Flow.end = lambda self, outcome, end=Flow.end: end(self, it.DispatchOutcome.RETURNED)
+    ResultStream.end = lambda self, outcome, end=ResultStream.end: end(self, it.DispatchOutcome.RETURNED)
 
 
 def twice():
     """Each answer on the platform's own door is given twice."""
-    write = Session.write
+    write = ClientSession.write
 
     def double(self, data):
         write(self, data)
         write(self, data)
 
-    Session.write = double
+    ClientSession.write = double
 
 
 def forget():
@@ -43,7 +43,7 @@
     async def nothing(self, batch, entry, sent):
         return None
 
-    FlightEngines.give_up = HttpEngines.give_up = nothing
+    FlightEngines.cancel_dispatch = HttpEngines.cancel_dispatch = nothing
 
 
 SABOTAGE = {"": lambda: None, "resend": resend, "short": short, "twice": twice, "forget": forget}
--- a/rigs/loop_lag.py
+++ b/rigs/loop_lag.py
@@ -2,13 +2,13 @@
 
 from time import monotonic
 
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 
 # The lag from which on it is kept with its moment, in seconds.
 KEPT_FROM_S = 0.25
 
 
-class LoopLag(Pulse):
+class LoopLag(LoopLagMonitor):
     """A front's own measure, which keeps each long lag as (the moment of its end, seconds)."""
 
     def __init__(self):
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -37,7 +37,7 @@
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     parts = empty_front(place, zones, fronts)
     inquiry = Inquiry(
-        parts.roll, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
+        parts.roll, lambda engine: None, parts.decisions, parts.metrics, zones, parts.config.kinds, 1
     )
     spent = []
     for serial in range(1, 1 + TIMES):
@@ -45,7 +45,7 @@
         listing = dns.listing(answer, 1, NAME)
         listed = [inquiry.entry(found) for found in listing.engines]
         parts.roll.replace(serial, listed, float(serial))
-        parts.desk.front.handle(
+        parts.decisions.front.handle(
             float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.roll.told())]
         )
         spent.append(perf_counter() - began)
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.subscribed_list import KnownNames, SubscribedList
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
 from thistlelever.ground import config as front_config
@@ -35,7 +35,7 @@
     """What a front without clients consists of before it hears of any engine."""
 
     roll: Roll
-    desk: Desk
+    decisions: DecisionLoop
     metrics: Metrics
     log: Log
     config: front_config.Config
@@ -72,8 +72,8 @@
     """A front with its decisions and an empty list."""
     read = config_of(place, zones, fronts)
     metrics, log = Metrics(), Log(place.name, LOG_SINK)
-    desk = Desk(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
-    return Parts(Roll(), desk, metrics, log, read)
+    decisions = DecisionLoop(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
+    return Parts(Roll(), decisions, metrics, log, read)
 
 
 def control_of(parts, place, terms):
@@ -85,5 +85,5 @@
     front_place = FrontPlace(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
     names = KnownNames(parts.config.zones, parts.config.kinds)
-    SubscribedList(subscription, parts.roll, lambda engine: None, parts.desk, names)
+    SubscribedList(subscription, parts.roll, lambda engine: None, parts.decisions, names)
     return subscription
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -208,7 +208,7 @@
         parts = empty_front(place, tuple(zones), 1)
         names = parts.config.zones, parts.config.kinds
         inquiries = [
-            Inquiry(Roll(), lambda engine: None, parts.desk, parts.metrics, *names, seed=number)
+            Inquiry(Roll(), lambda engine: None, parts.decisions, parts.metrics, *names, seed=number)
             for number in range(count)
         ]
         for inquiry in inquiries:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -221,7 +221,7 @@
             await asyncio.wait((seen,))
 
     async def do_at_ease(self, name):
-        front = self.office.desk.front
+        front = self.office.decisions.front
         assert not front.backoffs[front.engine_index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
@@ -254,11 +254,11 @@
 
     async def do_lags(self, seconds):
         """As if the loop had just come so late; remembered for as long as the scenario lasts."""
-        self.office.pulse.felt = lambda late: None
-        self.office.pulse.lag = float(seconds)
+        self.office.loop_lag.felt = lambda late: None
+        self.office.loop_lag.lag = float(seconds)
 
     async def do_up(self, name):
-        front = self.office.desk.front
+        front = self.office.decisions.front
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
@@ -302,7 +302,7 @@
 
     async def do_places(self, count):
         """So many clients at once, whatever the descriptors allow."""
-        self.office.reception.bounds = self.office.reception.bounds._replace(sessions=int(count))
+        self.office.client_listener.bounds = self.office.client_listener.bounds._replace(sessions=int(count))
 
     async def do_rush(self, count, silent):
         """In one moment so many clients connect with a batch each, behind them others that say nothing."""
@@ -430,7 +430,7 @@
 
     async def do_held_back(self, count):
         """So many batches are held by their budgets by now."""
-        await self.look_until(lambda: self.office.courses.gate.fair_queue.root.queued == int(count))
+        await self.look_until(lambda: self.office.batch_tasks.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Just one of them has an answer, and it says that it may have run."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,10 +10,10 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.carrier import http_engines
-from thistlelever.carrier.dispatch import Dispatcher, End, Ended, Sending
+from thistlelever.carrier.dispatch import Dispatcher, End, NoResultError, DispatchProgress
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.intake import Intake
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.validation import RequestValidator
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
@@ -103,8 +103,8 @@
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
         engines = HttpEngines(terms, None, SimpleNamespace(take=take), None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
-        with pytest.raises(Ended) as ended:
-            await engines.converse(batch, "entry", End(0, b"a"), Sending(0), 0.0)
+        with pytest.raises(NoResultError) as ended:
+            await engines.run_dispatch(batch, "entry", End(0, b"a"), DispatchProgress(0), 0.0)
         assert (await engines.probe("entry"))[0] is ended.value.outcome
         return ended.value.outcome
 
@@ -118,19 +118,19 @@
     async def run():
         ended, asked = asyncio.Event(), asyncio.Event()
 
-        class Speech:
-            async def converse(self, batch, entry, end, sent, till):
+        class EngineProtocol:
+            async def run_dispatch(self, batch, entry, end, sent, till):
                 sent.begun = True
-                raise Ended(outcome)
+                raise NoResultError(outcome)
 
-            async def run_out(self, sent):
+            async def wait_until_stopped(self, sent):
                 asked.set()
                 await ended.wait()
 
         roll = SimpleNamespace(begin=lambda engine: None, end=lambda engine: None, entries={b"a": "entry"})
         terms = SimpleNamespace(cancel=False, copies=False)
         dispatcher = Dispatcher(
-            terms, roll, lambda entry: Speech(), None, Metrics(), lambda *event, **facts: None
+            terms, roll, lambda entry: EngineProtocol(), None, Metrics(), lambda *event, **facts: None
         )
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         dispatcher.start(batch, 0, it.Dispatch(1, b"a", 5.0))
@@ -150,10 +150,12 @@
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
         engines = HttpEngines(terms, None, None, None, Metrics())
         asked = clock.now()
-        await engines.run_out(Sending(0, asked=asked))
+        await engines.wait_until_stopped(DispatchProgress(0, asked=asked))
         assert clock.now() >= asked + 0.05
         # One that was seen to be dead is not waited for.
-        await asyncio.wait_for(engines.run_out(Sending(0, asked=clock.now() + 60, dead=True)), 8)
+        await asyncio.wait_for(
+            engines.wait_until_stopped(DispatchProgress(0, asked=clock.now() + 60, dead=True)), 8
+        )
 
     asyncio.run(run())
 
@@ -188,14 +190,14 @@
 
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
-    # Risk: the sockets are read before the beat that tells of the stop (`Pulse.behind`).
+    # Risk: the sockets are read before the beat that tells of the stop (`LoopLagMonitor.behind`).
     settings = front_config.read(configuration(), {}).settings
-    pulse = Pulse()
-    intake = Intake(settings, pulse, Batches())
+    loop_lag = LoopLagMonitor()
+    validator = RequestValidator(settings, loop_lag, Batches())
     fields = {"id": "00000000000000aa", "wait": 1500, "tenant": "acme", "cost": 50.0}
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
-    pulse.due = clock.now() - 3.0
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit < 0
+    assert validator.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
+    loop_lag.due = clock.now() - 3.0
+    assert validator.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit < 0
 
 
 @asynccontextmanager
--- a/tests/test_desk.py
+++ b/tests/test_decision_loop.py
@@ -9,9 +9,9 @@
 import pytest
 
 from thistlelever.ground import interface as it
-from thistlelever.carrier.course import LEFT, OVERDUE, Courses
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.dispatch import End, Sending
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT, OVERDUE, BatchTasks
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import End, DispatchProgress
 from thistlelever.carrier.http_engines import RETRY_PACE, HttpEngines
 from thistlelever.ground import clock
 from thistlelever.store.batches import Batch, Batches
@@ -42,10 +42,10 @@
         front, log, unheeded = Told(), [], []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: unheeded.append(context))
         metrics = Metrics()
-        desk = Desk(front, TICK, Batches(), metrics, lambda event, **facts: log.append(event))
+        decisions = DecisionLoop(front, TICK, Batches(), metrics, lambda event, **facts: log.append(event))
         for tokens in moments:
             for token in tokens:
-                desk.tell(it.TimerDue(token))
+                decisions.add_event(it.TimerDue(token))
             while not front.moments or tokens[-1] not in front.moments[-1][1]:
                 await asyncio.sleep(0)
         await front.done.wait()
@@ -70,9 +70,9 @@
 @pytest.mark.parametrize(
     "crossing, answers",
     [
-        ([LEFT, it.PushBack(1, 0.0)], []),
+        ([CLIENT_LEFT, it.PushBack(1, 0.0)], []),
         ([OVERDUE, it.Dispatch(1, b"a", 0.0), it.Error(1)], [it.Error]),
-        ([it.Dispatch(1, b"a", 0.0), LEFT, OVERDUE, it.Error(1)], []),
+        ([it.Dispatch(1, b"a", 0.0), CLIENT_LEFT, OVERDUE, it.Error(1)], []),
         ([it.Dispatch(1, b"a", 0.0), it.PushBack(1, 0.0), OVERDUE], [it.PushBack]),
     ],
 )
@@ -89,13 +89,13 @@
         dispatcher = SimpleNamespace(
             start=lambda batch, number, order: asyncio.get_running_loop().create_task(ends(batch))
         )
-        desk = SimpleNamespace(tell=told.append)
-        courses = Courses(desk, dispatcher, Batches(), metrics, lambda *a, **f: None)
+        decisions = SimpleNamespace(add_event=told.append)
+        batch_tasks = BatchTasks(decisions, dispatcher, Batches(), metrics, lambda *a, **f: None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
-        courses.start(batch, lambda answer: given.append(type(answer)))
+        batch_tasks.start(batch, lambda answer: given.append(type(answer)))
         for word in crossing:
             batch.inbox.put_nowait(word)
-        await asyncio.wait(courses.tasks)
+        await asyncio.wait(batch_tasks.tasks)
         assert [e.complete for e in told if isinstance(e, it.DispatchEnded)] in ([], [True])
         assert not metrics.counts["course failed"]
         return given
@@ -116,7 +116,7 @@
         engines = HttpEngines(terms, None, links, None, Metrics())
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(4 * RETRY_PACE):
-                await engines.ask("/fetch/1/", 0, "entry", End(0, b"a"), Sending(0), None)
+                await engines.ask("/fetch/1/", 0, "entry", End(0, b"a"), DispatchProgress(0), None)
 
     asyncio.run(run())
     assert 1 <= len(tries) <= 5
@@ -126,14 +126,14 @@
     told = []
 
     async def run():
-        courses = Courses(SimpleNamespace(tell=told.append), None, Batches(), Metrics(), None)
+        batch_tasks = BatchTasks(SimpleNamespace(add_event=told.append), None, Batches(), Metrics(), None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
-        courses.batches.add(batch)
+        batch_tasks.batches.add(batch)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0) as batch.limits[0]:
                 await asyncio.Event().wait()
         async with asyncio.timeout(60) as batch.limits[1]:
-            courses.stop(clock.now() + 1)
+            batch_tasks.stop(clock.now() + 1)
             assert batch.limits[1].when() < asyncio.get_running_loop().time() + 2
         batch.backstop.cancel()
 
@@ -162,7 +162,7 @@
         engines = HttpEngines(terms, roll, links, None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         entry = SimpleNamespace(address=("127.0.0.1", 1), engine=SimpleNamespace(id=b"a"))
-        await engines.give_up(batch, entry, Sending(0, begun=True, asked=clock.now()))
+        await engines.cancel_dispatch(batch, entry, DispatchProgress(0, begun=True, asked=clock.now()))
 
     asyncio.run(run())
     assert calls == [b"DELETE"] and len(tries) == 3
--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -144,7 +144,7 @@
         try:
             with brisk():
                 await front.serve()
-                gate = front.office.courses.gate
+                gate = front.office.batch_tasks.gate
                 shown = front.office.inquiry.show
 
                 def guarantees():
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -67,7 +67,7 @@
             stage.writer.write(BAD_LINES)
             await stage.do_counted("clients", "that", "send", "nothing", "of", "use")
             await stage.do_client_leaves()
-            await stage.until(lambda: not stage.office.reception.sessions)
+            await stage.until(lambda: not stage.office.client_listener.sessions)
             stage.engines["a"].released.set()
 
     asyncio.run(whole())
@@ -108,13 +108,13 @@
 def test_a_client_that_takes_no_answers_is_left_and_others_are_served():
     async def whole():
         async with served("engine a\nfront") as stage:
-            reception = stage.office.reception
-            bounds = reception.bounds
-            reception.bounds = bounds._replace(unread=10)
+            client_listener = stage.office.client_listener
+            bounds = client_listener.bounds
+            client_listener.bounds = bounds._replace(unread=10)
             stage.writer.write(stage.submission(1, "lookup"))
             await stage.do_counted("clients", "that", "do", "not", "read")
             await stage.do_hung_up()
-            reception.bounds = bounds
+            client_listener.bounds = bounds
             await stage.do_crowd("1")
             reader, writer = stage.crowd[0]
             writer.write(stage.submission(2, "lookup"))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,7 +19,7 @@
 from stage import brisk, staged
 
 from thistlelever import __main__ as command
-from thistlelever.carrier.recollection import Recollection
+from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 from thistlelever.ground import interface as it
 from thistlelever.ledger import records
 from thistlelever.ledger.file import Failing, File, size
@@ -434,7 +434,7 @@
     roll = SimpleNamespace(listed=lambda engine: listed)
     metrics = SimpleNamespace(add=lambda name: None)
     found = b"e-1", Name("a" * 16, 2), ran
-    memory = Recollection(
+    memory = RememberedOutcomes(
         SimpleNamespace(tariffs=(query_class(scope),)), roll, metrics, None, lambda mark: found
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -209,13 +209,13 @@
 async def test_a_connection_that_waits_at_the_port_when_it_is_closed_is_answered(stage, monkeypatch):
     """It comes in the very turn of the loop in which the front takes no more."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
-    finish, socks = stage.office.reception.finish, []
+    finish, socks = stage.office.client_listener.finish, []
 
     def crossing(within):
         socks.append(connect(stage, stage.submission(100, "lookup")))
         return finish(within)
 
-    monkeypatch.setattr(stage.office.reception, "finish", crossing)
+    monkeypatch.setattr(stage.office.client_listener, "finish", crossing)
     await stage.do_sigterm()
     await stage.look_until(lambda: socks)
     assert "result" in (await answer_on(socks[0]))
@@ -276,7 +276,7 @@
     line = stage.submission(2, "lookup")
     stage.writer.write(line[:40])
     await asyncio.sleep(0.05)
-    stage.office.reception.sweep()
+    stage.office.client_listener.sweep()
     await asyncio.sleep(0.05)
     stage.writer.write(line[40:])
     await stage.do_answer(2, "result", "rows")
@@ -302,7 +302,7 @@
     monkeypatch.setattr(clients, "SILENT", 0.2)
     stage.writer.write(b'{"jsonrpc":"2.0",')
     await asyncio.sleep(0.3)
-    stage.office.reception.sweep()
+    stage.office.client_listener.sweep()
     await stage.do_hung_up_in_order()
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -74,7 +74,8 @@
         "'thistlelever.state', 'thistlelever.standins', 'thistlelever.membership', "
         "'thistlelever.carrier.peers', 'thistlelever.wire.peers', 'thistlelever.lifecycle.parts', "
         "'thistlelever.takeover', 'thistlelever.wire.work', 'thistlelever.carrier.wards', 'xxhash', "
-        "'thistlelever.recovery', 'thistlelever.ledger', 'thistlelever.carrier.recollection', 'apsw')\n"
+        "'thistlelever.recovery', 'thistlelever.ledger', 'thistlelever.carrier.remembered_outcomes',"
+        " 'apsw')\n"
         "print([m for m in sys.modules if m.startswith(extra)])"
     )
     root = Path(__file__).parents[1]
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -36,9 +36,11 @@
         self.replica, self.told, self.forgotten = Replica(strict=False), [], []
         self.subscription = SimpleNamespace(replica=self.replica, heard_at=0.0)
         self.roll = Roll()
-        desk = SimpleNamespace(log=lambda event, **facts: None, tell=self.told.append, metrics=Metrics())
+        decisions = SimpleNamespace(
+            log=lambda event, **facts: None, add_event=self.told.append, metrics=Metrics()
+        )
         names = KnownNames(("nord", "sud"), ("std",))
-        self.list = SubscribedList(self.subscription, self.roll, self.forgotten.append, desk, names)
+        self.list = SubscribedList(self.subscription, self.roll, self.forgotten.append, decisions, names)
         self.fronts = 4
 
     def holds(self, *records, gone=()):
@@ -108,7 +110,7 @@
     front = Subscribed()
     front.holds(record("a", 1), record("b", 2, zone="elsewhere"), record("c", 3, kind="huge"))
     assert front.states() == {"a": READY}
-    assert front.list.desk.metrics.counts["engines of the list that can't be used"] == 2
+    assert front.list.decisions.metrics.counts["engines of the list that can't be used"] == 2
 
 
 class SubscribedStage(Stage):
--- a/thistlelever/carrier/course.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING
 
 from thistlelever.ground import interface as it
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.dispatch import Dispatcher, End
-from thistlelever.carrier.flow import Begun
+from thistlelever.carrier.result_stream import Begun
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.commands import Preempt, Refuse, Release, TakenOver
@@ -20,11 +20,11 @@
 
 if TYPE_CHECKING:
     from thistlelever.carrier.budget_gate import BudgetGate
-    from thistlelever.carrier.recollection import Recollection
+    from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
     from thistlelever.carrier.wards import Wards
 
 # What a batch's task is told beside the actions and the ends of its dispatches.
-LEFT, OVERDUE = "left", "overdue"
+CLIENT_LEFT, OVERDUE = "left", "overdue"
 # A batch that the decisions left without an answer is answered this long after its time limit: they
 # answer at the limit itself, and an answer counts for 70 ms more.
 BACKSTOP = 0.025
@@ -34,19 +34,19 @@
 Answer = Callable[[it.Action | End | Begun], None]
 
 
-class Courses:
+class BatchTasks:
     """Runs one task a batch."""
 
     def __init__(
-        self, desk: Desk, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
+        self, decisions: DecisionLoop, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
     ) -> None:
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
         self.gate: BudgetGate | None = None
         self.wards: Wards | None = None
         # Where state is kept, what a former life has said of a batch.
-        self.memory: Recollection | None = None
-        self.desk, self.dispatcher, self.batches = desk, dispatcher, batches
+        self.remembered: RememberedOutcomes | None = None
+        self.decisions, self.dispatcher, self.batches = decisions, dispatcher, batches
         self.metrics, self.log = metrics, log
         self.tasks: set[asyncio.Task] = set()
 
@@ -67,10 +67,10 @@
             for number, task in batch.out.items():
                 task.cancel()
                 end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
-                self.desk.tell(end.event(batch.number, complete=True))
+                self.decisions.add_event(end.event(batch.number, complete=True))
             if not batch.answered:
                 self.final(batch, answer, it.Error(batch.number))
-                self.desk.tell(it.ClientLeft(batch.number))
+                self.decisions.add_event(it.ClientLeft(batch.number))
         finally:
             if self.gate:
                 self.gate.completed(batch, batch.true_work)
@@ -95,19 +95,19 @@
                 # Risk: one that has struck can't be moved, and its refusal would end the stop halfway.
                 for limit in (limit for limit in batch.limits.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
-        self.desk.tell(it.FrontStopping(at))
+        self.decisions.add_event(it.FrontStopping(at))
         if self.gate:
             self.gate.shut_down(at)
 
     async def life(self, batch: Batch, answer: Answer) -> None:
         if self.wards and not await self.led(batch, answer):
             return
-        if self.memory and (told := self.memory.enter(batch)):
+        if self.remembered and (told := self.remembered.enter(batch)):
             self.final(batch, answer, told)
             return
         if self.gate and not await self.admitted(batch, answer):
             return
-        self.desk.tell(batch.taken)
+        self.decisions.add_event(batch.taken)
         while batch.out or not batch.answered:
             told = await batch.inbox.get()
             match told:
@@ -117,8 +117,8 @@
                         self.dispatcher.reprioritise(batch)
                 case it.Dispatch():
                     number, batch.dispatches = batch.dispatches, batch.dispatches + 1
-                    if self.memory:
-                        self.memory.goes_out(batch, number, told.engine)
+                    if self.remembered:
+                        self.remembered.goes_out(batch, number, told.engine)
                     batch.out[number] = self.dispatcher.start(batch, number, told)
                     if self.gate:
                         self.gate.dispatch_started(batch)
@@ -128,44 +128,48 @@
                         task.cancel()
                 # Risk: two dispatches' rows in one result. Only the first to ask passes on, and only while no
                 # answer was given; from then on the answer is begun, whatever becomes of the rest.
-                case Begun() if not batch.answered and told.flow.sound():
-                    batch.flow = told.flow
+                case Begun() if not batch.answered and told.result_stream.sound():
+                    batch.result_stream = told.result_stream
                     self.unbind(batch, told.number)
                     self.final(batch, answer, told)
-                    self.desk.tell(it.ResponseStarted(batch.number, told.number, batch.engines[told.number]))
+                    self.decisions.add_event(
+                        it.ResponseStarted(batch.number, told.number, batch.engines[told.number])
+                    )
                 case Begun():
-                    told.flow.leave()
+                    told.result_stream.leave()
                 case End():
                     del batch.out[told.number]
                     batch.true_work += told.true_work
                     if batch.ward:
                         batch.ward.came_back(told)
-                    if self.memory:
-                        self.memory.came_back(batch, told)
+                    if self.remembered:
+                        self.remembered.came_back(batch, told)
                     if told.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
                         await self.settle(batch, answer, told)
-                    self.desk.tell(told.event(batch.number, batch.answered))
+                    self.decisions.add_event(told.event(batch.number, batch.answered))
                 # Risk: orders cross a client that has left, or the backstop; neither owes another answer.
                 case it.PushBack() | it.Error() if not batch.answered:
                     await self.settle(batch, answer, told)
                 case TakenOver() if not batch.answered:
                     self.final(batch, answer, it.Error(batch.number))
-                    self.desk.tell(it.ClientLeft(batch.number))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
                 case Preempt() if not batch.answered:
                     await self.settle(batch, answer, self.gate.preemption_answer(batch, told))
-                    self.desk.tell(it.ClientLeft(batch.number))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
                 case Preempt():
                     self.gate.preempted_too_late(batch)
-                case _ if told is LEFT and not batch.answered:
+                case _ if told is CLIENT_LEFT and not batch.answered:
                     batch.answered = True
-                    self.desk.tell(it.ClientLeft(batch.number))
-                case _ if told is LEFT and batch.flow and batch.flow.number in batch.out:
-                    batch.flow.leave()
-                    batch.out[batch.flow.number].cancel()
+                    self.decisions.add_event(it.ClientLeft(batch.number))
+                case _ if (
+                    told is CLIENT_LEFT and batch.result_stream and batch.result_stream.number in batch.out
+                ):
+                    batch.result_stream.leave()
+                    batch.out[batch.result_stream.number].cancel()
                 case _ if told is OVERDUE and not batch.answered:
                     self.metrics.add("left without an answer at the limit")
                     self.final(batch, answer, it.Error(batch.number))
-                    self.desk.tell(it.ClientLeft(batch.number))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
 
     async def led(self, batch: Batch, answer: Answer) -> bool:
         """Find out whose the batch is before anything is done for it; whether it is this front's to go on
@@ -181,7 +185,7 @@
             with suppress(asyncio.CancelledError):
                 await leading
             told = hearing.result()
-            if told is LEFT:
+            if told is CLIENT_LEFT:
                 batch.answered = True
             elif told is OVERDUE:
                 # Nothing of it was sent from here. One that has come before may be another front's by now,
@@ -218,7 +222,7 @@
                 case Refuse():
                     self.final(batch, answer, it.PushBack(batch.number, told.after))
                     return False
-                case _ if told is LEFT:
+                case _ if told is CLIENT_LEFT:
                     batch.answered = True
                     self.gate.client_left(batch)
                     return False
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -10,9 +10,9 @@
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
 from thistlelever.ground import interface as it
-from thistlelever.carrier.course import LEFT, Courses
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT, BatchTasks
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.intake import Intake
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.submission import InvalidFieldError
@@ -45,18 +45,20 @@
 REST = 0.005
 
 
-class Reception:
+class ClientListener:
     """Takes connections and turns what clients submit into batches."""
 
-    def __init__(self, intake: Intake, courses: Courses, metrics: Metrics, log: Log, bounds: Bounds) -> None:
-        self.intake, self.courses, self.metrics = intake, courses, metrics
+    def __init__(
+        self, validator: RequestValidator, batch_tasks: BatchTasks, metrics: Metrics, log: Log, bounds: Bounds
+    ) -> None:
+        self.validator, self.batch_tasks, self.metrics = validator, batch_tasks, metrics
         self.log, self.bounds = log, bounds
         self.ready: Callable[[], bool] = lambda: False
         self.unread, self.purse = 0, Purse(bounds.unfinished)
         # The connection that waits for a place, others behind it at the port, and since when some do.
         self.waits: socket.socket | None = None
         self.full_since = float("inf")
-        self.sessions: dict[Session, asyncio.Task] = {}
+        self.sessions: dict[ClientSession, asyncio.Task] = {}
         self.raw: socket.socket | None = None
 
     def listen(self, raw: socket.socket) -> None:
@@ -81,8 +83,8 @@
     async def last_lines(self) -> None:
         """Until what has begun to come is taken and answered, while the front's own time lasts. Risk: a
         request whose last bytes come a moment after all others are answered meets the close."""
-        while clock.now() < self.intake.stop_at and (
-            self.courses.tasks or any(session.hears() for session in self.sessions)
+        while clock.now() < self.validator.stop_at and (
+            self.batch_tasks.tasks or any(session.hears() for session in self.sessions)
         ):
             await asyncio.sleep(REST)
 
@@ -119,7 +121,7 @@
             stream = Stream(
                 raw, max_buffer_size=LONGEST_LINE, max_write_buffer_size=MOST_UNREAD, read_chunk_size=BUFFER
             )
-            session = Session(stream, self)
+            session = ClientSession(stream, self)
             self.sessions[session] = asyncio.get_running_loop().create_task(session.run())
 
     def look_away(self) -> None:
@@ -137,7 +139,7 @@
         for good."""
         now = clock.now()
 
-        def idle_since(session: Session) -> float:
+        def idle_since(session: ClientSession) -> float:
             silent = not session.spoken and now - session.since > SILENT_SOON
             return session.since - SILENT_FIRST * silent
 
@@ -159,12 +161,12 @@
 
     def batch(self, call: jsonrpc.Call) -> Batch:
         """The batch that a call submits; `Bad` where it can't be one."""
-        if call.method not in self.intake.groups:
+        if call.method not in self.validator.groups:
             raise jsonrpc.Bad(jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number)
         if call.number is None:
             raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
         try:
-            return self.intake.batch(call.method, call.params, jsonrpc.statement(call))
+            return self.validator.batch(call.method, call.params, jsonrpc.statement(call))
         except InvalidFieldError as why:
             code, field = jsonrpc.BAD_FIELD, str(why)
             if why.still_open:
@@ -172,13 +174,13 @@
             raise jsonrpc.Bad(code, field, call.number) from None
 
 
-class Session:
+class ClientSession:
     """One client's connection."""
 
-    def __init__(self, stream: Stream, reception: Reception) -> None:
-        self.stream, self.reception = stream, reception
-        self.metrics = reception.metrics
-        self.inflow = Inflow(BUFFER, LONGEST_LINE, reception.purse)
+    def __init__(self, stream: Stream, client_listener: ClientListener) -> None:
+        self.stream, self.client_listener = stream, client_listener
+        self.metrics = client_listener.metrics
+        self.inflow = Inflow(BUFFER, LONGEST_LINE, client_listener.purse)
         self.open: dict[int, Batch] = {}
         self.latest, self.bad, self.slow_till = 0, 0, 0.0
         # The read that is under way, as one always is; answers not yet out; whether this side has ended it.
@@ -207,7 +209,7 @@
             pass
         except Exception as why:
             self.metrics.add("session failed")
-            self.reception.log("session failed", why=repr(why))
+            self.client_listener.log("session failed", why=repr(why))
         finally:
             self.left()
 
@@ -318,7 +320,7 @@
             call = jsonrpc.read(message)
             if call.method == "status":
                 if call.number is not None:
-                    self.write(jsonrpc.value(call.number, {"ready": self.reception.ready()}))
+                    self.write(jsonrpc.value(call.number, {"ready": self.client_listener.ready()}))
             elif call.method == "withdraw":
                 self.withdraw(call)
             else:
@@ -327,7 +329,7 @@
         except jsonrpc.Bad as why:
             self.metrics.add("bad lines")
             self.bad += 1
-            self.reception.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
+            self.client_listener.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
             # Risk: an error under a number that is open would be the answer to what is open under it.
             number = None if why.number in self.open else why.number
             self.write(jsonrpc.error(number, why.code, why.why))
@@ -340,7 +342,7 @@
             raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: still open", call.number)
         if len(self.open) >= MOST_OPEN:
             raise jsonrpc.Bad(jsonrpc.NO_REQUEST, f"more than {MOST_OPEN} open requests", call.number)
-        batch = self.reception.batch(call)
+        batch = self.client_listener.batch(call)
         self.open[call.number] = batch
         self.latest = max(self.latest, call.number)
         self.metrics.add("taken")
@@ -353,14 +355,14 @@
                 self.write(line(call.number, told))
                 self.end_if_answered()
 
-        self.reception.courses.start(batch, answer)
+        self.client_listener.batch_tasks.start(batch, answer)
 
     def report(self, batch: Batch, told: it.Action | End) -> None:
         """Log an answer that is no result: whose it is, and how far the batch had come."""
         if type(told) in (it.PushBack, it.Error):
             said = "query refused" if type(told) is it.PushBack else "query errored"
             left = round(batch.limit_at - clock.now(), 3)
-            self.reception.log(
+            self.client_listener.log(
                 said, id=batch.asked.txn, group=batch.lane, dispatches=batch.dispatches, left_s=left
             )
 
@@ -371,7 +373,7 @@
         for number, batch in list(self.open.items()):
             if named in (number, batch.asked.txn):
                 del self.open[number]
-                batch.inbox.put_nowait(LEFT)
+                batch.inbox.put_nowait(CLIENT_LEFT)
         # A number of its own wants an answer of its own; that of a request would get a second one.
         if call.number is not None and call.number > self.latest:
             self.latest = call.number
@@ -381,7 +383,7 @@
         """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
         if self.ending or self.stream.closed():
             return
-        if self.reception.unread + len(data) > self.reception.bounds.unread:
+        if self.client_listener.unread + len(data) > self.client_listener.bounds.unread:
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
@@ -391,11 +393,11 @@
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
-        self.reception.unread += len(data)
+        self.client_listener.unread += len(data)
         self.unwritten += 1
 
         def done(future: asyncio.Future) -> None:
-            self.reception.unread -= len(data)
+            self.client_listener.unread -= len(data)
             self.unwritten -= 1
             self.shut()
             # A failed write needs no more than being looked at: the session ends by its read.
@@ -406,7 +408,7 @@
 
     def left(self) -> None:
         """The connection has ended, and with it the client's interest in all that is open on it."""
-        self.reception.sessions.pop(self, None)
+        self.client_listener.sessions.pop(self, None)
         self.inflow.drop()
         self.abandon()
         self.stream.close()
@@ -416,7 +418,7 @@
         for _ in self.open:
             self.metrics.add("left with the connection")
         for batch in self.open.values():
-            batch.inbox.put_nowait(LEFT)
+            batch.inbox.put_nowait(CLIENT_LEFT)
         self.open.clear()
 
 
--- a/thistlelever/carrier/desk.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -15,7 +15,7 @@
 from thistlelever.ground.metrics import Metrics
 
 
-class Desk:
+class DecisionLoop:
     """Gathers what comes in one turn of the loop, tells it together, hands the actions on in order."""
 
     def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
@@ -26,7 +26,7 @@
         self.on_probe: Callable[[it.Probe], None] = lambda action: None
         self.on_ask_list: Callable[[], None] = lambda: None
 
-    def tell(self, event: it.Event) -> None:
+    def add_event(self, event: it.Event) -> None:
         if not self.events:
             loop = asyncio.get_running_loop()
             if loop.time() >= self.rest_till:
@@ -60,7 +60,7 @@
         kind = type(action)
         if kind is it.Timer:
             loop = asyncio.get_running_loop()
-            loop.call_later(action.delay, self.tell, it.TimerDue(action.token))
+            loop.call_later(action.delay, self.add_event, it.TimerDue(action.token))
         elif kind is it.Probe:
             self.on_probe(action)
         elif kind is it.AskList:
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -8,7 +8,7 @@
 from zlib import crc32
 
 from thistlelever.ground import interface as it
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory_sockets import DirectorySockets
 from thistlelever.ground import clock
 from thistlelever.ground.config import Entry
@@ -40,14 +40,14 @@
         self,
         roll: Roll,
         forget: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
         metrics: Metrics,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         seed: int,
     ) -> None:
         # What drops connections to an engine that is gone or was started anew.
-        self.roll, self.forget, self.desk, self.metrics = roll, forget, desk, metrics
+        self.roll, self.forget, self.decisions, self.metrics = roll, forget, decisions, metrics
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.asked = seed, 0
@@ -86,7 +86,7 @@
             await self.sockets.open(address)
         except OSError as why:
             self.metrics.add("directory: no socket")
-            self.desk.log("directory can't be asked yet", address=address, why=str(why))
+            self.decisions.log("directory can't be asked yet", address=address, why=str(why))
             return False
         self.drop_queries()
         self.misses = 0
@@ -98,7 +98,7 @@
         if await self.sockets.renew():
             sockets = len(self.sockets.transports)
             self.metrics.add("directory asked by a new socket")
-            self.desk.log("directory asked by a new socket", asked=self.asked, sockets=sockets)
+            self.decisions.log("directory asked by a new socket", asked=self.asked, sockets=sockets)
             self.ask(by_order=False)
 
     def accept_from(self, serial: int) -> None:
@@ -158,7 +158,7 @@
             self.renewal = loop.create_task(self.renew())
         self.missed()
         if by_order:
-            self.desk.tell(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
+            self.decisions.add_event(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
 
     def answered(self, data: bytes) -> None:
         """Take what an answer tells, also a late one."""
@@ -175,7 +175,7 @@
             settled = self.take(data, number, query)
         except (dns.Unreadable, KeyError, ValueError) as why:
             self.metrics.add("directory answers out of form")
-            self.desk.log("directory answer out of form", why=str(why))
+            self.decisions.log("directory answer out of form", why=str(why))
             settled = False
         if in_time and settled:
             self.misses, self.heard_at = 0, clock.now()
@@ -212,7 +212,7 @@
         """Send nothing new to these engines, which an answer in doubt does not name as ready."""
         if closed != self.roll.closed:
             names = sorted(engine.decode("latin-1") for engine in closed)
-            self.desk.log("engines closed for a doubt", engines=names, serial=self.roll.serial)
+            self.decisions.log("engines closed for a doubt", engines=names, serial=self.roll.serial)
             self.roll.closed = closed
             self.tell()
 
@@ -223,7 +223,7 @@
         serial, held = answer.serial, self.roll.serial
         what = "older than the list" if serial < held else "that differ under one serial"
         self.metrics.add(f"directory answers {what}")
-        self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
+        self.decisions.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
     def hold(self, serial: int, entries: list[Entry]) -> None:
         """Take the list of a configuration that was read again, if it is newer than the one in force."""
@@ -238,7 +238,7 @@
         last_heard = self.heard_at or None
         for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
-        self.desk.log(
+        self.decisions.log(
             "list",
             serial=serial,
             engines=len(entries),
@@ -251,7 +251,7 @@
 
     def tell(self) -> None:
         """Tell the decisions the list as it is held now."""
-        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
+        self.decisions.add_event(it.EngineListReceived(it.ListKind.WHOLE, self.roll.serial, self.roll.told()))
 
     def entry(self, found: dns.Found) -> Entry:
         facts = found.facts
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from thistlelever.admission.decide import MAY_RUN_ON
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.flow import Flow, ReaderLeft
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.result_stream import ResultStream, ReaderLeftError
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
@@ -21,7 +21,7 @@
 from thistlelever.store.roll import Roll
 
 
-class Ended(Exception):
+class NoResultError(Exception):
     """The dispatch is over without an answer."""
 
     def __init__(self, outcome: it.DispatchOutcome) -> None:
@@ -46,7 +46,7 @@
     # Rows that an update has changed, where its engine says so.
     changed: int = -1
     # Where the result went on before it was whole.
-    flow: Flow | None = None
+    result_stream: ResultStream | None = None
 
     def event(self, batch: int, complete: bool) -> it.DispatchEnded:
         return it.DispatchEnded(
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Sending:
+class DispatchProgress:
     """How far a dispatch has come, for the meaning of how it ended."""
 
     number: int
@@ -83,29 +83,31 @@
     pages: int = 0
 
 
-class Speech(Protocol):
-    """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `give_up`."""
+class EngineProtocol(Protocol):
+    """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `cancel_dispatch`."""
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """The whole dispatch: sets `end.outcome` and the result, or raises `Ended`. `sent.begun` holds from
-        the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+    ) -> None:
+        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `sent.begun` holds
+        from the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
         run."""
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `converse`, and
-        nothing is begun. `ASTRAY` where the engine does not know of it."""
+    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
+        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `run_dispatch`,
+        and nothing is begun. `ASTRAY` where the engine does not know of it."""
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: Name) -> str:
         """Ask for a batch that nobody waits for here, so that its engine goes on with it or keeps its result:
         `running`, `over`, `unknown` or `silent`."""
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
         """Give up a batch that another front had out."""
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
         """Returns once the engine surely runs the batch no more, or can't be told so."""
 
-    async def run_out(self, sent: Sending) -> None:
+    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
         """Returns once the engine surely runs the batch no more, though nobody may tell it to give it up."""
 
     async def put(self, batch: Batch, entry: Entry, number: int) -> None:
@@ -123,15 +125,15 @@
         self,
         settings: it.Settings,
         roll: Roll,
-        speech: Callable[[Entry], Speech],
-        desk: Desk,
+        protocol: Callable[[Entry], EngineProtocol],
+        decisions: DecisionLoop,
         metrics: Metrics,
         log: Log,
     ) -> None:
         self.cancels, self.copies = settings.cancel, settings.copies
         # What an entry's engine speaks.
-        self.speech = speech
-        self.roll, self.desk, self.metrics, self.log = roll, desk, metrics, log
+        self.protocol = protocol
+        self.roll, self.decisions, self.metrics, self.log = roll, decisions, metrics, log
         self.asides: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
@@ -176,7 +178,7 @@
         """One dispatch from its first byte to its end."""
         begun, number = clock.now(), end.number
         till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
-        sent = Sending(number, lambda: self.may_begin(batch, order), ordered=begun)
+        sent = DispatchProgress(number, lambda: self.may_begin(batch, order), ordered=begun)
         try:
             entry = self.roll.entries.get(order.engine)
             if batch.answered or till <= begun or entry is None:
@@ -187,9 +189,9 @@
         except TimeoutError:
             # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
             end.outcome = it.DispatchOutcome.TIMED_OUT if sent.begun else it.DispatchOutcome.UNSENT
-        except (asyncio.CancelledError, ReaderLeft):
+        except (asyncio.CancelledError, ReaderLeftError):
             end.outcome = it.DispatchOutcome.CANCELLED
-        except Ended as why:
+        except NoResultError as why:
             end.outcome = why.outcome
         except Exception as why:
             self.metrics.add("dispatch failed")
@@ -197,8 +199,8 @@
             end.outcome = it.DispatchOutcome.ERRORED
         end.took = clock.now() - begun
         self.report(batch, end, sent)
-        if end.flow:
-            end.flow.end(end.outcome)
+        if end.result_stream:
+            end.result_stream.end(end.outcome)
         batch.limits.pop(number, None)
         if sent.begun and end.outcome in MAY_RUN_ON:
             another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
@@ -207,15 +209,15 @@
             with suppress(asyncio.CancelledError, TimeoutError):
                 if self.cancels:
                     # Risk: a further dispatch that comes before the DELETE makes two out at once.
-                    given_up = self.aside(self.give_up(batch, entry, sent))
+                    given_up = self.aside(self.cancel_dispatch(batch, entry, sent))
                     if another:
                         await asyncio.wait((given_up,), timeout=left)
                 elif another and not self.copies:
                     # Risk: where nothing may be called off, a time-out told at once makes the next dispatch
                     # a second copy beside one that its engine runs on.
-                    await asyncio.wait_for(self.speech(entry).run_out(sent), left)
+                    await asyncio.wait_for(self.protocol(entry).wait_until_stopped(sent), left)
 
-    def report(self, batch: Batch, end: End, sent: Sending) -> None:
+    def report(self, batch: Batch, end: End, sent: DispatchProgress) -> None:
         """Log a dispatch that ended without a result, unless its client has left."""
         if end.outcome in (it.DispatchOutcome.RETURNED, it.DispatchOutcome.CANCELLED):
             return
@@ -229,29 +231,31 @@
             sent=sent.posts,
         )
 
-    async def sending(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def sending(
+        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+    ) -> None:
         if batch.ward and not await batch.ward.out(end.number, end.engine):
-            raise Ended(self.unsent(batch, end.number))
+            raise NoResultError(self.unsent(batch, end.number))
         if end.number in batch.under:
-            await self.speech(entry).resume(batch, entry, end, sent, till)
+            await self.protocol(entry).resume(batch, entry, end, sent, till)
         else:
-            await self.speech(entry).converse(batch, entry, end, sent, till)
+            await self.protocol(entry).run_dispatch(batch, entry, end, sent, till)
 
     def unsent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Risk: what another front has begun, told as never sent, is taken for what never ran."""
         return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
         if not batch.ward or await batch.ward.may_call_off():
-            await self.speech(entry).give_up(batch, entry, sent)
+            await self.protocol(entry).cancel_dispatch(batch, entry, sent)
 
     def reprioritise(self, batch: Batch) -> None:
         """The batch's priority also holds for what is out."""
         for number in batch.out:
             entry = self.roll.entries.get(batch.engines[number])
             if entry:
-                self.aside(self.speech(entry).put(batch, entry, number))
+                self.aside(self.protocol(entry).put(batch, entry, number))
 
     def probe(self, action: it.Probe) -> None:
         self.aside(self.probing(action.engine))
@@ -264,8 +268,8 @@
             self.roll.entries.get(engine),
         )
         if entry:
-            outcome, report = await self.speech(entry).probe(entry)
-        self.desk.tell(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
+            outcome, report = await self.protocol(entry).probe(entry)
+        self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
 
     def aside(self, work: Coroutine) -> asyncio.Task:
         task = asyncio.get_running_loop().create_task(work)
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -13,9 +13,9 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.dispatch import End, Ended, Sending
-from thistlelever.carrier.flow import Begun, Flow
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
+from thistlelever.carrier.result_stream import Begun, ResultStream
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
@@ -95,20 +95,20 @@
 
 
 class FlightEngines:
-    """One channel an engine, kept by its id; see `Speech` in `dispatch.py`."""
+    """One channel an engine, kept by its id; see `EngineProtocol` in `dispatch.py`."""
 
     def __init__(
         self,
         settings: it.Settings,
         roll: Roll,
-        desk: Desk,
+        decisions: DecisionLoop,
         metrics: Metrics,
         held: int,
         between: int,
         purse: Purse,
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
-        self.roll, self.desk, self.metrics = roll, desk, metrics
+        self.roll, self.decisions, self.metrics = roll, decisions, metrics
         # What one result may hold before it begins to go on, and all of them together.
         self.held, self.purse = held, purse
         # What of a result that goes on may lie between its engine and its client.
@@ -116,25 +116,27 @@
         self.channels: dict[it.EngineId, aio.Channel] = {}
         self.closing: set[asyncio.Task] = set()
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+    ) -> None:
         try:
             order = command(batch)
         except UnicodeDecodeError:
             # A statement that this protocol can't carry; no engine that speaks it will do better.
-            raise Ended(it.DispatchOutcome.ERRORED) from None
+            raise NoResultError(it.DispatchOutcome.ERRORED) from None
         channel = await self.channel(entry)
         if not sent.may_begin():
-            raise Ended(it.DispatchOutcome.UNSENT)
+            raise NoResultError(it.DispatchOutcome.UNSENT)
         await self.fetch(channel, order, batch, entry, end, sent, till)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
         if batch.update:
             # Its count is in the one answer to its call, which went to another front.
-            raise Ended(it.DispatchOutcome.ASTRAY)
+            raise NoResultError(it.DispatchOutcome.ASTRAY)
         try:
             channel = await self.channel(entry)
-        except Ended:
-            raise Ended(it.DispatchOutcome.RESET) from None
+        except NoResultError:
+            raise NoResultError(it.DispatchOutcome.RESET) from None
         await self.fetch(channel, command(batch), batch, entry, end, sent, till, RESUMED)
 
     async def fetch(
@@ -144,7 +146,7 @@
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: Sending,
+        sent: DispatchProgress,
         till: float,
         further: Metadata = (),
     ) -> None:
@@ -171,16 +173,16 @@
         except aio.AioRpcError as why:
             self.figures(why.trailing_metadata(), end)
             if further and why.code() is StatusCode.NOT_FOUND:
-                raise Ended(it.DispatchOutcome.ASTRAY) from None
-            raise Ended(await self.outcome(why, entry, batch, sent)) from None
+                raise NoResultError(it.DispatchOutcome.ASTRAY) from None
+            raise NoResultError(await self.outcome(why, entry, batch, sent)) from None
         except aio.UsageError:
             # Its channel was let go between two calls, as its engine is gone or its connection was lost.
-            raise Ended(it.DispatchOutcome.RESET) from None
+            raise NoResultError(it.DispatchOutcome.RESET) from None
         except Unreadable as why:
             self.metrics.add("flight results without use")
-            self.desk.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
+            self.decisions.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
             # What we stop reading its engine may run on.
-            await self.give_up(batch, entry, sent)
+            await self.cancel_dispatch(batch, entry, sent)
             end.outcome = it.DispatchOutcome.ERRORED
         finally:
             hold.release()
@@ -203,14 +205,14 @@
                             raise Unreadable("endpoints of different schemas")
                         continue
                     hold.schema = schema
-                if end.flow:
-                    await end.flow.put(raw)
+                if end.result_stream:
+                    await end.result_stream.put(raw)
                 elif not hold.add(raw):
                     if not batch.columns:
                         raise Unreadable("more than a client that takes rows can get")
                     # Too large to hold: from here on no other dispatch can bring it.
-                    end.flow = Flow(end.number, hold.messages, self.between)
-                    batch.inbox.put_nowait(Begun(end.number, end.flow))
+                    end.result_stream = ResultStream(end.number, hold.messages, self.between)
+                    batch.inbox.put_nowait(Begun(end.number, end.result_stream))
                     hold.release()
             if first:
                 raise Unreadable("a stream without a schema")
@@ -221,14 +223,14 @@
     def whole(self, batch: Batch, end: End, hold: Hold) -> None:
         """All is in. For a client of rows it becomes rows here, so that what does not fit is an error of this
         dispatch and not of the client's."""
-        if batch.columns and not end.flow:
+        if batch.columns and not end.result_stream:
             end.parcels = list(hold.messages)
         elif not batch.columns:
             end.pages = [columns.to_rows(hold.messages)]
         end.outcome = it.DispatchOutcome.RETURNED
 
     async def update(
-        self, channel: aio.Channel, order: bytes, batch: Batch, end: End, sent: Sending, till: float
+        self, channel: aio.Channel, order: bytes, batch: Batch, end: End, sent: DispatchProgress, till: float
     ) -> None:
         call = channel.stream_stream(SERVICE + "DoPut")(**self.terms(batch, end.number, till))
         try:
@@ -250,7 +252,7 @@
             call.cancel()
 
     async def outcome(
-        self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: Sending
+        self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: DispatchProgress
     ) -> it.DispatchOutcome:
         """What a broken call means. Risk: UNAVAILABLE read as 'not sent' runs a batch twice: gRPC says it of
         a connection that broke with the batch at work, too."""
@@ -261,7 +263,7 @@
             return it.DispatchOutcome.TIMED_OUT
         if why.code() not in BROKEN:
             # Risk: a status that this side made (a message too large) leaves the engine at work.
-            await self.give_up(batch, entry, sent)
+            await self.cancel_dispatch(batch, entry, sent)
             return it.DispatchOutcome.ERRORED
         # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
         # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
@@ -295,16 +297,16 @@
         told: it can't be called off for a better one any more."""
         name, _, word = metadata[:64].decode("latin-1").partition("=")
         kind, value = PROGRESS_KINDS.get(name), counted(word)
-        if kind and value is not None and not end.flow:
+        if kind and value is not None and not end.result_stream:
             value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
-            self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
+            self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: Name) -> str:
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
             await call(NOTHING, timeout=WORD_WITHIN, metadata=(*which(name), *RESUMED))
-        except Ended:
+        except NoResultError:
             return "silent"
         except aio.AioRpcError as why:
             return SAID.get(why.code(), "silent")
@@ -312,10 +314,10 @@
             return "silent"
         return "over"
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
         await self.until_called_off(entry, name, NOTHING, clock.now() + DROPPED_AFTER)
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
         name, till = batch.name(sent.number), sent.asked + DROPPED_AFTER
         await self.until_called_off(entry, name, command(batch), till)
 
@@ -344,17 +346,17 @@
             return why.code()
         except Unreadable:
             return StatusCode.UNKNOWN
-        except Ended:
+        except NoResultError:
             return None
 
-    async def run_out(self, sent: Sending) -> None:
+    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
         """An engine that runs on says nothing of its end: none follows before the batch's time limit."""
         await asyncio.Event().wait()
 
     async def put(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
             await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.name(number)))
-        except (aio.AioRpcError, Ended):
+        except (aio.AioRpcError, NoResultError):
             self.metrics.add("flight priority failed")
 
     async def act(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
@@ -374,7 +376,7 @@
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
             answer = await self.act(entry, STATS, b"")
-        except Ended:
+        except NoResultError:
             return it.DispatchOutcome.UNREACHABLE, ()
         except Unreadable:
             return it.DispatchOutcome.ERRORED, ()
@@ -385,8 +387,8 @@
         return it.DispatchOutcome.RETURNED, gauges(answer.decode("latin-1"), self.fields)
 
     async def channel(self, entry: Entry) -> aio.Channel:
-        """A channel that is up, or `Ended` as unreachable: nothing was sent then. What a kept channel says
-        of its lost connection is old news; only a new one's failure is the engine's."""
+        """A channel that is up, or `NoResultError` as unreachable: nothing was sent then. What a kept channel
+        says of its lost connection is old news; only a new one's failure is the engine's."""
         engine, due = entry.engine.id, asyncio.get_running_loop().time() + self.connect_limit
         while True:
             channel, fresh = self.channels.get(engine), False
@@ -399,11 +401,11 @@
                     if await self.comes_up(channel):
                         return channel
             except TimeoutError:
-                raise Ended(it.DispatchOutcome.UNREACHABLE) from None
+                raise NoResultError(it.DispatchOutcome.UNREACHABLE) from None
             if self.channels.get(engine) is channel:
                 self.forget(engine)
             if fresh:
-                raise Ended(it.DispatchOutcome.UNREACHABLE)
+                raise NoResultError(it.DispatchOutcome.UNREACHABLE)
 
     async def comes_up(self, channel: aio.Channel) -> bool:
         state = channel.get_state(try_to_connect=True)
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from math import ceil
 
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.dispatch import End, Ended, Sending
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
@@ -48,9 +48,11 @@
 
 
 class HttpEngines:
-    """The platform's own way to its engines; see `Speech` in `dispatch.py`."""
+    """The platform's own way to its engines; see `EngineProtocol` in `dispatch.py`."""
 
-    def __init__(self, settings: it.Settings, roll: Roll, links: Links, desk: Desk, metrics: Metrics) -> None:
+    def __init__(
+        self, settings: it.Settings, roll: Roll, links: Links, decisions: DecisionLoop, metrics: Metrics
+    ) -> None:
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
         self.once_only = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
@@ -61,9 +63,11 @@
             for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
-        self.roll, self.links, self.desk, self.metrics = roll, links, desk, metrics
+        self.roll, self.links, self.decisions, self.metrics = roll, links, decisions, metrics
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+    ) -> None:
         path = way(batch, end.number)
         end.outcome = it.DispatchOutcome.ASTRAY
         while end.outcome is it.DispatchOutcome.ASTRAY:
@@ -78,7 +82,7 @@
                 break
         await self.further(path, batch, entry, end, sent)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
         path, sent.begun = way(batch, end.number), True
         reply = await self.ask(path, 0, entry, end, sent, batch)
         while reply.status == 202:
@@ -86,7 +90,7 @@
         end.outcome = self.outcome(reply, sent)
         await self.further(path, batch, entry, end, sent)
 
-    async def further(self, path: str, batch: Batch, entry: Entry, end: End, sent: Sending) -> None:
+    async def further(self, path: str, batch: Batch, entry: Entry, end: End, sent: DispatchProgress) -> None:
         """The pages behind the first."""
         for page in range(1, sent.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
             reply = await self.ask(path, page, entry, end, sent, batch)
@@ -99,23 +103,27 @@
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: Sending,
+        sent: DispatchProgress,
         till: float,
     ) -> http.Reply | None:
         """The call that starts it, and its reply if it got one of use."""
         try:
             link = await self.link(entry, batch.lane in self.wary)
         except (Refused, Unreached, Broken, Short) as why:
-            raise Ended(proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)) from None
+            raise NoResultError(
+                proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)
+            ) from None
         if not sent.may_begin():
             self.links.give_back(link)
-            raise Ended(proven(it.DispatchOutcome.UNSENT, sent.posts))
+            raise NoResultError(proven(it.DispatchOutcome.UNSENT, sent.posts))
         sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
         self.count_call("POST", entry)
         waited = sent.asked - sent.ordered
         if waited > BEGUN_LATE:
             engine = entry.engine.id.decode("latin-1")
-            self.desk.log("dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4))
+            self.decisions.log(
+                "dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4)
+            )
         try:
             reply = await link.call(self.request(batch, entry.address, till), NEWS_WITHIN)
             self.read(reply, 0, link, end, sent, batch)
@@ -148,14 +156,14 @@
             fields["Pool-Rank"] = str(batch.priority)
         return http.call("POST", "/fetch", address, fields, asked.statement)
 
-    def outcome(self, reply: http.Reply, sent: Sending) -> it.DispatchOutcome:
+    def outcome(self, reply: http.Reply, sent: DispatchProgress) -> it.DispatchOutcome:
         if reply.status == 200:
             return it.DispatchOutcome.RETURNED
         unrun = reply.text(b"x-unrun") == "1"
         if unrun and reply.status in UNRUN:
             outcome = proven(UNRUN[reply.status], sent.posts - 1)
             if outcome is it.DispatchOutcome.ASTRAY:
-                raise Ended(outcome)
+                raise NoResultError(outcome)
             return outcome
         # Risk: an engine that never got the batch, told as one that errs, is taken for ill; so are all on a
         # day when connections break.
@@ -167,7 +175,7 @@
         page: int,
         entry: Entry,
         end: End,
-        sent: Sending,
+        sent: DispatchProgress,
         batch: Batch,
     ) -> http.Reply:
         """One question about a batch that is out, on new connections until it is answered.
@@ -208,7 +216,7 @@
             finally:
                 self.links.give_back(link)
             await asyncio.sleep(RETRY_PACE * (spoilt - 1))
-        raise Ended(it.DispatchOutcome.RESET)
+        raise NoResultError(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
@@ -218,7 +226,9 @@
     def spoilt(self, why: Exception) -> None:
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
-    def read(self, reply: http.Reply, page: int, link: Link, end: End, sent: Sending, batch: Batch) -> None:
+    def read(
+        self, reply: http.Reply, page: int, link: Link, end: End, sent: DispatchProgress, batch: Batch
+    ) -> None:
         """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
         one that can't be the answer to the question: its connection is used no more."""
         try:
@@ -235,14 +245,14 @@
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
             if kind and value is not None:
                 value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
-                self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
+                self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
         elif reply.status == 200:
             sent.heard = True
             end.true_work = (reply.number(b"elapsed-work") or 0.0) / 1e3 or end.true_work
             end.true_memory = reply.number(b"high-water") or end.true_memory
             end.pages.append(rows)
 
-    def rows(self, reply: http.Reply, page: int, link: Link, sent: Sending) -> bytes:
+    def rows(self, reply: http.Reply, page: int, link: Link, sent: DispatchProgress) -> bytes:
         """The rows of a good end or a further page."""
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
@@ -272,23 +282,23 @@
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
         """The DELETE, until the engine has it, or no longer holds the batch anyway: it is dead, or has not
         been asked for it in so long. What a client has left waits behind what others wait for."""
         await self.delete(
             entry, way(batch, sent.number)[:-1], sent.asked + DROPPED_AFTER, lambda: not batch.answered
         )
 
-    async def run_out(self, sent: Sending) -> None:
+    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
         """An engine ends what it has not been asked for in so long; a question may lie there as long as news
         may take."""
         if not sent.dead:
             await asyncio.sleep(sent.asked + NEWS_WITHIN + DROPPED_AFTER - clock.now())
 
-    async def call_off(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
         await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROPPED_AFTER, lambda: False)
 
-    async def ask_on(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: Name) -> str:
         try:
             link = await self.links.take(entry, urgent=False)
             try:
--- a/thistlelever/carrier/pulse.py
+++ b/thistlelever/carrier/loop_lag.py
@@ -12,7 +12,7 @@
 FADE = 0.9
 
 
-class Pulse:
+class LoopLagMonitor:
     """The loop's lag now, and the worst since it was last written."""
 
     def __init__(self) -> None:
--- a/thistlelever/carrier/recollection.py
+++ b/thistlelever/carrier/remembered_outcomes.py
@@ -28,7 +28,7 @@
     return query_class.repeat is it.Idempotency.IDEMPOTENT or dropped and ran_for < query_class.window
 
 
-class Recollection:
+class RememberedOutcomes:
     """Marks of referenced batches that may have run, so that after a restart their repeats go only where
     they are dropped. `remember` is told a mark, its engine, name and window, or None where it surely never
     ran; `find` gives engine, name and how long ago, or None."""
--- a/thistlelever/carrier/flow.py
+++ b/thistlelever/carrier/result_stream.py
@@ -9,11 +9,11 @@
 from thistlelever.ground.interface import DispatchOutcome
 
 
-class ReaderLeft(Exception):
+class ReaderLeftError(Exception):
     """Nobody takes the rest of the result."""
 
 
-class Flow:
+class ResultStream:
     """Messages between the one dispatch that brings them and the one client that takes them."""
 
     def __init__(self, number: int, held: list[bytes], most: int) -> None:
@@ -31,7 +31,7 @@
             self.stir.clear()
             await self.stir.wait()
         if self.left:
-            raise ReaderLeft
+            raise ReaderLeftError
         self.waiting.append(message)
         self.size += len(message)
         self.stir.set()
@@ -76,4 +76,4 @@
     """A dispatch asks that its result may go on before it is all in."""
 
     number: int
-    flow: Flow
+    result_stream: ResultStream
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -7,7 +7,7 @@
 from math import isfinite
 from typing import NamedTuple
 
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.subscription import Listing, Subscription
 from thistlelever.distribution.records import EngineRecord, engines_of
 from thistlelever.ground import clock
@@ -40,11 +40,11 @@
         subscription: Subscription,
         roll: Roll,
         forget: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
         names: KnownNames,
     ) -> None:
         """`forget` drops the connections to an engine."""
-        self.subscription, self.roll, self.forget, self.desk = subscription, roll, forget, desk
+        self.subscription, self.roll, self.forget, self.decisions = subscription, roll, forget, decisions
         self.zones = {name: place for place, name in enumerate(names.zones)}
         self.kinds = {name: place for place, name in enumerate(names.kinds)}
         # Records that have left the subset, of engines that queries are still out at.
@@ -102,13 +102,15 @@
         last_heard = self.heard_at if isfinite(self.heard_at) else None
         for engine in self.roll.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.forget(engine)
-        self.desk.log(
+        self.decisions.log(
             "list",
             version=str(self.subscription.replica.version),
             engines=len(entries),
             changed=transitions(before, self.roll.states()),
         )
-        self.desk.tell(it.EngineListReceived(it.ListKind.WHOLE, serial, self.roll.told(), self.roll.sharing))
+        self.decisions.add_event(
+            it.EngineListReceived(it.ListKind.WHOLE, serial, self.roll.told(), self.roll.sharing)
+        )
 
     def still_leaving(self, held: dict[str, EngineRecord]) -> dict[str, EngineRecord]:
         """Of the engines that have left, those that queries are out at and whose address is still theirs."""
@@ -127,8 +129,8 @@
         try:
             return record, self.made(record)
         except (UnknownNameError, ValueError) as error:
-            self.desk.metrics.add("engines of the list that can't be used")
-            self.desk.log("engine not usable", engine=record.id, why=str(error))
+            self.decisions.metrics.add("engines of the list that can't be used")
+            self.decisions.log("engine not usable", engine=record.id, why=str(error))
             return None
 
     def made(self, record: EngineRecord) -> Entry:
--- a/thistlelever/carrier/intake.py
+++ b/thistlelever/carrier/validation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.submission import InvalidFieldError, parse_submission
@@ -15,14 +15,14 @@
 MOST_LIMITS, MOST_MEMORIES = 100.0, 4.0
 
 
-class Intake:
+class RequestValidator:
     """Makes batches of what clients submit. It takes none: a batch is taken once its course has begun."""
 
-    def __init__(self, settings: it.Settings, pulse: Pulse, batches: Batches) -> None:
+    def __init__(self, settings: it.Settings, loop_lag: LoopLagMonitor, batches: Batches) -> None:
         self.groups = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.consignors = {c.name: p for p, c in enumerate(settings.consignors)}
         self.most_memory = max(settings.kind_memory, default=float("inf")) * MOST_MEMORIES
-        self.pulse, self.batches, self.stop_at = pulse, batches, float("inf")
+        self.loop_lag, self.batches, self.stop_at = loop_lag, batches, float("inf")
 
     def batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
         """The batch of that service group (a known one); `InvalidFieldError` where it can't be one."""
@@ -46,7 +46,7 @@
             raise InvalidFieldError("bytes", "the statement names no table of a group")
         number, now = self.batches.number(), clock.now()
         # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
-        left = min(asked.wait - 2 * self.pulse.behind(), self.stop_at - now)
+        left = min(asked.wait - 2 * self.loop_lag.behind(), self.stop_at - now)
         taken = it.BatchReceived(
             number,
             group,
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -7,10 +7,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from thistlelever.carrier.dispatch import End, Ended, Sending, Speech
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress, EngineProtocol
 from thistlelever.carrier.peers import PeerSocket
 from thistlelever.admission.decide import NEVER_RAN
-from thistlelever.carrier.recollection import goes_on_from
+from thistlelever.carrier.remembered_outcomes import goes_on_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
@@ -118,11 +118,11 @@
         peers: PeerSocket,
         settings: it.Settings,
         roll: Roll,
-        speech: Callable[[Entry], Speech],
+        protocol: Callable[[Entry], EngineProtocol],
         metrics: Metrics,
         log: Log,
     ) -> None:
-        self.judge, self.peers, self.roll, self.speech = judge, peers, roll, speech
+        self.judge, self.peers, self.roll, self.protocol = judge, peers, roll, protocol
         self.metrics, self.log = metrics, log
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
@@ -236,12 +236,12 @@
         entry = self.roll.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
-        end, sent = End(READING, entry.engine.id), Sending(READING)
+        end, sent = End(READING, entry.engine.id), DispatchProgress(READING)
         batch.under[READING] = Name(value.txn.hex(), value.number)
         self.roll.begin(end.engine)
         try:
-            await self.speech(entry).resume(batch, entry, end, sent, batch.limit_at)
-        except Ended:
+            await self.protocol(entry).resume(batch, entry, end, sent, batch.limit_at)
+        except NoResultError:
             return None
         finally:
             self.roll.end(end.engine)
@@ -358,26 +358,26 @@
             task.cancel()
         loop = asyncio.get_running_loop()
         if type(order) is AskOn:
-            self.asking[order.key] = loop.create_task(self.ask_on(order))
+            self.asking[order.key] = loop.create_task(self.query_status(order))
         elif type(order) is CallOff:
-            task = loop.create_task(self.call_off(order))
+            task = loop.create_task(self.cancel_by_name(order))
             self.asides.add(task)
             task.add_done_callback(self.asides.discard)
 
-    async def ask_on(self, order: AskOn) -> None:
+    async def query_status(self, order: AskOn) -> None:
         """Until the judge says that it is enough."""
         while True:
             entry = self.roll.entries.get(order.engine.encode("latin-1"))
             name = Name(order.txn.hex(), order.number)
-            said = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
+            said = await self.protocol(entry).query_status(entry, name) if entry else "unknown"
             self.metrics.add(f"takeover: asked on: {said}")
             self.judge.heirs.asked(order.key, said)
             self.soon()
             await asyncio.sleep(self.judge.terms.ask)
 
-    async def call_off(self, order: CallOff) -> None:
+    async def cancel_by_name(self, order: CallOff) -> None:
         if entry := self.roll.entries.get(order.engine.encode("latin-1")):
-            await self.speech(entry).call_off(entry, Name(order.txn.hex(), order.number))
+            await self.protocol(entry).cancel_by_name(entry, Name(order.txn.hex(), order.number))
 
 
 def groups(settings: it.Settings, demand: tuple[str, ...] | None) -> tuple[Group, ...]:
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -14,10 +14,10 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.carrier.course import LEFT, Courses
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT, BatchTasks
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.flow import Begun
-from thistlelever.carrier.intake import Intake
+from thistlelever.carrier.result_stream import Begun
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.flight import answers, catalog
 from thistlelever.flight.answers import Refusal, bad, unserved
 from thistlelever.flight.prepared_calls import PreparedCalls
@@ -80,9 +80,15 @@
     """Serves on one port. Each call is one task, from its request to its status."""
 
     def __init__(
-        self, terms: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
+        self,
+        terms: Flight,
+        name: str,
+        validator: RequestValidator,
+        batch_tasks: BatchTasks,
+        metrics: Metrics,
+        log: Log,
     ) -> None:
-        self.terms, self.intake, self.courses = terms, intake, courses
+        self.terms, self.validator, self.batch_tasks = terms, validator, batch_tasks
         self.metrics, self.log = metrics, log
         self.seal = Seal(name)
         self.tickets = Tickets(name, self.seal.life, terms.tickets)
@@ -230,7 +236,7 @@
         group = said.get(terms.group_header) or options.get("group") or terms.group
         if not group:
             raise bad(f"{terms.group_header}: missing; no option or default names a service group")
-        if group not in self.intake.groups:
+        if group not in self.validator.groups:
             raise bad(f"{terms.group_header}: {group[:60]!r} is no service group")
         fields: dict[str, str | float | bool] = {}
         tenant = said.get(terms.tenant_header) or options.get("tenant") or terms.tenant
@@ -255,7 +261,7 @@
     def batch(self, order: Order, context: aio.ServicerContext) -> Batch:
         """The batch that an order is for, under the same checks as on the other door. It waits as long as the
         order says, else its group's time limit, and no longer than the call itself."""
-        limit = self.intake.groups[order.group][1].time_limit
+        limit = self.validator.groups[order.group][1].time_limit
         wait = float(order.fields.get("wait", limit * 1e3))
         remaining = context.time_remaining()
         if remaining is not None:
@@ -263,7 +269,7 @@
             if remaining <= LAST_BYTES:
                 raise Refusal(StatusCode.DEADLINE_EXCEEDED, "no time left")
             wait = min(wait, (remaining - LAST_BYTES) * 1e3)
-        batch = self.intake.batch(
+        batch = self.validator.batch(
             order.group, order.fields | {"id": order.number, "wait": wait}, order.statement
         )
         batch.columns = True
@@ -308,10 +314,10 @@
                     for raw in parcels:
                         await context.write(raw)
                 case Begun():
-                    while (raw := await told.flow.take()) is not None:
+                    while (raw := await told.result_stream.take()) is not None:
                         await context.write(raw)
-                    if told.flow.outcome is not it.DispatchOutcome.RETURNED:
-                        raise answers.broken_off(told.flow.outcome)
+                    if told.result_stream.outcome is not it.DispatchOutcome.RETURNED:
+                        raise answers.broken_off(told.result_stream.outcome)
 
     def meaning(self, told, batch: Batch) -> Refusal:
         """Why there is no result."""
@@ -417,9 +423,9 @@
         order = self.seal.open(asked.statement_handle)
         if order.number in self.open:
             batch, told = self.open[order.number]
-            if told.done() and not batch.flow:
+            if told.done() and not batch.result_stream:
                 return pb.CANCEL_STATUS_NOT_CANCELLABLE
-            batch.inbox.put_nowait(LEFT)
+            batch.inbox.put_nowait(CLIENT_LEFT)
             if not told.done():
                 told.set_result(CALLED_OFF)
             return pb.CANCEL_STATUS_CANCELLED
--- a/thistlelever/flight/taking.py
+++ b/thistlelever/flight/taking.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING, NamedTuple
 
-from thistlelever.carrier.course import LEFT
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.flow import Begun
+from thistlelever.carrier.result_stream import Begun
 from thistlelever.store.batches import Batch
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
         door.open[batch.asked.txn] = Open(batch, told)
         door.metrics.add("taken")
-        door.courses.start(batch, answer)
+        door.batch_tasks.start(batch, answer)
         try:
             said = await told
             door.metrics.add(type(said).__name__)
@@ -60,4 +60,4 @@
 
     def leave(self) -> None:
         self.door.open.pop(self.batch.asked.txn, None)
-        self.batch.inbox.put_nowait(LEFT)
+        self.batch.inbox.put_nowait(CLIENT_LEFT)
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -37,7 +37,7 @@
 
     def __init__(self, parts: Parts, section: Budgets) -> None:
         self.parts, config = parts, parts.config
-        self.gate = parts.courses.gate = BudgetGate(
+        self.gate = parts.batch_tasks.gate = BudgetGate(
             config.settings,
             plan(section),
             self.policy(section),
@@ -74,7 +74,7 @@
         return views.explain(self.gate.fair_queue, number, clock.now())
 
     def stopping(self) -> None:
-        """The courses tell the gate themselves."""
+        """The batch tasks tell the gate themselves."""
 
     async def close(self, grace: float) -> None:
         """Nothing of it outlives the batches."""
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from math import isfinite
 
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.subscribed_list import KnownNames, SubscribedList
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
 from thistlelever.distribution.records import engines_of
@@ -30,10 +30,10 @@
         section: Distribution,
         roll: Roll,
         forget: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
     ) -> None:
         """Nothing is asked before `open`."""
-        self.roll, self.desk, self.start_within = roll, desk, section.start_within_s
+        self.roll, self.decisions, self.start_within = roll, decisions, section.start_within_s
         terms = SubscriptionTerms(
             tuple(parse_address(text) for text in section.distributors),
             section.heartbeat_s,
@@ -48,12 +48,12 @@
             self.changed,
         )
         names = KnownNames(config.zones, config.kinds)
-        self.list = SubscribedList(self.subscription, roll, forget, desk, names)
+        self.list = SubscribedList(self.subscription, roll, forget, decisions, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the configuration is to be read again.
         self.on_new_configuration: Callable[[], None] = lambda: None
         self.first = asyncio.Event()
-        self.subscription.listener, self.subscription.log = self.changed, desk.log
+        self.subscription.listener, self.subscription.log = self.changed, decisions.log
         self.task: asyncio.Task[None] | None = None
 
     @property
@@ -77,7 +77,7 @@
         before = self.configuration.in_force
         found = self.configuration.overlay(operator)
         if self.configuration.in_force != before:
-            self.desk.log("configuration in force", version=str(self.configuration.in_force_since))
+            self.decisions.log("configuration in force", version=str(self.configuration.in_force_since))
         return found
 
     def accept_from(self, serial: int) -> None:
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -24,14 +24,14 @@
         self.engines = FlightEngines(
             config.settings,
             parts.roll,
-            parts.desk,
+            parts.decisions,
             parts.metrics,
             terms.held_bytes,
             between,
             Purse(terms.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
+        self.door = Door(terms, config.name, parts.validator, parts.batch_tasks, parts.metrics, parts.log)
 
     def speaks(self, entry: Entry) -> bool:
         """Whether an engine speaks Flight SQL, by its kind or its own id."""
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -74,9 +74,9 @@
         if view.fronts != self.fronts:
             self.fronts = view.fronts
             self.parts.log("fronts counted", fronts=view.fronts, alone=view.isolation_reason)
-            self.parts.desk.tell(it.FrontCountChanged(view.fronts))
-            if self.parts.courses.gate:
-                self.parts.courses.gate.set_front_count(view.fronts)
+            self.parts.decisions.add_event(it.FrontCountChanged(view.fronts))
+            if self.parts.batch_tasks.gate:
+                self.parts.batch_tasks.gate.set_front_count(view.fronts)
 
     async def looking(self) -> None:
         counts, batches = self.parts.metrics.counts, self.parts.batches
--- a/thistlelever/lifecycle/parts.py
+++ b/thistlelever/lifecycle/parts.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from thistlelever.carrier.course import Courses
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.batch_tasks import BatchTasks
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory import Inquiry
 from thistlelever.carrier.dispatch import Dispatcher
-from thistlelever.carrier.intake import Intake
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.ground.log import Log
 from thistlelever.ground.config import Config
 from thistlelever.ground.metrics import Metrics
@@ -31,9 +31,9 @@
     metrics: Metrics
     batches: Batches
     roll: Roll
-    desk: Desk
-    intake: Intake
-    courses: Courses
+    decisions: DecisionLoop
+    validator: RequestValidator
+    batch_tasks: BatchTasks
     dispatcher: Dispatcher
     inquiry: Inquiry
 
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -12,14 +12,14 @@
 
 from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.clients import Reception
-from thistlelever.carrier.course import Courses
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.clients import ClientListener
+from thistlelever.carrier.batch_tasks import BatchTasks
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory import Deaf, Inquiry
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.intake import Intake
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.validation import RequestValidator
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.settings import ConfigError
@@ -78,31 +78,33 @@
         self.metrics, self.batches, self.roll = Metrics(), Batches(), Roll()
         self.roll.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
-        self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
+        self.decisions = DecisionLoop(
+            Front(settings, config.seed), settings.tick, self.batches, self.metrics, log
+        )
         flight = operator.flight if operator else None
         limits = bounds(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
         self.links = Links(limits.links, config.idle, settings.connect_limit, self.metrics)
         self.links.listed = self.roll.listed
         self.links.reachable = self.roll.reachable
-        over_http = HttpEngines(settings, self.roll, self.links, self.desk, self.metrics)
+        over_http = HttpEngines(settings, self.roll, self.links, self.decisions, self.metrics)
         self.dispatcher = Dispatcher(
-            settings, self.roll, lambda entry: over_http, self.desk, self.metrics, log
+            settings, self.roll, lambda entry: over_http, self.decisions, self.metrics, log
         )
         self.flight: FlightSide | None = None
         self.membership: MembershipSide | None = None
         self.state: StateSide | None = None
-        self.courses = Courses(self.desk, self.dispatcher, self.batches, self.metrics, log)
-        self.pulse = Pulse()
-        self.intake = Intake(settings, self.pulse, self.batches)
-        self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
+        self.batch_tasks = BatchTasks(self.decisions, self.dispatcher, self.batches, self.metrics, log)
+        self.loop_lag = LoopLagMonitor()
+        self.validator = RequestValidator(settings, self.loop_lag, self.batches)
+        self.client_listener = ClientListener(self.validator, self.batch_tasks, self.metrics, log, limits)
         self.inquiry = self.discovery(operator)
-        self.desk.on_probe = self.dispatcher.probe
-        self.desk.on_ask_list = lambda: self.inquiry.ask(by_order=True)
+        self.decisions.on_probe = self.dispatcher.probe
+        self.decisions.on_ask_list = lambda: self.inquiry.ask(by_order=True)
         # What the operator file switches on beside that, in the order in which it is opened.
         self.sides: list[Side] = self.switched_on(operator) if operator else []
         if self.flight:
             side = self.flight
-            self.dispatcher.speech = lambda entry: side.engines if side.speaks(entry) else over_http
+            self.dispatcher.protocol = lambda entry: side.engines if side.speaks(entry) else over_http
         self.admin: Administration | None = None
         self.stop, self.renew = asyncio.Event(), asyncio.Event()
         self.inquiry.on_new_configuration = self.renew.set
@@ -115,9 +117,9 @@
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
 
             section = operator.distribution
-            return SubscribedDiscovery(config, section, self.roll, self.forget, self.desk)
+            return SubscribedDiscovery(config, section, self.roll, self.forget, self.decisions)
         return Inquiry(
-            self.roll, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
+            self.roll, self.forget, self.decisions, self.metrics, config.zones, config.kinds, config.seed
         )
 
     def parts(self) -> Parts:
@@ -130,9 +132,9 @@
             self.metrics,
             self.batches,
             self.roll,
-            self.desk,
-            self.intake,
-            self.courses,
+            self.decisions,
+            self.validator,
+            self.batch_tasks,
             self.dispatcher,
             self.inquiry,
         )
@@ -199,9 +201,11 @@
             await patiently(
                 lambda: loop.create_datagram_endpoint(lambda: Deaf(self.metrics), local_addr=address)
             )
-        self.desk.tell(it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told()))
+        self.decisions.add_event(
+            it.EngineListReceived(it.ListKind.CACHED, self.roll.serial, self.roll.told())
+        )
         raw = await patiently(lambda: listener(self.config.listen))
-        self.reception.listen(raw)
+        self.client_listener.listen(raw)
         start_times.reached("listening")
         further: dict = {}
         for side in self.sides:
@@ -212,8 +216,8 @@
 
             self.admin = Administration(self.operator.admin.socket, self.questions())
             await self.admin.listen()
-        self.reception.ready = lambda: not self.stop.is_set()
-        works = self.inquiry.run(), self.pulse.run(), self.housekeeping(), self.renewing()
+        self.client_listener.ready = lambda: not self.stop.is_set()
+        works = self.inquiry.run(), self.loop_lag.run(), self.housekeeping(), self.renewing()
         self.tasks = [loop.create_task(work) for work in works]
         self.log(
             "ready",
@@ -243,15 +247,15 @@
         longest = max(query_class.time_limit for query_class in self.config.settings.tariffs)
         stop_at = clock.now() + min(longest, LONGEST_LIMIT) + LAST_ANSWER
         self.log("stopping", open=len(self.batches.by_number))
-        self.intake.stop_at = stop_at
+        self.validator.stop_at = stop_at
         for side in self.sides:
             side.stopping()
-        self.courses.stop(stop_at)
+        self.batch_tasks.stop(stop_at)
         await asyncio.sleep(STILL_COMING)
-        while self.courses.tasks and clock.now() < stop_at + LAST_BYTES:
-            await asyncio.wait(self.courses.tasks, timeout=stop_at + LAST_BYTES - clock.now())
+        while self.batch_tasks.tasks and clock.now() < stop_at + LAST_BYTES:
+            await asyncio.wait(self.batch_tasks.tasks, timeout=stop_at + LAST_BYTES - clock.now())
         # The last answers may still lie in the connections' buffers.
-        await self.reception.finish(LAST_BYTES)
+        await self.client_listener.finish(LAST_BYTES)
         for side in self.sides:
             await side.close(LAST_BYTES)
         if self.admin:
@@ -320,19 +324,19 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING)
             self.links.sweep()
-            self.reception.sweep()
+            self.client_listener.sweep()
             if clock.now() >= due and self.metrics.counts != written:
                 written = self.metrics.counts.copy()
                 self.log(
                     "counts",
                     links=self.links.count,
                     counts=written,
-                    turns=self.desk.turns,
-                    deciding=round(self.desk.spent, 3),
+                    turns=self.decisions.turns,
+                    deciding=round(self.decisions.spent, 3),
                     cpu=round(process_time(), 3),
-                    lag=round(self.pulse.worst, 4),
+                    lag=round(self.loop_lag.worst, 4),
                 )
-                due, self.pulse.worst = clock.now() + COUNTS_EVERY, 0.0
+                due, self.loop_lag.worst = clock.now() + COUNTS_EVERY, 0.0
 
 
 async def serve(
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from thistlelever.carrier.recollection import Recollection
+from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.operator import Operator, State
@@ -89,7 +89,7 @@
             self.use()
         self.serial, self.written_at = parts.roll.serial, 0.0
         self.tasks: list[asyncio.Task] = []
-        parts.courses.memory = Recollection(
+        parts.batch_tasks.remembered = RememberedOutcomes(
             parts.config.settings, parts.roll, parts.metrics, self.remember, self.find
         )
 
@@ -145,7 +145,7 @@
             took,
             extra,
         )
-        self.parts.desk.tell(told)
+        self.parts.decisions.add_event(told)
 
     def remember(self, mark: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
         if what is None:
@@ -179,7 +179,9 @@
         """One round: all that are to be asked, side by side."""
 
         async def one(engine: bytes) -> None:
-            outcome, _ = await self.parts.dispatcher.speech(self.entries[engine]).probe(self.entries[engine])
+            outcome, _ = await self.parts.dispatcher.protocol(self.entries[engine]).probe(
+                self.entries[engine]
+            )
             self.judge.heard(engine, outcome is it.DispatchOutcome.RETURNED)
 
         asked = [asyncio.ensure_future(one(e)) for e in sorted(self.judge.ask - self.judge.answered.keys())]
@@ -193,7 +195,9 @@
         if self.judge.stage is not Stage.LISTED and not self.parts.roll.serial:
             self.use()
             roll = self.parts.roll
-            self.parts.desk.tell(it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told()))
+            self.parts.decisions.add_event(
+                it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told())
+            )
             self.parts.log("started by what was remembered", **self.judge.show())
 
     async def finding(self) -> None:
@@ -226,7 +230,7 @@
             for engine, entry in roll.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
                     keeper.put("listed", engine, record(entry, roll.serial, at))
-        learnt, at = self.parts.desk.front.learned_state(clock.now()), moment()
+        learnt, at = self.parts.decisions.front.learned_state(clock.now()), moment()
         for engine, bound, pace, started in learnt.engines:
             if engine in keeper.records["listed"]:
                 # A moment of the front's own clock means nothing to another life.
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -64,12 +64,12 @@
         )
         heirs = self.judge.heirs
         heirs.standing, heirs.alive, heirs.alone = self.standing, self.alive, self.alone
-        self.wards = parts.courses.wards = Wards(
+        self.wards = parts.batch_tasks.wards = Wards(
             self.judge,
             membership.peers,
             config.settings,
             parts.roll,
-            lambda entry: parts.dispatcher.speech(entry),
+            lambda entry: parts.dispatcher.protocol(entry),
             parts.metrics,
             parts.log,
         )
@@ -110,7 +110,7 @@
         self.judge.holder.failing = why
 
     def stopping(self) -> None:
-        at = clock.on_loop(self.parts.intake.stop_at) - HAND_OVER
+        at = clock.on_loop(self.parts.validator.stop_at) - HAND_OVER
         asyncio.get_running_loop().call_at(at, self.wards.hand_over)
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -41,8 +41,8 @@
     # rows, so that a count is its result.
     columns: bool = False
     update: bool = False
-    # The result that has begun to go on, of type `carrier.flow.Flow`.
-    flow: Any = None
+    # The result that has begun to go on, of type `carrier.result_stream.ResultStream`.
+    result_stream: Any = None
     # Where takeover is on: the batch's hold on itself, of type `carrier.wards.Guard`; and the ids at their
     # engines of dispatches that another front has begun.
     ward: Any = None
--- a/thistlelever/takeover/judge.py
+++ b/thistlelever/takeover/judge.py
@@ -42,8 +42,8 @@
 
 # A claim whose epoch was too low is put again with a higher one, so often.
 MOST_TRIES = 4
-# A batch may wait for so many time limits of its group at most (`carrier.intake`), and its record lives as
-# long.
+# A batch may wait for so many time limits of its group at most (`carrier.validation`), and its record lives
+# as long.
 MOST_LIMITS = 2
 # What nobody waits for is sent again for so long.
 UNWAITED = 0.5
