--- a/rigs/loop_lag.py
+++ b/rigs/loop_lag.py
@@ -15,8 +15,8 @@
         super().__init__()
         self.kept = []
 
-    def felt(self, late):
-        super().felt(late)
+    def record(self, late):
+        super().record(late)
         if late >= KEPT_FROM_S:
             self.kept.append((monotonic(), late))
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -65,7 +65,7 @@
     def __init__(self):
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.office, self.running = json.loads(json.dumps(SETTINGS)), None, None
-        self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.SLOWER
+        self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.BAD_LINE_DELAY_S
         # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
         self.sections = {}
         self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
@@ -254,7 +254,7 @@
 
     async def do_lags(self, seconds):
         """As if the loop had just come so late; remembered for as long as the scenario lasts."""
-        self.office.loop_lag.felt = lambda late: None
+        self.office.loop_lag.record = lambda late: None
         self.office.loop_lag.lag = float(seconds)
 
     async def do_up(self, name):
@@ -335,7 +335,7 @@
         assert not [name for name in self.office.metrics.counts if name.startswith("broken")]
 
     async def end(self):
-        clients.SLOWER = self.was_slower
+        clients.BAD_LINE_DELAY_S = self.was_slower
         for call in self.calls.values():
             call.cancel()
         if self.calls:
@@ -408,7 +408,7 @@
 
     async def do_paced(self, seconds):
         """After a line out of form the next is taken so much later."""
-        self.was_slower, clients.SLOWER = clients.SLOWER, float(seconds)
+        self.was_slower, clients.BAD_LINE_DELAY_S = clients.BAD_LINE_DELAY_S, float(seconds)
 
     async def do_echoes(self, name):
         """On a connection that carried a call before, each POST runs and is answered by what looks like the
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -119,11 +119,11 @@
         ended, asked = asyncio.Event(), asyncio.Event()
 
         class EngineProtocol:
-            async def run_dispatch(self, batch, entry, end, sent, till):
-                sent.begun = True
+            async def run_dispatch(self, batch, entry, end, progress, till):
+                progress.started = True
                 raise NoResultError(outcome)
 
-            async def wait_until_stopped(self, sent):
+            async def wait_until_stopped(self, progress):
                 asked.set()
                 await ended.wait()
 
@@ -144,17 +144,18 @@
 
 
 def test_an_engine_has_surely_ended_what_it_was_not_asked_for_in_its_time(monkeypatch):
-    monkeypatch.setattr(http_engines, "DROPPED_AFTER", 0.05)
+    monkeypatch.setattr(http_engines, "DROP_AFTER_S", 0.05)
 
     async def run():
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
         engines = HttpEngines(terms, None, None, None, Metrics())
         asked = clock.now()
-        await engines.wait_until_stopped(DispatchProgress(0, asked=asked))
+        await engines.wait_until_stopped(DispatchProgress(0, last_call_at=asked))
         assert clock.now() >= asked + 0.05
         # One that was seen to be dead is not waited for.
         await asyncio.wait_for(
-            engines.wait_until_stopped(DispatchProgress(0, asked=clock.now() + 60, dead=True)), 8
+            engines.wait_until_stopped(DispatchProgress(0, last_call_at=clock.now() + 60, engine_dead=True)),
+            8,
         )
 
     asyncio.run(run())
@@ -181,7 +182,7 @@
 
 def test_a_dispatch_called_off_before_its_first_step_has_an_end():
     # Risk: a loop that is held up orders a dispatch and calls it off in one turn; its task never runs, and
-    # the batch stays open for good (`Dispatcher.finished`).
+    # the batch stays open for good (`Dispatcher.on_task_done`).
     assert called_off_before_its_first_step(asyncio.Task.cancel) is it.DispatchOutcome.UNSENT
 
 
@@ -190,14 +191,14 @@
 
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
-    # Risk: the sockets are read before the beat that tells of the stop (`LoopLagMonitor.behind`).
+    # Risk: the sockets are read before the beat that tells of the stop (`LoopLagMonitor.current`).
     settings = front_config.read(configuration(), {}).settings
     loop_lag = LoopLagMonitor()
     validator = RequestValidator(settings, loop_lag, Batches())
     fields = {"id": "00000000000000aa", "wait": 1500, "tenant": "acme", "cost": 50.0}
-    assert validator.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
+    assert validator.make_batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit == 1.5
     loop_lag.due = clock.now() - 3.0
-    assert validator.batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit < 0
+    assert validator.make_batch("lookup", fields, b"select a from sales_17.orders").taken.time_limit < 0
 
 
 @asynccontextmanager
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -12,7 +12,7 @@
 from thistlelever.carrier.batch_tasks import CLIENT_LEFT, OVERDUE, BatchTasks
 from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.dispatch import End, DispatchProgress
-from thistlelever.carrier.http_engines import RETRY_PACE, HttpEngines
+from thistlelever.carrier.http_engines import RETRY_DELAY_S, HttpEngines
 from thistlelever.ground import clock
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import REST, Links, Unreached
@@ -115,8 +115,8 @@
         links = SimpleNamespace(take=take)
         engines = HttpEngines(terms, None, links, None, Metrics())
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(4 * RETRY_PACE):
-                await engines.ask("/fetch/1/", 0, "entry", End(0, b"a"), DispatchProgress(0), None)
+            async with asyncio.timeout(4 * RETRY_DELAY_S):
+                await engines.poll("/fetch/1/", 0, "entry", End(0, b"a"), DispatchProgress(0), None)
 
     asyncio.run(run())
     assert 1 <= len(tries) <= 5
@@ -162,7 +162,9 @@
         engines = HttpEngines(terms, roll, links, None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         entry = SimpleNamespace(address=("127.0.0.1", 1), engine=SimpleNamespace(id=b"a"))
-        await engines.cancel_dispatch(batch, entry, DispatchProgress(0, begun=True, asked=clock.now()))
+        await engines.cancel_dispatch(
+            batch, entry, DispatchProgress(0, started=True, last_call_at=clock.now())
+        )
 
     asyncio.run(run())
     assert calls == [b"DELETE"] and len(tries) == 3
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -9,9 +9,9 @@
 from thistlelever.carrier import clients
 
 # What a client may send behind a request, for which the front ends the connection.
-BAD_LINES = b"no json\n" * clients.MOST_BAD
-LONG_LINE = b"x" * (clients.LONGEST_LINE + 100_000)
-FLOOD = b"no json\n" + b"x" * 100 + b"\n" + b"{}\n" * clients.READ_AHEAD
+BAD_LINES = b"no json\n" * clients.MAX_BAD_LINES
+LONG_LINE = b"x" * (clients.MAX_LINE_BYTES + 100_000)
+FLOOD = b"no json\n" + b"x" * 100 + b"\n" + b"{}\n" * clients.READ_AHEAD_BYTES
 
 
 @asynccontextmanager
@@ -30,7 +30,7 @@
 def test_what_is_open_is_answered_before_a_connection_ends_for_what_came_behind_it(
     behind, parts, monkeypatch
 ):
-    monkeypatch.setattr(clients, "SLOWER", 0.001)
+    monkeypatch.setattr(clients, "BAD_LINE_DELAY_S", 0.001)
 
     async def whole():
         async with held(*range(1, parts + 1)) as stage:
@@ -77,11 +77,11 @@
     async def whole():
         async with served("engine a\nfront") as stage:
             await stage.do_holds("a")
-            for number in range(1, clients.MOST_OPEN + 2):
+            for number in range(1, clients.MAX_OPEN_REQUESTS + 2):
                 stage.writer.write(stage.submission(number, "lookup"))
-            await stage.do_answer(str(clients.MOST_OPEN + 1), "error", "-32600", "open requests")
+            await stage.do_answer(str(clients.MAX_OPEN_REQUESTS + 1), "error", "-32600", "open requests")
             stage.engines["a"].released.set()
-            for number in range(1, clients.MOST_OPEN + 1):
+            for number in range(1, clients.MAX_OPEN_REQUESTS + 1):
                 await stage.do_answer(str(number), "result", "rows")
 
     asyncio.run(whole())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -439,7 +439,7 @@
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
-    told = memory.enter(batch)
+    told = memory.look_up(batch)
     assert (told and type(told)) == answer and batch.taken.running_on == out
     if out:
         assert batch.name(0) == Name("a" * 16, 2) and batch.taken.running_for == ran
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -199,7 +199,7 @@
 async def test_sigterm_right_behind_accepts_with_requests_in_the_sockets(stage, monkeypatch):
     """More connections than are taken in one turn of the loop, none of them seen before the signal."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
-    socks = [connect(stage, stage.submission(100 + n, "lookup")) for n in range(clients.TAKEN_A_TURN + 8)]
+    socks = [connect(stage, stage.submission(100 + n, "lookup")) for n in range(clients.ACCEPTS_PER_TURN + 8)]
     os.kill(os.getpid(), signal.SIGTERM)
     assert all("result" in (answer or ()) for answer in await asyncio.gather(*map(answer_on, socks)))
     await stage.do_stopped()
@@ -236,7 +236,7 @@
 
 @moment("engine a\nfront")
 async def test_half_a_line_does_not_hold_up_the_end_for_good(stage, monkeypatch):
-    monkeypatch.setattr(clients, "SILENT", 60.0)
+    monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 60.0)
     stage.writer.write(b'{"jsonrpc":"2.0",')
     begun = asyncio.get_running_loop().time()
     await play(stage, "sigterm\nhung_up_in_order\nstopped")
@@ -271,7 +271,7 @@
 @moment("engine a\nfront\nsubmit 1 lookup\nanswer 1 result rows")
 async def test_a_request_in_pieces_on_a_connection_that_rested(stage, monkeypatch):
     """Risk: what rested longer than half a line may take is closed over the half line of its next request."""
-    monkeypatch.setattr(clients, "SILENT", 0.3)
+    monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.3)
     await asyncio.sleep(0.4)
     line = stage.submission(2, "lookup")
     stage.writer.write(line[:40])
@@ -285,7 +285,7 @@
 @moment("engine a\nfront\nsubmit 1 lookup\nanswer 1 result rows\nplaces 1")
 async def test_a_rested_connection_with_a_request_on_its_way_makes_no_place(stage, monkeypatch):
     """Risk: who comes new gets the place of one whose request lies in its socket."""
-    monkeypatch.setattr(clients, "SILENT", 0.1)
+    monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.1)
     await asyncio.sleep(0.2)
     line = stage.submission(2, "lookup")
     stage.writer.write(line[:40])
@@ -299,7 +299,7 @@
 
 @moment("engine a\nfront\nsubmit 1 lookup\nanswer 1 result rows")
 async def test_half_a_line_that_never_ends_is_closed_in_time(stage, monkeypatch):
-    monkeypatch.setattr(clients, "SILENT", 0.2)
+    monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.2)
     stage.writer.write(b'{"jsonrpc":"2.0",')
     await asyncio.sleep(0.3)
     stage.office.client_listener.sweep()
--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -23,11 +23,11 @@
     from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
     from thistlelever.carrier.wards import Wards
 
-# What a batch's task is told beside the actions and the ends of its dispatches.
+# What a batch's task is message beside the actions and the ends of its dispatches.
 CLIENT_LEFT, OVERDUE = "left", "overdue"
 # A batch that the decisions left without an answer is answered this long after its time limit: they
 # answer at the limit itself, and an answer counts for 70 ms more.
-BACKSTOP = 0.025
+BACKSTOP_DELAY_S = 0.025
 
 # How a door gives a batch's one final answer: called once, with the result, with one that has begun to come
 # and goes on from there, or with why there is none.
@@ -52,15 +52,15 @@
 
     def start(self, batch: Batch, answer: Answer) -> None:
         self.batches.add(batch)
-        task = asyncio.get_running_loop().create_task(self.guarded(batch, answer))
+        task = asyncio.get_running_loop().create_task(self.run_guarded(batch, answer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def guarded(self, batch: Batch, answer: Answer) -> None:
+    async def run_guarded(self, batch: Batch, answer: Answer) -> None:
         """The life, with an answer even where this code fails."""
-        self.watch(batch)
+        self.arm_backstop(batch)
         try:
-            await self.life(batch, answer)
+            await self.run(batch, answer)
         except Exception as why:
             self.metrics.add("course failed")
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
@@ -69,7 +69,7 @@
                 end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
                 self.decisions.add_event(end.event(batch.number, complete=True))
             if not batch.answered:
-                self.final(batch, answer, it.Error(batch.number))
+                self.send_answer(batch, answer, it.Error(batch.number))
                 self.decisions.add_event(it.ClientLeft(batch.number))
         finally:
             if self.gate:
@@ -79,10 +79,10 @@
             batch.backstop.cancel()
             self.batches.drop(batch)
 
-    def watch(self, batch: Batch) -> None:
+    def arm_backstop(self, batch: Batch) -> None:
         if batch.backstop:
             batch.backstop.cancel()
-        overdue_at = clock.on_loop(batch.limit_at) + BACKSTOP
+        overdue_at = clock.on_loop(batch.limit_at) + BACKSTOP_DELAY_S
         loop = asyncio.get_running_loop()
         batch.backstop = loop.call_at(overdue_at, batch.inbox.put_nowait, OVERDUE)
 
@@ -91,7 +91,7 @@
         for batch in self.batches.by_number.values():
             if batch.limit_at > at:
                 batch.limit_at = at
-                self.watch(batch)
+                self.arm_backstop(batch)
                 # Risk: one that has struck can't be moved, and its refusal would end the stop halfway.
                 for limit in (limit for limit in batch.limits.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
@@ -99,148 +99,150 @@
         if self.gate:
             self.gate.shut_down(at)
 
-    async def life(self, batch: Batch, answer: Answer) -> None:
-        if self.wards and not await self.led(batch, answer):
+    async def run(self, batch: Batch, answer: Answer) -> None:
+        if self.wards and not await self.claim(batch, answer):
             return
-        if self.remembered and (told := self.remembered.enter(batch)):
-            self.final(batch, answer, told)
+        if self.remembered and (message := self.remembered.look_up(batch)):
+            self.send_answer(batch, answer, message)
             return
-        if self.gate and not await self.admitted(batch, answer):
+        if self.gate and not await self.wait_for_admission(batch, answer):
             return
         self.decisions.add_event(batch.taken)
         while batch.out or not batch.answered:
-            told = await batch.inbox.get()
-            match told:
+            message = await batch.inbox.get()
+            match message:
                 case it.Terms():
-                    batch.grant, before, batch.priority = told.grant, batch.priority, told.priority
-                    if before not in (None, told.priority):
+                    batch.grant, before, batch.priority = message.grant, batch.priority, message.priority
+                    if before not in (None, message.priority):
                         self.dispatcher.reprioritise(batch)
                 case it.Dispatch():
                     number, batch.dispatches = batch.dispatches, batch.dispatches + 1
                     if self.remembered:
-                        self.remembered.goes_out(batch, number, told.engine)
-                    batch.out[number] = self.dispatcher.start(batch, number, told)
+                        self.remembered.record_dispatch(batch, number, message.engine)
+                    batch.out[number] = self.dispatcher.start(batch, number, message)
                     if self.gate:
                         self.gate.dispatch_started(batch)
                 case it.Cancel():
-                    task = batch.out.get(told.number)
+                    task = batch.out.get(message.number)
                     if task and not task.cancelling():
                         task.cancel()
                 # Risk: two dispatches' rows in one result. Only the first to ask passes on, and only while no
                 # answer was given; from then on the answer is begun, whatever becomes of the rest.
-                case Begun() if not batch.answered and told.result_stream.sound():
-                    batch.result_stream = told.result_stream
-                    self.unbind(batch, told.number)
-                    self.final(batch, answer, told)
+                case Begun() if not batch.answered and message.result_stream.is_usable():
+                    batch.result_stream = message.result_stream
+                    self.extend_limit(batch, message.number)
+                    self.send_answer(batch, answer, message)
                     self.decisions.add_event(
-                        it.ResponseStarted(batch.number, told.number, batch.engines[told.number])
+                        it.ResponseStarted(batch.number, message.number, batch.engines[message.number])
                     )
                 case Begun():
-                    told.result_stream.leave()
+                    message.result_stream.close_reader()
                 case End():
-                    del batch.out[told.number]
-                    batch.true_work += told.true_work
+                    del batch.out[message.number]
+                    batch.true_work += message.true_work
                     if batch.ward:
-                        batch.ward.came_back(told)
+                        batch.ward.came_back(message)
                     if self.remembered:
-                        self.remembered.came_back(batch, told)
-                    if told.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
-                        await self.settle(batch, answer, told)
-                    self.decisions.add_event(told.event(batch.number, batch.answered))
+                        self.remembered.record_end(batch, message)
+                    if message.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
+                        await self.send_if_owned(batch, answer, message)
+                    self.decisions.add_event(message.event(batch.number, batch.answered))
                 # Risk: orders cross a client that has left, or the backstop; neither owes another answer.
                 case it.PushBack() | it.Error() if not batch.answered:
-                    await self.settle(batch, answer, told)
+                    await self.send_if_owned(batch, answer, message)
                 case TakenOver() if not batch.answered:
-                    self.final(batch, answer, it.Error(batch.number))
+                    self.send_answer(batch, answer, it.Error(batch.number))
                     self.decisions.add_event(it.ClientLeft(batch.number))
                 case Preempt() if not batch.answered:
-                    await self.settle(batch, answer, self.gate.preemption_answer(batch, told))
+                    await self.send_if_owned(batch, answer, self.gate.preemption_answer(batch, message))
                     self.decisions.add_event(it.ClientLeft(batch.number))
                 case Preempt():
                     self.gate.preempted_too_late(batch)
-                case _ if told is CLIENT_LEFT and not batch.answered:
+                case _ if message is CLIENT_LEFT and not batch.answered:
                     batch.answered = True
                     self.decisions.add_event(it.ClientLeft(batch.number))
                 case _ if (
-                    told is CLIENT_LEFT and batch.result_stream and batch.result_stream.number in batch.out
+                    message is CLIENT_LEFT and batch.result_stream and batch.result_stream.number in batch.out
                 ):
-                    batch.result_stream.leave()
+                    batch.result_stream.close_reader()
                     batch.out[batch.result_stream.number].cancel()
-                case _ if told is OVERDUE and not batch.answered:
+                case _ if message is OVERDUE and not batch.answered:
                     self.metrics.add("left without an answer at the limit")
-                    self.final(batch, answer, it.Error(batch.number))
+                    self.send_answer(batch, answer, it.Error(batch.number))
                     self.decisions.add_event(it.ClientLeft(batch.number))
 
-    async def led(self, batch: Batch, answer: Answer) -> bool:
+    async def claim(self, batch: Batch, answer: Answer) -> bool:
         """Find out whose the batch is before anything is done for it; whether it is this front's to go on
         with, and its client still there."""
         if not batch.asked.reference:
             self.wards.enter_lazy(batch)
             return True
         loop = asyncio.get_running_loop()
-        leading, hearing = loop.create_task(self.wards.enter(batch)), loop.create_task(batch.inbox.get())
-        await asyncio.wait((leading, hearing), return_when=asyncio.FIRST_COMPLETED)
-        if hearing.done() and not leading.done():
-            leading.cancel()
+        claiming, receiving = loop.create_task(self.wards.enter(batch)), loop.create_task(batch.inbox.get())
+        await asyncio.wait((claiming, receiving), return_when=asyncio.FIRST_COMPLETED)
+        if receiving.done() and not claiming.done():
+            claiming.cancel()
             with suppress(asyncio.CancelledError):
-                await leading
-            told = hearing.result()
-            if told is CLIENT_LEFT:
+                await claiming
+            message = receiving.result()
+            if message is CLIENT_LEFT:
                 batch.answered = True
-            elif told is OVERDUE:
+            elif message is OVERDUE:
                 # Nothing of it was sent from here. One that has come before may be another front's by now,
                 # and what becomes of it there is not known here.
-                again = it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
-                self.final(batch, answer, again)
+                answer_early = (
+                    it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
+                )
+                self.send_answer(batch, answer, answer_early)
             return False
-        hearing.cancel()
-        if hearing.done():
-            batch.inbox.put_nowait(hearing.result())
-        told = leading.result()
-        if told:
-            self.final(batch, answer, told)
+        receiving.cancel()
+        if receiving.done():
+            batch.inbox.put_nowait(receiving.result())
+        message = claiming.result()
+        if message:
+            self.send_answer(batch, answer, message)
             return False
         # What looking for it took is time that the batch no longer has.
         batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
         return True
 
-    async def settle(self, batch: Batch, answer: Answer, told: it.Action | End) -> None:
+    async def send_if_owned(self, batch: Batch, answer: Answer, message: it.Action | End) -> None:
         """The final answer, once it is sure that the batch still is this front's to answer."""
         if batch.ward:
-            told = await batch.ward.settled(told)
-        self.final(batch, answer, told)
+            message = await batch.ward.settled(message)
+        self.send_answer(batch, answer, message)
 
-    async def admitted(self, batch: Batch, answer: Answer) -> bool:
+    async def wait_for_admission(self, batch: Batch, answer: Answer) -> bool:
         """Wait for the budgets' turn; whether it came before the client left or the time was up."""
         self.gate.submit(batch)
         while True:
-            told = await batch.inbox.get()
-            match told:
+            message = await batch.inbox.get()
+            match message:
                 case Release():
                     batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
                     return True
                 case Refuse():
-                    self.final(batch, answer, it.PushBack(batch.number, told.after))
+                    self.send_answer(batch, answer, it.PushBack(batch.number, message.after))
                     return False
-                case _ if told is CLIENT_LEFT:
+                case _ if message is CLIENT_LEFT:
                     batch.answered = True
                     self.gate.client_left(batch)
                     return False
-                case _ if told is OVERDUE:
-                    # Nothing was ever sent, so that trying again is harmless.
+                case _ if message is OVERDUE:
+                    # Nothing was ever sent, so that trying answer_early is harmless.
                     self.metrics.add("held past the limit")
-                    self.final(batch, answer, it.PushBack(batch.number, 0.0))
+                    self.send_answer(batch, answer, it.PushBack(batch.number, 0.0))
                     self.gate.client_left(batch)
                     return False
 
-    def unbind(self, batch: Batch, number: int) -> None:
+    def extend_limit(self, batch: Batch, number: int) -> None:
         """A result that goes on has until the client's own limit, not just while another dispatch could still
         meet the goal: there will be no other."""
         limit = batch.limits.get(number)
         if limit and not limit.expired():
             limit.reschedule(clock.on_loop(batch.limit_at))
 
-    def final(self, batch: Batch, answer: Answer, told: it.Action | End | Begun) -> None:
+    def send_answer(self, batch: Batch, answer: Answer, message: it.Action | End | Begun) -> None:
         if self.metrics.check_invariant(not batch.answered, "one final answer"):
             batch.answered = True
-            answer(told)
+            answer(message)
--- a/thistlelever/carrier/decision_loop.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -20,26 +20,26 @@
 
     def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
         self.front, self.batches, self.metrics, self.log = front, batches, metrics, log
-        self.tick, self.rest_till = tick, 0.0
+        self.tick, self.next_turn_at = tick, 0.0
         self.events: list[it.Event] = []
-        self.turns, self.spent = 0, 0.0
+        self.turns, self.busy_seconds = 0, 0.0
         self.on_probe: Callable[[it.Probe], None] = lambda action: None
         self.on_ask_list: Callable[[], None] = lambda: None
 
     def add_event(self, event: it.Event) -> None:
         if not self.events:
             loop = asyncio.get_running_loop()
-            if loop.time() >= self.rest_till:
-                loop.call_soon(self.turn)
+            if loop.time() >= self.next_turn_at:
+                loop.call_soon(self.run_turn)
             else:
-                loop.call_at(self.rest_till, self.turn)
+                loop.call_at(self.next_turn_at, self.run_turn)
         self.events.append(event)
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """Tell what has come. The next turn is a tick away at least, as on the bench, and as long as this
-        one took: in a flood the decisions must leave half of the core to reading and answering."""
+        one elapsed: in a flood the decisions must leave half of the core to reading and answering."""
         events, self.events = self.events, []
-        begun = perf_counter()
+        started = perf_counter()
         try:
             actions = self.front.handle(clock.now(), events)
         except Exception as why:
@@ -50,13 +50,13 @@
                 raise
             return
         for action in actions:
-            self.carry(action)
-        took = perf_counter() - begun
+            self.execute(action)
+        elapsed = perf_counter() - started
         self.turns += 1
-        self.spent += took
-        self.rest_till = asyncio.get_running_loop().time() + max(self.tick - took, took)
+        self.busy_seconds += elapsed
+        self.next_turn_at = asyncio.get_running_loop().time() + max(self.tick - elapsed, elapsed)
 
-    def carry(self, action: it.Action) -> None:
+    def execute(self, action: it.Action) -> None:
         kind = type(action)
         if kind is it.Timer:
             loop = asyncio.get_running_loop()
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -42,7 +42,7 @@
     true_memory: float = 0.0
     report: tuple[float, ...] = ()
     pages: list[bytes] = field(default_factory=list)
-    parcels: list[bytes] | None = None
+    flight_messages: list[bytes] | None = None
     # Rows that an update has changed, where its engine says so.
     changed: int = -1
     # Where the result went on before it was whole.
@@ -69,16 +69,16 @@
     number: int
     # Whether it still may begin: asked right before the first byte of each call that may make an engine run
     # it, as a connection takes its time to come up and much may have changed meanwhile.
-    may_begin: Callable[[], bool] = lambda: True
-    begun: bool = False
+    may_start: Callable[[], bool] = lambda: True
+    started: bool = False
     # When the decisions ordered it.
-    ordered: float = 0.0
+    ordered_at: float = 0.0
     # When the engine was last asked for the batch; whether it has ever said that it knows it.
-    asked: float = 0.0
-    heard: bool = False
+    last_call_at: float = 0.0
+    acknowledged: bool = False
     # Whether its engine was seen to be dead.
-    dead: bool = False
-    doubts: int = 0
+    engine_dead: bool = False
+    suspect_replies: int = 0
     posts: int = 0
     pages: int = 0
 
@@ -87,13 +87,15 @@
     """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `cancel_dispatch`."""
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `sent.begun` holds
+        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `progress.started` holds
         from the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
         run."""
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+    ) -> None:
         """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `run_dispatch`,
         and nothing is begun. `ASTRAY` where the engine does not know of it."""
 
@@ -104,13 +106,13 @@
     async def cancel_by_name(self, entry: Entry, name: Name) -> None:
         """Give up a batch that another front had out."""
 
-    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
         """Returns once the engine surely runs the batch no more, or can't be told so."""
 
-    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
         """Returns once the engine surely runs the batch no more, though nobody may tell it to give it up."""
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
         """The batch's new priority, for that dispatch. A call whose loss costs little: it is made once, and
         a failure is counted."""
 
@@ -130,11 +132,11 @@
         metrics: Metrics,
         log: Log,
     ) -> None:
-        self.cancels, self.copies = settings.cancel, settings.copies
+        self.allows_cancel, self.allows_copies = settings.cancel, settings.copies
         # What an entry's engine speaks.
         self.protocol = protocol
         self.roll, self.decisions, self.metrics, self.log = roll, decisions, metrics, log
-        self.asides: set[asyncio.Task] = set()
+        self.background: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
         batch.engines[number] = order.engine
@@ -142,27 +144,27 @@
         # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
         end = End(number, order.engine, it.DispatchOutcome.UNSENT)
         task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
-        task.add_done_callback(lambda task: self.finished(batch, end))
+        task.add_done_callback(lambda task: self.on_task_done(batch, end))
         return task
 
-    def finished(self, batch: Batch, end: End) -> None:
+    def on_task_done(self, batch: Batch, end: End) -> None:
         """The one place where a dispatch's end is told, however its task ended."""
         self.roll.end(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
-    def may_begin(self, batch: Batch, order: it.Dispatch) -> bool:
-        """Whether something of a dispatch may still be sent. Risk: its client has left, its engine drains
+    def may_start(self, batch: Batch, order: it.Dispatch) -> bool:
+        """Whether something of a dispatch may still be progress. Risk: its client has left, its engine drains
         (which counts from the first byte), or its repeats are no longer dropped, and it goes out all the
         same."""
-        why = self.withheld(batch, order)
+        why = self.refusal(batch, order)
         if not why:
             return True
         self.metrics.add(f"dispatches withheld: {why}")
         self.log("dispatch withheld", id=batch.asked.txn, engine=order.engine.decode("latin-1"), why=why)
         return False
 
-    def withheld(self, batch: Batch, order: it.Dispatch) -> str:
+    def refusal(self, batch: Batch, order: it.Dispatch) -> str:
         """Why nothing of a dispatch may be sent any more; empty where it may."""
         if batch.answered:
             return "answered or left"
@@ -178,17 +180,17 @@
         """One dispatch from its first byte to its end."""
         begun, number = clock.now(), end.number
         till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
-        sent = DispatchProgress(number, lambda: self.may_begin(batch, order), ordered=begun)
+        progress = DispatchProgress(number, lambda: self.may_start(batch, order), ordered_at=begun)
         try:
             entry = self.roll.entries.get(order.engine)
             if batch.answered or till <= begun or entry is None:
-                end.outcome = self.unsent(batch, number)
+                end.outcome = self.never_sent(batch, number)
             else:
                 async with asyncio.timeout_at(clock.on_loop(till)) as batch.limits[number]:
-                    await self.sending(batch, entry, end, sent, till)
+                    await self.run_protocol(batch, entry, end, progress, till)
         except TimeoutError:
             # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
-            end.outcome = it.DispatchOutcome.TIMED_OUT if sent.begun else it.DispatchOutcome.UNSENT
+            end.outcome = it.DispatchOutcome.TIMED_OUT if progress.started else it.DispatchOutcome.UNSENT
         except (asyncio.CancelledError, ReaderLeftError):
             end.outcome = it.DispatchOutcome.CANCELLED
         except NoResultError as why:
@@ -198,26 +200,26 @@
             self.log("dispatch failed", why=repr(why), trace=traceback.format_exc())
             end.outcome = it.DispatchOutcome.ERRORED
         end.took = clock.now() - begun
-        self.report(batch, end, sent)
+        self.log_failure(batch, end, progress)
         if end.result_stream:
             end.result_stream.end(end.outcome)
         batch.limits.pop(number, None)
-        if sent.begun and end.outcome in MAY_RUN_ON:
+        if progress.started and end.outcome in MAY_RUN_ON:
             another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
             left = max(batch.limit_at - clock.now(), 0.0)
             # Risk: an end that a second order to give up swallows leaves the batch open for good.
             with suppress(asyncio.CancelledError, TimeoutError):
-                if self.cancels:
+                if self.allows_cancel:
                     # Risk: a further dispatch that comes before the DELETE makes two out at once.
-                    given_up = self.aside(self.cancel_dispatch(batch, entry, sent))
+                    cancelling = self.run_in_background(self.cancel_dispatch(batch, entry, progress))
                     if another:
-                        await asyncio.wait((given_up,), timeout=left)
-                elif another and not self.copies:
+                        await asyncio.wait((cancelling,), timeout=left)
+                elif another and not self.allows_copies:
                     # Risk: where nothing may be called off, a time-out told at once makes the next dispatch
                     # a second copy beside one that its engine runs on.
-                    await asyncio.wait_for(self.protocol(entry).wait_until_stopped(sent), left)
+                    await asyncio.wait_for(self.protocol(entry).wait_until_stopped(progress), left)
 
-    def report(self, batch: Batch, end: End, sent: DispatchProgress) -> None:
+    def log_failure(self, batch: Batch, end: End, progress: DispatchProgress) -> None:
         """Log a dispatch that ended without a result, unless its client has left."""
         if end.outcome in (it.DispatchOutcome.RETURNED, it.DispatchOutcome.CANCELLED):
             return
@@ -228,39 +230,39 @@
             engine=end.engine.decode("latin-1"),
             fate=end.outcome.name.lower(),
             took=round(end.took, 4),
-            sent=sent.posts,
+            sent=progress.posts,
         )
 
-    async def sending(
-        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+    async def run_protocol(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
         if batch.ward and not await batch.ward.out(end.number, end.engine):
-            raise NoResultError(self.unsent(batch, end.number))
+            raise NoResultError(self.never_sent(batch, end.number))
         if end.number in batch.under:
-            await self.protocol(entry).resume(batch, entry, end, sent, till)
+            await self.protocol(entry).resume(batch, entry, end, progress, till)
         else:
-            await self.protocol(entry).run_dispatch(batch, entry, end, sent, till)
+            await self.protocol(entry).run_dispatch(batch, entry, end, progress, till)
 
-    def unsent(self, batch: Batch, number: int) -> it.DispatchOutcome:
+    def never_sent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Risk: what another front has begun, told as never sent, is taken for what never ran."""
         return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
 
-    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
         if not batch.ward or await batch.ward.may_call_off():
-            await self.protocol(entry).cancel_dispatch(batch, entry, sent)
+            await self.protocol(entry).cancel_dispatch(batch, entry, progress)
 
     def reprioritise(self, batch: Batch) -> None:
         """The batch's priority also holds for what is out."""
         for number in batch.out:
             entry = self.roll.entries.get(batch.engines[number])
             if entry:
-                self.aside(self.protocol(entry).put(batch, entry, number))
+                self.run_in_background(self.protocol(entry).set_priority(batch, entry, number))
 
     def probe(self, action: it.Probe) -> None:
-        self.aside(self.probing(action.engine))
+        self.run_in_background(self.run_probe(action.engine))
 
-    async def probing(self, engine: it.EngineId) -> None:
+    async def run_probe(self, engine: it.EngineId) -> None:
         begun, outcome, report, entry = (
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
@@ -271,8 +273,8 @@
             outcome, report = await self.protocol(entry).probe(entry)
         self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
 
-    def aside(self, work: Coroutine) -> asyncio.Task:
+    def run_in_background(self, work: Coroutine) -> asyncio.Task:
         task = asyncio.get_running_loop().create_task(work)
-        self.asides.add(task)
-        task.add_done_callback(self.asides.discard)
+        self.background.add(task)
+        task.add_done_callback(self.background.discard)
         return task
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -2,7 +2,7 @@
 
 What no specification defines (reports, notes, priority, cancel, drop of repeats, 'never ran') is said in
 headers, metadata and actions as `docs/flight-engines.md` sets them down. Of a broken call only that is told
-as never run which an engine has said so, or whose connection was not up: a gRPC status alone proves nothing.
+as never run dispatch_headers an engine has said so, or whose connection was not up: a gRPC status alone proves nothing.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from thistlelever.wire.inflow import Purse, TooLong
 
 # Retries that gRPC makes of itself would be dispatches that nobody decided; keep-alives find a peer that has
-# vanished; windows that grow by measure would hold what a slow reader leaves.
-CHANNEL = (
+# vanished; windows that grow by measure would buffer what a slow reader leaves.
+CHANNEL_OPTIONS = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
     ("grpc.use_local_subchannel_pool", 1),
@@ -49,10 +49,10 @@
     ("grpc.enable_http_proxy", 0),
 )
 # Side calls (cancel, priority, load) are short; the cancel is repeated so long.
-WORD_WITHIN, DROPPED_AFTER, RETRY_PACE = 0.25, 2.0, 0.05
-MOST_ENDPOINTS = 64
+CALL_TIMEOUT_S, DROP_AFTER_S, RETRY_DELAY_S = 0.25, 2.0, 0.05
+MAX_ENDPOINTS = 64
 # Rows of text that fit the platform's own door take less than this as columns.
-MOST_FOR_ROWS = 4 * columns.LONGEST_TEXT
+MAX_BYTES_FOR_ROWS = 4 * columns.LONGEST_TEXT
 # What our own protocol calls its actions on engines.
 PRIORITY, STATS, CANCEL = "thistlelever.priority", "thistlelever.stats", "CancelFlightInfo"
 PROGRESS_KINDS = {
@@ -65,17 +65,17 @@
 Connectivity = grpc.ChannelConnectivity
 Metadata = tuple[tuple[str, str], ...]
 # Nothing is begun by such a call: the engine answers as to the one that began the dispatch, once it can.
-RESUMED: Metadata = (("x-resume", "1"),)
-NOTHING = pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=b"").SerializeToString()
-SAID = {StatusCode.DEADLINE_EXCEEDED: "running", StatusCode.NOT_FOUND: "unknown"}
+RESUME_HEADERS: Metadata = (("x-resume", "1"),)
+EMPTY_DESCRIPTOR = pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=b"").SerializeToString()
+BATCH_STATUS = {StatusCode.DEADLINE_EXCEEDED: "running", StatusCode.NOT_FOUND: "unknown"}
 REFUSED = frozenset((StatusCode.RESOURCE_EXHAUSTED, StatusCode.UNAVAILABLE))
 
 
-class Hold:
+class ResultBuffer:
     """The first messages of one result, while it could still come from another dispatch."""
 
-    def __init__(self, most: int, purse: Purse) -> None:
-        self.most, self.purse, self.size = most, purse, 0
+    def __init__(self, max_bytes: int, purse: Purse) -> None:
+        self.max_bytes, self.purse, self.size = max_bytes, purse, 0
         self.messages: list[bytes] = []
         self.schema = None
 
@@ -87,7 +87,7 @@
         except TooLong:
             return False
         self.size += len(raw)
-        return self.size <= self.most
+        return self.size <= self.max_bytes
 
     def release(self) -> None:
         self.purse.spend(-self.size)
@@ -103,78 +103,80 @@
         roll: Roll,
         decisions: DecisionLoop,
         metrics: Metrics,
-        held: int,
-        between: int,
+        buffer_limit: int,
+        stream_limit: int,
         purse: Purse,
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
         self.roll, self.decisions, self.metrics = roll, decisions, metrics
-        # What one result may hold before it begins to go on, and all of them together.
-        self.held, self.purse = held, purse
+        # What one result may buffer before it begins to go on, and all of them together.
+        self.buffer_limit, self.purse = buffer_limit, purse
         # What of a result that goes on may lie between its engine and its client.
-        self.between = between
+        self.stream_limit = stream_limit
         self.channels: dict[it.EngineId, aio.Channel] = {}
         self.closing: set[asyncio.Task] = set()
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
         try:
-            order = command(batch)
+            descriptor = batch_descriptor(batch)
         except UnicodeDecodeError:
             # A statement that this protocol can't carry; no engine that speaks it will do better.
             raise NoResultError(it.DispatchOutcome.ERRORED) from None
         channel = await self.channel(entry)
-        if not sent.may_begin():
+        if not progress.may_start():
             raise NoResultError(it.DispatchOutcome.UNSENT)
-        await self.fetch(channel, order, batch, entry, end, sent, till)
+        await self.fetch(channel, descriptor, batch, entry, end, progress, till)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+    ) -> None:
         if batch.update:
-            # Its count is in the one answer to its call, which went to another front.
+            # Its count is in the one answer to its call, dispatch_headers went to another front.
             raise NoResultError(it.DispatchOutcome.ASTRAY)
         try:
             channel = await self.channel(entry)
         except NoResultError:
             raise NoResultError(it.DispatchOutcome.RESET) from None
-        await self.fetch(channel, command(batch), batch, entry, end, sent, till, RESUMED)
+        await self.fetch(channel, batch_descriptor(batch), batch, entry, end, progress, till, RESUME_HEADERS)
 
     async def fetch(
         self,
         channel: aio.Channel,
-        order: bytes,
+        descriptor: bytes,
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: DispatchProgress,
+        progress: DispatchProgress,
         till: float,
         further: Metadata = (),
     ) -> None:
         """The calls of one dispatch."""
-        sent.begun, sent.asked = True, clock.now()
-        hold = Hold(self.held if batch.columns else MOST_FOR_ROWS, self.purse)
+        progress.started, progress.last_call_at = True, clock.now()
+        buffer = ResultBuffer(self.buffer_limit if batch.columns else MAX_BYTES_FOR_ROWS, self.purse)
         try:
             if batch.update:
-                await self.update(channel, order, batch, end, sent, till)
+                await self.update(channel, descriptor, batch, end, progress, till)
                 return
-            terms = self.terms(batch, end.number, till, further)
-            call = channel.unary_unary(SERVICE + "GetFlightInfo")(order, **terms)
+            options = self.call_options(batch, end.number, till, further)
+            call = channel.unary_unary(SERVICE + "GetFlightInfo")(descriptor, **options)
             info = read(pb.FlightInfo, await call)
-            sent.heard, sent.asked = True, clock.now()
-            self.figures(await call.trailing_metadata(), end)
-            if not 1 <= len(info.endpoint) <= MOST_ENDPOINTS:
+            progress.acknowledged, progress.last_call_at = True, clock.now()
+            self.read_trailer(await call.trailing_metadata(), end)
+            if not 1 <= len(info.endpoint) <= MAX_ENDPOINTS:
                 raise Unreadable(f"{len(info.endpoint)} endpoints")
             for endpoint in info.endpoint:
                 call = channel.unary_stream(SERVICE + "DoGet")(
-                    endpoint.ticket.SerializeToString(), **self.terms(batch, end.number, till)
+                    endpoint.ticket.SerializeToString(), **self.call_options(batch, end.number, till)
                 )
-                await self.stream(call, batch, end, hold)
-            self.whole(batch, end, hold)
+                await self.stream(call, batch, end, buffer)
+            self.finish_result(batch, end, buffer)
         except aio.AioRpcError as why:
-            self.figures(why.trailing_metadata(), end)
+            self.read_trailer(why.trailing_metadata(), end)
             if further and why.code() is StatusCode.NOT_FOUND:
                 raise NoResultError(it.DispatchOutcome.ASTRAY) from None
-            raise NoResultError(await self.outcome(why, entry, batch, sent)) from None
+            raise NoResultError(await self.outcome(why, entry, batch, progress)) from None
         except aio.UsageError:
             # Its channel was let go between two calls, as its engine is gone or its connection was lost.
             raise NoResultError(it.DispatchOutcome.RESET) from None
@@ -182,66 +184,72 @@
             self.metrics.add("flight results without use")
             self.decisions.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
             # What we stop reading its engine may run on.
-            await self.cancel_dispatch(batch, entry, sent)
+            await self.cancel_dispatch(batch, entry, progress)
             end.outcome = it.DispatchOutcome.ERRORED
         finally:
-            hold.release()
+            buffer.release()
 
-    async def stream(self, call: aio.UnaryStreamCall, batch: Batch, end: End, hold: Hold) -> None:
+    async def stream(self, call: aio.UnaryStreamCall, batch: Batch, end: End, buffer: ResultBuffer) -> None:
         """Take one endpoint's messages: held while they are few, then handed on as they come."""
         first = True
         try:
             async for raw in call:
                 said = parcel(raw)
                 if not said.header:
-                    self.note(said.metadata, batch, end)
+                    self.handle_note(said.metadata, batch, end)
                     continue
                 if first:
                     first = False
                     schema = columns.schema_of(raw)
-                    if hold.schema is not None:
+                    if buffer.schema is not None:
                         # Of a further endpoint; the schema was passed on already, and must be the same.
-                        if not schema.equals(hold.schema):
+                        if not schema.equals(buffer.schema):
                             raise Unreadable("endpoints of different schemas")
                         continue
-                    hold.schema = schema
+                    buffer.schema = schema
                 if end.result_stream:
                     await end.result_stream.put(raw)
-                elif not hold.add(raw):
+                elif not buffer.add(raw):
                     if not batch.columns:
                         raise Unreadable("more than a client that takes rows can get")
-                    # Too large to hold: from here on no other dispatch can bring it.
-                    end.result_stream = ResultStream(end.number, hold.messages, self.between)
+                    # Too large to buffer: from here on no other dispatch can bring it.
+                    end.result_stream = ResultStream(end.number, buffer.messages, self.stream_limit)
                     batch.inbox.put_nowait(Begun(end.number, end.result_stream))
-                    hold.release()
+                    buffer.release()
             if first:
                 raise Unreadable("a stream without a schema")
-            self.figures(await call.trailing_metadata(), end)
+            self.read_trailer(await call.trailing_metadata(), end)
         finally:
             call.cancel()
 
-    def whole(self, batch: Batch, end: End, hold: Hold) -> None:
+    def finish_result(self, batch: Batch, end: End, buffer: ResultBuffer) -> None:
         """All is in. For a client of rows it becomes rows here, so that what does not fit is an error of this
         dispatch and not of the client's."""
         if batch.columns and not end.result_stream:
-            end.parcels = list(hold.messages)
+            end.flight_messages = list(buffer.messages)
         elif not batch.columns:
-            end.pages = [columns.to_rows(hold.messages)]
+            end.pages = [columns.to_rows(buffer.messages)]
         end.outcome = it.DispatchOutcome.RETURNED
 
     async def update(
-        self, channel: aio.Channel, order: bytes, batch: Batch, end: End, sent: DispatchProgress, till: float
+        self,
+        channel: aio.Channel,
+        descriptor: bytes,
+        batch: Batch,
+        end: End,
+        progress: DispatchProgress,
+        till: float,
     ) -> None:
-        call = channel.stream_stream(SERVICE + "DoPut")(**self.terms(batch, end.number, till))
+        call = channel.stream_stream(SERVICE + "DoPut")(**self.call_options(batch, end.number, till))
         try:
-            descriptor = read(pb.FlightDescriptor, order)
-            await call.write(pb.FlightData(flight_descriptor=descriptor).SerializeToString())
+            parsed = read(pb.FlightDescriptor, descriptor)
+            await call.write(pb.FlightData(flight_descriptor=parsed).SerializeToString())
             await call.done_writing()
             async for raw in call:
                 said = read(pb.PutResult, raw)
                 if said.app_metadata:
                     end.changed = read(sql.DoPutUpdateResult, said.app_metadata).record_count
-            self.figures(await call.trailing_metadata(), end)
+            self.read_trailer(await call.trailing_metadata(), end)
             end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
             # The call was over before all of it was written; its status says why.
@@ -252,7 +260,7 @@
             call.cancel()
 
     async def outcome(
-        self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: DispatchProgress
+        self, why: aio.AioRpcError, entry: Entry, batch: Batch, progress: DispatchProgress
     ) -> it.DispatchOutcome:
         """What a broken call means. Risk: UNAVAILABLE read as 'not sent' runs a batch twice: gRPC says it of
         a connection that broke with the batch at work, too."""
@@ -263,20 +271,28 @@
             return it.DispatchOutcome.TIMED_OUT
         if why.code() not in BROKEN:
             # Risk: a status that this side made (a message too large) leaves the engine at work.
-            await self.cancel_dispatch(batch, entry, sent)
+            await self.cancel_dispatch(batch, entry, progress)
             return it.DispatchOutcome.ERRORED
         # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
         # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
-        name = batch.name(sent.number)
-        if not sent.heard and await self.cancel(entry, name, command(batch)) is StatusCode.NOT_FOUND:
+        name = batch.name(progress.number)
+        if (
+            not progress.acknowledged
+            and await self.send_cancel(entry, name, batch_descriptor(batch)) is StatusCode.NOT_FOUND
+        ):
             return it.DispatchOutcome.ASTRAY
         return it.DispatchOutcome.RESET
 
-    def terms(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
+    def call_options(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
         """A call's time limit and headers. The call may last as long as the client waits, as a result that
         has begun to go on does; the dispatch's own end, when it comes sooner, is told to the engine."""
         asked, left = batch.asked, max(ceil((till - clock.now()) * 1e3), 1)
-        fields = [*which(batch.name(number)), *further, ("x-lane", batch.lane), ("x-limit-ms", str(left))]
+        fields = [
+            *dispatch_headers(batch.name(number)),
+            *further,
+            ("x-lane", batch.lane),
+            ("x-limit-ms", str(left)),
+        ]
         if asked.reference:
             fields.append(("x-dedupe", asked.reference))
         if batch.grant >= 1:
@@ -285,14 +301,14 @@
             fields.append(("pool-rank", str(batch.priority)))
         return {"timeout": max(batch.limit_at - clock.now(), 0.001), "metadata": tuple(fields)}
 
-    def figures(self, metadata, end: End) -> None:
+    def read_trailer(self, metadata, end: End) -> None:
         """Report, work and memory, where the call's trailer has them."""
         said = {key: value for key, value in metadata or () if isinstance(value, str)}
         end.report = gauges(said.get("x-gauges", ""), self.fields) or end.report
         end.true_work = (counted(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
         end.true_memory = counted(said.get("high-water", "")) or end.true_memory
 
-    def note(self, metadata: bytes, batch: Batch, end: End) -> None:
+    def handle_note(self, metadata: bytes, batch: Batch, end: End) -> None:
         """A message of metadata alone is a note: `advance=0.4`. Of a result that has begun to go on none is
         told: it can't be called off for a better one any more."""
         name, _, word = metadata[:64].decode("latin-1").partition("=")
@@ -305,42 +321,44 @@
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
-            await call(NOTHING, timeout=WORD_WITHIN, metadata=(*which(name), *RESUMED))
+            await call(
+                EMPTY_DESCRIPTOR, timeout=CALL_TIMEOUT_S, metadata=(*dispatch_headers(name), *RESUME_HEADERS)
+            )
         except NoResultError:
             return "silent"
         except aio.AioRpcError as why:
-            return SAID.get(why.code(), "silent")
+            return BATCH_STATUS.get(why.code(), "silent")
         except aio.UsageError:
             return "silent"
         return "over"
 
     async def cancel_by_name(self, entry: Entry, name: Name) -> None:
-        await self.until_called_off(entry, name, NOTHING, clock.now() + DROPPED_AFTER)
+        await self.cancel_until_confirmed(entry, name, EMPTY_DESCRIPTOR, clock.now() + DROP_AFTER_S)
 
-    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
-        name, till = batch.name(sent.number), sent.asked + DROPPED_AFTER
-        await self.until_called_off(entry, name, command(batch), till)
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        name, till = batch.name(progress.number), progress.last_call_at + DROP_AFTER_S
+        await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), till)
 
-    async def until_called_off(self, entry: Entry, name: Name, order: bytes, till: float) -> None:
+    async def cancel_until_confirmed(self, entry: Entry, name: Name, descriptor: bytes, till: float) -> None:
         """The cancel, until the engine has it, can't cancel at all, or is out of reach for as long as it goes
         on with a batch that nobody reads."""
         while clock.now() < till:
-            code = await self.cancel(entry, name, order)
+            code = await self.send_cancel(entry, name, descriptor)
             if code in (StatusCode.OK, StatusCode.NOT_FOUND, StatusCode.UNIMPLEMENTED):
                 return
             if code is None:
                 break
-            await asyncio.sleep(RETRY_PACE)
+            await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("flight cancel failed")
 
-    async def cancel(self, entry: Entry, name: Name, order: bytes) -> StatusCode | None:
+    async def send_cancel(self, entry: Entry, name: Name, descriptor: bytes) -> StatusCode | None:
         """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
         None where it is out of reach."""
-        descriptor = read(pb.FlightDescriptor, order)
-        info = pb.FlightInfo(flight_descriptor=descriptor, app_metadata=name.txn.encode())
+        parsed = read(pb.FlightDescriptor, descriptor)
+        info = pb.FlightInfo(flight_descriptor=parsed, app_metadata=name.txn.encode())
         try:
             body = pb.CancelFlightInfoRequest(info=info).SerializeToString()
-            await self.act(entry, CANCEL, body, which(name))
+            await self.call_action(entry, CANCEL, body, dispatch_headers(name))
             return StatusCode.OK
         except aio.AioRpcError as why:
             return why.code()
@@ -349,21 +367,23 @@
         except NoResultError:
             return None
 
-    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
         """An engine that runs on says nothing of its end: none follows before the batch's time limit."""
         await asyncio.Event().wait()
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
-            await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.name(number)))
+            await self.call_action(
+                entry, PRIORITY, b"%d" % batch.priority, dispatch_headers(batch.name(number))
+            )
         except (aio.AioRpcError, NoResultError):
             self.metrics.add("flight priority failed")
 
-    async def act(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
+    async def call_action(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
         """An action's first result."""
         channel = await self.channel(entry)
         call = channel.unary_stream(SERVICE + "DoAction")(
-            pb.Action(type=kind, body=body).SerializeToString(), timeout=WORD_WITHIN, metadata=metadata
+            pb.Action(type=kind, body=body).SerializeToString(), timeout=CALL_TIMEOUT_S, metadata=metadata
         )
         found = b""
         try:
@@ -375,7 +395,7 @@
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
-            answer = await self.act(entry, STATS, b"")
+            answer = await self.call_action(entry, STATS, b"")
         except NoResultError:
             return it.DispatchOutcome.UNREACHABLE, ()
         except Unreadable:
@@ -394,11 +414,11 @@
             channel, fresh = self.channels.get(engine), False
             if channel is None:
                 target = f"ipv4:{entry.address[0]}:{entry.address[1]}"
-                channel, fresh = aio.insecure_channel(target, options=CHANNEL), True
+                channel, fresh = aio.insecure_channel(target, options=CHANNEL_OPTIONS), True
                 self.channels[engine] = channel
             try:
                 async with asyncio.timeout_at(due):
-                    if await self.comes_up(channel):
+                    if await self.wait_connected(channel):
                         return channel
             except TimeoutError:
                 raise NoResultError(it.DispatchOutcome.UNREACHABLE) from None
@@ -407,7 +427,7 @@
             if fresh:
                 raise NoResultError(it.DispatchOutcome.UNREACHABLE)
 
-    async def comes_up(self, channel: aio.Channel) -> bool:
+    async def wait_connected(self, channel: aio.Channel) -> bool:
         state = channel.get_state(try_to_connect=True)
         while state not in (Connectivity.READY, Connectivity.TRANSIENT_FAILURE, Connectivity.SHUTDOWN):
             await channel.wait_for_state_change(state)
@@ -419,7 +439,7 @@
         channel = self.channels.pop(engine, None)
         if channel:
             # What is out on it has its own end; a result that still comes is read on.
-            task = asyncio.get_running_loop().create_task(channel.close(grace=DROPPED_AFTER))
+            task = asyncio.get_running_loop().create_task(channel.close(grace=DROP_AFTER_S))
             self.closing.add(task)
             task.add_done_callback(self.closing.discard)
 
@@ -430,13 +450,13 @@
             await asyncio.wait(self.closing, timeout=0.2)
 
 
-def which(name: Name) -> Metadata:
+def dispatch_headers(name: Name) -> Metadata:
     """What names a dispatch: an engine that has called one off may get the same batch's next."""
     return ("x-txn", name.txn), ("x-dispatch", str(name.number))
 
 
-def command(batch: Batch) -> bytes:
+def batch_descriptor(batch: Batch) -> bytes:
     """The descriptor that asks for a batch."""
     kind = sql.CommandStatementUpdate if batch.update else sql.CommandStatementQuery
-    order = wrapped(kind(query=batch.asked.statement.decode()))
-    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=order).SerializeToString()
+    command = wrapped(kind(query=batch.asked.statement.decode()))
+    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=command).SerializeToString()
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -19,28 +19,28 @@
 
 # News comes after 250 ms at the latest, other answers at once; what takes this long is silent. Risk: a short
 # batch whose answer got lost is given up and run again before its engine was asked for it once more.
-NEWS_WITHIN, WORD_WITHIN = 0.35, 0.15
+POLL_TIMEOUT_S, CALL_TIMEOUT_S = 0.35, 0.15
 # A dispatch that begins this long after it was ordered is logged.
-BEGUN_LATE = 0.1
+LATE_START_S = 0.1
 # An engine drops a batch that it has not been asked for in this time.
-DROPPED_AFTER = 2.0
-# A question that found no way or no answer is put again after this long, longer each time.
-RETRY_PACE = 0.02
+DROP_AFTER_S = 2.0
+# A question that found no dispatch_path or no answer is put again after this long, longer each time.
+RETRY_DELAY_S = 0.02
 # So many times in a row a question may go without an answer that can be used before the dispatch is lost.
-MOST_SPOILT = 8
+MAX_UNUSABLE_REPLIES = 8
 # An answer with more behind it may be cut by a wrong length: so often it is asked for once more.
-DOUBTED = 2
+MAX_SUSPECT_REPLIES = 2
 # Answers that prove, with the field that says so, that the batch never ran.
-UNRUN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
+NEVER_RAN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
 # What is known of an engine that no connection came up to; any other want of one says nothing of it.
-UNCONNECTED = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
+CONNECT_FAILURES = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
 PROGRESS_KINDS = {
     "advance": it.ProgressKind.PROGRESS,
     "disk": it.ProgressKind.SPILL,
     "stall": it.ProgressKind.WAITING,
 }
 # A result holds 48,000 bytes in pages of 6,000; a count far past that is no count.
-MOST_PAGES = 64
+MAX_PAGES = 64
 
 
 class Spoilt(Exception):
@@ -48,17 +48,17 @@
 
 
 class HttpEngines:
-    """The platform's own way to its engines; see `EngineProtocol` in `dispatch.py`."""
+    """The platform's own dispatch_path to its engines; see `EngineProtocol` in `dispatch.py`."""
 
     def __init__(
         self, settings: it.Settings, roll: Roll, links: Links, decisions: DecisionLoop, metrics: Metrics
     ) -> None:
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
-        self.once_only = frozenset(
+        self.non_idempotent = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
         )
         # Groups that a wrong word of 'never ran' does harm to: they may not go just anywhere after it.
-        self.wary = self.once_only | {
+        self.needs_proof = self.non_idempotent | {
             t.name
             for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
@@ -66,35 +66,43 @@
         self.roll, self.links, self.decisions, self.metrics = roll, links, decisions, metrics
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        path = way(batch, end.number)
+        path = dispatch_path(batch, end.number)
         end.outcome = it.DispatchOutcome.ASTRAY
         while end.outcome is it.DispatchOutcome.ASTRAY:
-            reply = await self.post(batch, entry, end, sent, till)
+            reply = await self.post(batch, entry, end, progress, till)
             while reply is None or reply.status == 202:
-                reply = await self.ask(path, 0, entry, end, sent, batch)
-            end.outcome = self.outcome(reply, sent)
+                reply = await self.poll(path, 0, entry, end, progress, batch)
+            end.outcome = self.outcome(reply, progress)
             # What its engine never got was no dispatch so far, and goes there again. Of a once-only batch
             # that the engine does not know of it is not proof enough. Risk: the engine had it, and has
             # dropped it by now: sent again when its repeats are no longer dropped, it runs twice.
-            if batch.lane in self.once_only or sent.posts >= MOST_SPOILT or not sent.may_begin():
+            if (
+                batch.lane in self.non_idempotent
+                or progress.posts >= MAX_UNUSABLE_REPLIES
+                or not progress.may_start()
+            ):
                 break
-        await self.further(path, batch, entry, end, sent)
+        await self.fetch_pages(path, batch, entry, end, progress)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: DispatchProgress, till: float) -> None:
-        path, sent.begun = way(batch, end.number), True
-        reply = await self.ask(path, 0, entry, end, sent, batch)
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+    ) -> None:
+        path, progress.started = dispatch_path(batch, end.number), True
+        reply = await self.poll(path, 0, entry, end, progress, batch)
         while reply.status == 202:
-            reply = await self.ask(path, 0, entry, end, sent, batch)
-        end.outcome = self.outcome(reply, sent)
-        await self.further(path, batch, entry, end, sent)
+            reply = await self.poll(path, 0, entry, end, progress, batch)
+        end.outcome = self.outcome(reply, progress)
+        await self.fetch_pages(path, batch, entry, end, progress)
 
-    async def further(self, path: str, batch: Batch, entry: Entry, end: End, sent: DispatchProgress) -> None:
+    async def fetch_pages(
+        self, path: str, batch: Batch, entry: Entry, end: End, progress: DispatchProgress
+    ) -> None:
         """The pages behind the first."""
-        for page in range(1, sent.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
-            reply = await self.ask(path, page, entry, end, sent, batch)
-            end.outcome = self.outcome(reply, sent)
+        for page in range(1, progress.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
+            reply = await self.poll(path, page, entry, end, progress, batch)
+            end.outcome = self.outcome(reply, progress)
             if end.outcome is not it.DispatchOutcome.RETURNED:
                 return
 
@@ -103,45 +111,45 @@
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: DispatchProgress,
+        progress: DispatchProgress,
         till: float,
     ) -> http.Reply | None:
         """The call that starts it, and its reply if it got one of use."""
         try:
-            link = await self.link(entry, batch.lane in self.wary)
+            link = await self.urgent_link(entry, batch.lane in self.needs_proof)
         except (Refused, Unreached, Broken, Short) as why:
             raise NoResultError(
-                proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)
+                proven_unrun(CONNECT_FAILURES.get(type(why), it.DispatchOutcome.UNSENT), progress.posts)
             ) from None
-        if not sent.may_begin():
+        if not progress.may_start():
             self.links.give_back(link)
-            raise NoResultError(proven(it.DispatchOutcome.UNSENT, sent.posts))
-        sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
+            raise NoResultError(proven_unrun(it.DispatchOutcome.UNSENT, progress.posts))
+        progress.started, progress.last_call_at, progress.posts = True, clock.now(), progress.posts + 1
         self.count_call("POST", entry)
-        waited = sent.asked - sent.ordered
-        if waited > BEGUN_LATE:
+        waited = progress.last_call_at - progress.ordered_at
+        if waited > LATE_START_S:
             engine = entry.engine.id.decode("latin-1")
             self.decisions.log(
                 "dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4)
             )
         try:
-            reply = await link.call(self.request(batch, entry.address, till), NEWS_WITHIN)
-            self.read(reply, 0, link, end, sent, batch)
-            sent.heard = True
+            reply = await link.call(self.request(batch, entry.address, till), POLL_TIMEOUT_S)
+            self.take_reply(reply, 0, link, end, progress, batch)
+            progress.acknowledged = True
             return reply
         except (Broken, Silent, Spoilt, http.Unreadable) as why:
-            self.spoilt(why)
+            self.count_unusable(why)
             return None
         finally:
             self.links.give_back(link)
 
-    async def link(self, entry: Entry, unused: bool = False) -> Link:
+    async def urgent_link(self, entry: Entry, unused: bool = False) -> Link:
         """A link for what must not wait. A reset as it comes up is news of that connection alone."""
-        for _ in range(MOST_SPOILT):
+        for _ in range(MAX_UNUSABLE_REPLIES):
             try:
                 return await self.links.take(entry, urgent=True, unused=unused)
             except Broken as why:
-                self.spoilt(why)
+                self.count_unusable(why)
         raise Broken("each new connection is reset")
 
     def request(self, batch: Batch, address: tuple[str, int], till: float) -> bytes:
@@ -156,26 +164,26 @@
             fields["Pool-Rank"] = str(batch.priority)
         return http.call("POST", "/fetch", address, fields, asked.statement)
 
-    def outcome(self, reply: http.Reply, sent: DispatchProgress) -> it.DispatchOutcome:
+    def outcome(self, reply: http.Reply, progress: DispatchProgress) -> it.DispatchOutcome:
         if reply.status == 200:
             return it.DispatchOutcome.RETURNED
         unrun = reply.text(b"x-unrun") == "1"
-        if unrun and reply.status in UNRUN:
-            outcome = proven(UNRUN[reply.status], sent.posts - 1)
+        if unrun and reply.status in NEVER_RAN:
+            outcome = proven_unrun(NEVER_RAN[reply.status], progress.posts - 1)
             if outcome is it.DispatchOutcome.ASTRAY:
                 raise NoResultError(outcome)
             return outcome
         # Risk: an engine that never got the batch, told as one that errs, is taken for ill; so are all on a
         # day when connections break.
-        return it.DispatchOutcome.ERRORED if sent.heard else it.DispatchOutcome.ASTRAY
+        return it.DispatchOutcome.ERRORED if progress.acknowledged else it.DispatchOutcome.ASTRAY
 
-    async def ask(
+    async def poll(
         self,
         path: str,
         page: int,
         entry: Entry,
         end: End,
-        sent: DispatchProgress,
+        progress: DispatchProgress,
         batch: Batch,
     ) -> http.Reply:
         """One question about a batch that is out, on new connections until it is answered.
@@ -184,24 +192,24 @@
         asking again is no further dispatch. It ends with an engine that has died or gives nothing that can be
         used; a silent one is asked until the dispatch times out.
         """
-        spoilt, unused = 0, False
-        while spoilt < MOST_SPOILT:
+        unusable, unused = 0, False
+        while unusable < MAX_UNUSABLE_REPLIES:
             try:
                 link = await self.links.take(entry, urgent=False, patient=not page, unused=unused)
             except Refused:
-                sent.dead = True
+                progress.engine_dead = True
                 break
             except (Unreached, Short, Broken):
                 # Risk: a network that says no at once, asked again at once, takes the whole core.
-                await asyncio.sleep(RETRY_PACE)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             try:
-                sent.asked = clock.now()
+                progress.last_call_at = clock.now()
                 self.count_call("GET", entry)
                 request = http.call("GET", f"{path}{page}", entry.address, {})
-                reply = await link.call(request, WORD_WITHIN if page else NEWS_WITHIN)
-                self.read(reply, page, link, end, sent, batch)
-                if reply.status in UNRUN and batch.lane in self.wary and link.calls > 1:
+                reply = await link.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
+                self.take_reply(reply, page, link, end, progress, batch)
+                if reply.status in NEVER_RAN and batch.lane in self.needs_proof and link.calls > 1:
                     # Risk: a second copy of the answer to another batch, late on a link that carried that
                     # one, taken for proof that this one never ran. Only an unused connection proves it.
                     unused = True
@@ -209,13 +217,13 @@
                     raise Spoilt("no proof on a connection that carried others")
                 return reply
             except Silent as why:
-                self.spoilt(why)
+                self.count_unusable(why)
             except (Broken, Spoilt, http.Unreadable) as why:
-                self.spoilt(why)
-                spoilt += 1
+                self.count_unusable(why)
+                unusable += 1
             finally:
                 self.links.give_back(link)
-            await asyncio.sleep(RETRY_PACE * (spoilt - 1))
+            await asyncio.sleep(RETRY_DELAY_S * (unusable - 1))
         raise NoResultError(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
@@ -223,17 +231,17 @@
         if not self.roll.open_to(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
-    def spoilt(self, why: Exception) -> None:
+    def count_unusable(self, why: Exception) -> None:
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
-    def read(
-        self, reply: http.Reply, page: int, link: Link, end: End, sent: DispatchProgress, batch: Batch
+    def take_reply(
+        self, reply: http.Reply, page: int, link: Link, end: End, progress: DispatchProgress, batch: Batch
     ) -> None:
         """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
         one that can't be the answer to the question: its connection is used no more."""
         try:
             if reply.status == 200:
-                rows = self.rows(reply, page, link, sent)
+                rows = self.rows(reply, page, link, progress)
             elif reply.status not in ((202, 500, 503, 504) if not page else (500,)):
                 raise Spoilt(f"status {reply.status}")
         except (Spoilt, http.Unreadable):
@@ -241,69 +249,72 @@
             raise
         end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
-            sent.heard = True
+            progress.acknowledged = True
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
             if kind and value is not None:
                 value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
                 self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
         elif reply.status == 200:
-            sent.heard = True
+            progress.acknowledged = True
             end.true_work = (reply.number(b"elapsed-work") or 0.0) / 1e3 or end.true_work
             end.true_memory = reply.number(b"high-water") or end.true_memory
             end.pages.append(rows)
 
-    def rows(self, reply: http.Reply, page: int, link: Link, sent: DispatchProgress) -> bytes:
+    def rows(self, reply: http.Reply, page: int, link: Link, progress: DispatchProgress) -> bytes:
         """The rows of a good end or a further page."""
         told = reply.number(b"chunk" if page else b"chunks")
-        if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
+        if told is None or told % 1 or (told != page if page else not 1 <= told <= MAX_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.page(reply.body)
         if link.repeats(reply):
             raise Spoilt("the same answer twice on one connection")
-        if link.surplus and sent.doubts < DOUBTED:
+        if link.surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
             # Risk: what lies behind may be the rest of these rows, cut off by a length put too low.
-            sent.doubts += 1
+            progress.suspect_replies += 1
             raise Spoilt("more than one answer")
         if not page:
-            sent.pages = int(told)
+            progress.pages = int(told)
         return rows
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
-            async with asyncio.timeout(NEWS_WITHIN):
+            async with asyncio.timeout(POLL_TIMEOUT_S):
                 link = await self.links.take(entry, urgent=False)
                 try:
-                    path, priority = way(batch, number)[:-1], b"%d" % batch.priority
+                    path, priority = dispatch_path(batch, number)[:-1], b"%d" % batch.priority
                     call = http.call("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
-                    await link.call(call, WORD_WITHIN)
+                    await link.call(call, CALL_TIMEOUT_S)
                 finally:
                     self.links.give_back(link)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
-    async def cancel_dispatch(self, batch: Batch, entry: Entry, sent: DispatchProgress) -> None:
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
         """The DELETE, until the engine has it, or no longer holds the batch anyway: it is dead, or has not
         been asked for it in so long. What a client has left waits behind what others wait for."""
         await self.delete(
-            entry, way(batch, sent.number)[:-1], sent.asked + DROPPED_AFTER, lambda: not batch.answered
+            entry,
+            dispatch_path(batch, progress.number)[:-1],
+            progress.last_call_at + DROP_AFTER_S,
+            lambda: not batch.answered,
         )
 
-    async def wait_until_stopped(self, sent: DispatchProgress) -> None:
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
         """An engine ends what it has not been asked for in so long; a question may lie there as long as news
         may take."""
-        if not sent.dead:
-            await asyncio.sleep(sent.asked + NEWS_WITHIN + DROPPED_AFTER - clock.now())
+        if not progress.engine_dead:
+            await asyncio.sleep(progress.last_call_at + POLL_TIMEOUT_S + DROP_AFTER_S - clock.now())
 
     async def cancel_by_name(self, entry: Entry, name: Name) -> None:
-        await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROPPED_AFTER, lambda: False)
+        await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROP_AFTER_S, lambda: False)
 
     async def query_status(self, entry: Entry, name: Name) -> str:
         try:
             link = await self.links.take(entry, urgent=False)
             try:
                 request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
-                reply = await link.call(request, NEWS_WITHIN)
+                reply = await link.call(request, POLL_TIMEOUT_S)
             finally:
                 self.links.give_back(link)
         except Refused:
@@ -318,7 +329,7 @@
                 link = await self.links.take(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await link.call(http.call("DELETE", path, entry.address, {}), WORD_WITHIN)
+                    await link.call(http.call("DELETE", path, entry.address, {}), CALL_TIMEOUT_S)
                     return
                 finally:
                     self.links.give_back(link)
@@ -326,12 +337,12 @@
                 break
             # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
             except (Unreached, Broken, Silent, Short):
-                await asyncio.sleep(RETRY_PACE)
+                await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("DELETE failed")
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
-            link = await self.link(entry)
+            link = await self.urgent_link(entry)
             try:
                 reply = await link.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
                 report = http.gauges(reply.text(b"x-gauges"), self.fields)
@@ -342,20 +353,20 @@
             finally:
                 self.links.give_back(link)
         except (Refused, Unreached) as why:
-            return UNCONNECTED[type(why)], ()
+            return CONNECT_FAILURES[type(why)], ()
         except Silent:
             return it.DispatchOutcome.TIMED_OUT, ()
         except (Broken, Short):
             return it.DispatchOutcome.ASTRAY, ()
 
 
-def proven(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
+def proven_unrun(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
     """An outcome that says that the dispatch never ran, if nothing of it went out before. Risk: a first call
     whose answer was lost may have run; that a second one did not is no proof of it."""
     return it.DispatchOutcome.ASTRAY if earlier > 0 else outcome
 
 
-def way(batch: Batch, number: int) -> str:
+def dispatch_path(batch: Batch, number: int) -> str:
     """Where its engine is asked for a dispatch: under the id that it was begun with, by this front or
     another."""
     return f"/fetch/{batch.name(number).txn}/"
--- a/thistlelever/carrier/loop_lag.py
+++ b/thistlelever/carrier/loop_lag.py
@@ -7,9 +7,9 @@
 from thistlelever.ground import clock
 
 # Often enough to see a stall that costs a time limit, at 50 wake-ups a second.
-BEAT = 0.02
+INTERVAL_S = 0.02
 # Of a past stall half is remembered 0.13 s later: in a flood they come one after the other.
-FADE = 0.9
+DECAY = 0.9
 
 
 class LoopLagMonitor:
@@ -18,17 +18,17 @@
     def __init__(self) -> None:
         self.lag, self.worst, self.due = 0.0, 0.0, float("inf")
 
-    def behind(self) -> float:
+    def current(self) -> float:
         """How late the loop is now. Risk: after a stop of the process what waits at the sockets is read
         before the beat that would tell of the stop, and would count as just sent."""
         return max(self.lag, clock.now() - self.due)
 
-    def felt(self, late: float) -> None:
-        self.lag = max(late, self.lag * FADE)
+    def record(self, late: float) -> None:
+        self.lag = max(late, self.lag * DECAY)
         self.worst = max(self.worst, late)
 
     async def run(self) -> None:
         while True:
-            self.due = clock.now() + BEAT
-            await asyncio.sleep(BEAT)
-            self.felt(clock.now() - self.due)
+            self.due = clock.now() + INTERVAL_S
+            await asyncio.sleep(INTERVAL_S)
+            self.record(clock.now() - self.due)
--- a/thistlelever/carrier/result_stream.py
+++ b/thistlelever/carrier/result_stream.py
@@ -16,36 +16,36 @@
 class ResultStream:
     """Messages between the one dispatch that brings them and the one client that takes them."""
 
-    def __init__(self, number: int, held: list[bytes], most: int) -> None:
-        # Past `most` bytes that lie here the engine is not read, and its connection's flow control holds it.
-        self.number, self.most = number, most
-        self.waiting, self.size = deque(held), sum(map(len, held))
+    def __init__(self, number: int, initial: list[bytes], max_bytes: int) -> None:
+        # Past `max_bytes` bytes that lie here the engine is not read, and its connection's flow control holds it.
+        self.number, self.max_bytes = number, max_bytes
+        self.queued, self.queued_bytes = deque(initial), sum(map(len, initial))
         # How the dispatch ended; None while it goes on. Whatever is not `RETURNED` is no whole result.
         self.outcome: DispatchOutcome | None = None
-        self.left = False
-        self.stir = asyncio.Event()
+        self.reader_left = False
+        self.changed = asyncio.Event()
 
     async def put(self, message: bytes) -> None:
         """Hand on one message once there is room for it."""
-        while self.size >= self.most and not self.left:
-            self.stir.clear()
-            await self.stir.wait()
-        if self.left:
+        while self.queued_bytes >= self.max_bytes and not self.reader_left:
+            self.changed.clear()
+            await self.changed.wait()
+        if self.reader_left:
             raise ReaderLeftError
-        self.waiting.append(message)
-        self.size += len(message)
-        self.stir.set()
+        self.queued.append(message)
+        self.queued_bytes += len(message)
+        self.changed.set()
 
     async def take(self) -> bytes | None:
         """The next message; None at the end, and then `outcome` says whether it is the whole."""
-        while not self.waiting and self.outcome is None:
-            self.stir.clear()
-            await self.stir.wait()
-        if not self.waiting:
+        while not self.queued and self.outcome is None:
+            self.changed.clear()
+            await self.changed.wait()
+        if not self.queued:
             return None
-        message = self.waiting.popleft()
-        self.size -= len(message)
-        self.stir.set()
+        message = self.queued.popleft()
+        self.queued_bytes -= len(message)
+        self.changed.set()
         return message
 
     def end(self, outcome: DispatchOutcome) -> None:
@@ -53,22 +53,22 @@
         break the client hears of it at once."""
         self.outcome = outcome
         if outcome is not DispatchOutcome.RETURNED:
-            self.drop()
-        self.stir.set()
+            self.discard()
+        self.changed.set()
 
-    def sound(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the dispatch goes on or has brought the whole."""
         return self.outcome in (None, DispatchOutcome.RETURNED)
 
-    def leave(self) -> None:
+    def close_reader(self) -> None:
         """The client takes no more."""
-        self.left = True
-        self.drop()
-        self.stir.set()
+        self.reader_left = True
+        self.discard()
+        self.changed.set()
 
-    def drop(self) -> None:
-        self.waiting.clear()
-        self.size = 0
+    def discard(self) -> None:
+        self.queued.clear()
+        self.queued_bytes = 0
 
 
 @dataclass(slots=True)
--- a/thistlelever/carrier/validation.py
+++ b/thistlelever/carrier/validation.py
@@ -12,32 +12,32 @@
 from thistlelever.wire import statement as sql
 
 # An estimate past so many time limits on all threads, or so many times an engine's memory, is none.
-MOST_LIMITS, MOST_MEMORIES = 100.0, 4.0
+MAX_TIME_LIMITS, MAX_ENGINE_MEMORIES = 100.0, 4.0
 
 
 class RequestValidator:
     """Makes batches of what clients submit. It takes none: a batch is taken once its course has begun."""
 
     def __init__(self, settings: it.Settings, loop_lag: LoopLagMonitor, batches: Batches) -> None:
-        self.groups = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
-        self.consignors = {c.name: p for p, c in enumerate(settings.consignors)}
-        self.most_memory = max(settings.kind_memory, default=float("inf")) * MOST_MEMORIES
+        self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
+        self.tenants = {c.name: p for p, c in enumerate(settings.consignors)}
+        self.max_memory = max(settings.kind_memory, default=float("inf")) * MAX_ENGINE_MEMORIES
         self.loop_lag, self.batches, self.stop_at = loop_lag, batches, float("inf")
 
-    def batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
+    def make_batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
         """The batch of that service group (a known one); `InvalidFieldError` where it can't be one."""
-        group, query_class = self.groups[name]
+        group, query_class = self.query_classes[name]
         asked = parse_submission(fields, statement)
         if asked.txn in self.batches.by_txn:
             raise InvalidFieldError("id", "still open", still_open=True)
         # Risk: a figure without measure stays in averages and timers for as long as the front lives.
         if asked.wait > 2 * query_class.time_limit:
             raise InvalidFieldError("wait", "past the service group's time limit")
-        if (asked.work or 0.0) > MOST_LIMITS * query_class.time_limit * query_class.width:
+        if (asked.work or 0.0) > MAX_TIME_LIMITS * query_class.time_limit * query_class.width:
             raise InvalidFieldError("cost", "out of all range")
-        if asked.memory > self.most_memory:
+        if asked.memory > self.max_memory:
             raise InvalidFieldError("need_mb", "out of all range")
-        if self.consignors and asked.tenant not in self.consignors:
+        if self.tenants and asked.tenant not in self.tenants:
             raise InvalidFieldError("tenant", "none of the settings'")
         if query_class.repeat is it.Idempotency.DEDUPLICATED and not asked.reference:
             raise InvalidFieldError("once", "missing, and wanted for this service group")
@@ -46,12 +46,12 @@
             raise InvalidFieldError("bytes", "the statement names no table of a group")
         number, now = self.batches.number(), clock.now()
         # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
-        left = min(asked.wait - 2 * self.loop_lag.behind(), self.stop_at - now)
+        left = min(asked.wait - 2 * self.loop_lag.current(), self.stop_at - now)
         taken = it.BatchReceived(
             number,
             group,
-            self.consignors.get(asked.tenant, 0),
-            key(table[1]) if query_class.in_order else 0,
+            self.tenants.get(asked.tenant, 0),
+            ordering_key(table[1]) if query_class.in_order else 0,
             left,
             asked.work,
             asked.memory,
@@ -61,6 +61,6 @@
         return Batch(number, asked, taken, query_class.name, now + left)
 
 
-def key(table: bytes) -> int:
+def ordering_key(table: bytes) -> int:
     """What batches of one table share; any number will do, as it never leaves the front."""
     return int.from_bytes(table.lower(), "big") or 1
--- a/thistlelever/carrier/wards.py
+++ b/thistlelever/carrier/wards.py
@@ -10,7 +10,7 @@
 from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress, EngineProtocol
 from thistlelever.carrier.peers import PeerSocket
 from thistlelever.admission.decide import NEVER_RAN
-from thistlelever.carrier.remembered_outcomes import goes_on_from
+from thistlelever.carrier.remembered_outcomes import resume_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
@@ -218,7 +218,7 @@
         if value.state is State.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
         begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
-        good = goes_on_from(batch, query_class, self.roll, *begun)
+        good = resume_from(batch, query_class, self.roll, *begun)
         if 0 in batch.under:
             self.metrics.add("takeover: adopted")
             self.log(
@@ -236,11 +236,11 @@
         entry = self.roll.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
-        end, sent = End(READING, entry.engine.id), DispatchProgress(READING)
+        end, progress = End(READING, entry.engine.id), DispatchProgress(READING)
         batch.under[READING] = Name(value.txn.hex(), value.number)
         self.roll.begin(end.engine)
         try:
-            await self.protocol(entry).resume(batch, entry, end, sent, batch.limit_at)
+            await self.protocol(entry).resume(batch, entry, end, progress, batch.limit_at)
         except NoResultError:
             return None
         finally:
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -236,7 +236,7 @@
         group = said.get(terms.group_header) or options.get("group") or terms.group
         if not group:
             raise bad(f"{terms.group_header}: missing; no option or default names a service group")
-        if group not in self.validator.groups:
+        if group not in self.validator.query_classes:
             raise bad(f"{terms.group_header}: {group[:60]!r} is no service group")
         fields: dict[str, str | float | bool] = {}
         tenant = said.get(terms.tenant_header) or options.get("tenant") or terms.tenant
@@ -261,7 +261,7 @@
     def batch(self, order: Order, context: aio.ServicerContext) -> Batch:
         """The batch that an order is for, under the same checks as on the other door. It waits as long as the
         order says, else its group's time limit, and no longer than the call itself."""
-        limit = self.validator.groups[order.group][1].time_limit
+        limit = self.validator.query_classes[order.group][1].time_limit
         wait = float(order.fields.get("wait", limit * 1e3))
         remaining = context.time_remaining()
         if remaining is not None:
@@ -269,7 +269,7 @@
             if remaining <= LAST_BYTES:
                 raise Refusal(StatusCode.DEADLINE_EXCEEDED, "no time left")
             wait = min(wait, (remaining - LAST_BYTES) * 1e3)
-        batch = self.validator.batch(
+        batch = self.validator.make_batch(
             order.group, order.fields | {"id": order.number, "wait": wait}, order.statement
         )
         batch.columns = True
@@ -310,7 +310,11 @@
         async with Taking(self, batch) as told:
             match told:
                 case End():
-                    parcels = told.parcels if told.parcels is not None else columns.of_rows(told.pages)
+                    parcels = (
+                        told.flight_messages
+                        if told.flight_messages is not None
+                        else columns.of_rows(told.pages)
+                    )
                     for raw in parcels:
                         await context.write(raw)
                 case Begun():
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -332,7 +332,7 @@
                     links=self.links.count,
                     counts=written,
                     turns=self.decisions.turns,
-                    deciding=round(self.decisions.spent, 3),
+                    deciding=round(self.decisions.busy_seconds, 3),
                     cpu=round(process_time(), 3),
                     lag=round(self.loop_lag.worst, 4),
                 )
