--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -4,13 +4,13 @@
 import os
 
 from thistlelever.__main__ import main
-from thistlelever.carrier.wards import Wards
+from thistlelever.carrier.leases import LeaseService
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.local_health import LocalHealth
 from thistlelever.membership.merge import Merger
 from thistlelever.membership.prober import Prober
-from thistlelever.takeover.holder import Holder
-from thistlelever.wire.work import Verb, Word
+from thistlelever.takeover.replica import Replica
+from thistlelever.wire.work import Message, Verb
 
 
 def health():
@@ -45,15 +45,15 @@
 
 
 def promise():
-    """A place that says yes to whoever asks, and nothing of what it knows."""
-    Holder.claim = lambda self, now, word: Word(
-        Verb.YES, word.nonce, word.key, word.epoch, word.owner, lease_ms=word.lease_ms
+    """A replica that accepts every claim and does not say what it knows."""
+    Replica.claim = lambda self, now, message: Message(
+        Verb.YES, message.nonce, message.key, message.epoch, message.owner, lease_ms=message.lease_ms
     )
 
 
 def fate():
-    """What another front has begun is begun anew where its client comes back."""
-    Wards.adopts = lambda self, batch, value, query_class: True
+    """A run that another front has started is started again when its client submits again."""
+    LeaseService.adopt_run = lambda self, batch, value, query_class: True
 
 
 GUARDS = {"health": health, "detour": detour, "incarnation": incarnation}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,11 +1,11 @@
-"""Parsers from bytes alone: whole, cut at every byte, and out of form."""
+"""Codecs of HTTP, JSON-RPC, DNS and statements: complete input, input split at each byte, malformed input."""
 
 import pytest
 from stage import dns_answer
 
 from thistlelever.carrier.directory import NAME
 from thistlelever.wire import dns, http, jsonrpc, statement
-from thistlelever.wire.inflow import Inflow, Purse, TooLong
+from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
 PAGE = b"HTTP/1.1 200 OK\r\nChunk:  2 \r\nX-Gauges: inflight:7;util:0.61\r\nContent-Length: 5\r\n\r\nrow\t1"
 CHUNKED = (
@@ -15,38 +15,38 @@
 LISTING = dns_answer(77, 41, {"s-1": (8443, False), "s-2": (8444, True)})
 
 
-def poured(data, cuts, read, size=16):
-    """What `read` finds in a buffer that is filled piece by piece, copied as each is found."""
-    inflow, found, at = Inflow(size, 4096), [], 0
+def read_split(data, cuts, read, size=16):
+    """Copies of the messages that `read` finds in a buffer that is filled piece by piece."""
+    buffer, found, at = ReadBuffer(size, 4096), [], 0
     for cut in (*cuts, len(data)):
         while at < cut:
-            room = inflow.room()
+            room = buffer.writable()
             piece = data[at : min(cut, at + len(room))]
             room[: len(piece)] = piece
-            inflow.filled(len(piece))
+            buffer.advance(len(piece))
             at += len(piece)
-            while (message := read(inflow)) is not None:
-                found.append(bytes(message) if isinstance(message, memoryview) else copied(message))
+            while (message := read(buffer)) is not None:
+                found.append(bytes(message) if isinstance(message, memoryview) else as_values(message))
     return found
 
 
-def copied(reply):
+def as_values(reply):
     return (
         reply.status,
         bytes(reply.body),
         reply.number(b"chunk"),
-        http.gauges(reply.text(b"x-gauges"), ("inflight", "util")),
+        http.parse_load_report(reply.text(b"x-gauges"), ("inflight", "util")),
         reply.keeps,
     )
 
 
 @pytest.mark.parametrize("data", [PAGE, CHUNKED])
 def test_a_reply_cut_at_each_byte(data):
-    # Risk: half a head or body taken for a whole one, or the next reply's bytes for this one's.
+    # Guards against taking a partial head or body for a complete one, or bytes of the next reply.
     two = b"HTTP/1.1 100 Continue\r\n\r\n" + data + b"HTTP/1.0 204 X\r\n\r\n"
     wanted = [(200, b"row\t1", 2.0, (7.0, 0.61), True), (204, b"", None, (), False)]
     for cut in range(len(two)):
-        assert poured(two, [cut], http.reply) == wanted, cut
+        assert read_split(two, [cut], http.read_reply) == wanted, cut
 
 
 @pytest.mark.parametrize(
@@ -66,19 +66,19 @@
 )
 def test_a_reply_out_of_form(data):
     with pytest.raises((http.Unreadable, TooLong)):
-        poured(data, [], http.reply)
+        read_split(data, [], http.read_reply)
 
 
 def test_lines_cut_at_each_byte_and_a_slice_holds_until_the_next_read():
     data = b'{"a":1}\n' + b"x" * 40 + b"\n\nlast\n"
     for cut in range(len(data)):
-        assert poured(data, [cut], Inflow.line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
+        assert read_split(data, [cut], ReadBuffer.next_line) == [b'{"a":1}', b"x" * 40, b"", b"last"], cut
     with pytest.raises(TooLong):
-        poured(b"x" * 5000, [], Inflow.line)
+        read_split(b"x" * 5000, [], ReadBuffer.next_line)
 
 
 def test_a_list_is_read_and_each_cut_of_it_refused():
-    listing = dns.listing(LISTING, 77, NAME)
+    listing = dns.decode_list(LISTING, 77, NAME)
     assert listing.serial == 41
     first, second = listing.engines
     assert (first.id, first.zone, first.address) == ("s-1", "nord", ("127.0.0.1", 8443))
@@ -86,7 +86,7 @@
     assert (second.draining, second.weight, second.facts["kind"]) == (True, 4.0, "std")
     for cut in range(len(LISTING)):
         with pytest.raises(dns.Unreadable):
-            dns.listing(LISTING[:cut], 77, NAME)
+            dns.decode_list(LISTING[:cut], 77, NAME)
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
         (2, 0x04),
         (2, 0x86),
         (3, 0x02),
-        # Risk: pointers that go round hold the front for good. The first record's owner points at 12.
+        # A loop of compression pointers would block the front forever; the first record's owner points to 12.
         (12 + 25 + 1, 12 + 25),
         (12 + 25 + 1, 200),
     ],
@@ -105,7 +105,7 @@
     data = bytearray(LISTING)
     data[at] = value
     with pytest.raises(dns.Unreadable):
-        dns.listing(bytes(data), 77, NAME)
+        dns.decode_list(bytes(data), 77, NAME)
 
 
 @pytest.mark.parametrize(
@@ -122,18 +122,18 @@
     ],
 )
 def test_the_table_group_of_a_statement(text, found):
-    assert statement.table(text.encode()) == found
+    assert statement.find_table(text.encode()) == found
 
 
 def test_an_answer_keeps_its_rows_and_a_pushback_its_time():
-    answer = jsonrpc.result(7, [b"a\tb\n", b"c\n"])
+    answer = jsonrpc.encode_result(7, [b"a\tb\n", b"c\n"])
     assert answer == b'{"jsonrpc":"2.0","id":7,"result":{"bytes":"YQliCmMK"}}\n'
-    assert b'"data":{"after":200}' in jsonrpc.error(7, -32001, "x", 0.2)
+    assert b'"data":{"after":200}' in jsonrpc.encode_error(7, -32001, "x", 0.2)
 
 
-# Risk: one figure that is none stays in the decisions' averages for good.
+# An invalid number such as `nan` would stay in the averages of the decisions for good.
 @pytest.mark.parametrize(
-    "word, report",
+    "text, report",
     [
         ("util:0.5;inflight:3;more:1", (3.0, 0.5)),
         ("util:0.5", ()),
@@ -144,8 +144,8 @@
         ("util:-1;inflight:3", ()),
     ],
 )
-def test_a_load_report_is_whole_or_none(word, report):
-    assert http.gauges(word, ("inflight", "util")) == report
+def test_a_load_report_is_whole_or_none(text, report):
+    assert http.parse_load_report(text, ("inflight", "util")) == report
 
 
 @pytest.mark.parametrize(
@@ -163,34 +163,34 @@
 )
 def test_a_page_holds_whole_rows_of_three_columns(body, whole):
     if whole:
-        assert http.page(memoryview(body)) == body
+        assert http.check_page(memoryview(body)) == body
     else:
         with pytest.raises(http.Unreadable):
-            http.page(memoryview(body))
+            http.check_page(memoryview(body))
 
 
-# Risk: each interim reply in a call of its own ends in a full stack; without end they are no reply.
+# Recursion on interim replies would exhaust the stack, and an endless series of them is not a reply.
 def test_interim_replies_without_end_are_none():
-    inflow = Inflow(65_536, 65_536)
+    buffer = ReadBuffer(65_536, 65_536)
     sent = b"HTTP/1.1 100 X\r\n\r\n" * 3000
-    inflow.room()[: len(sent)] = sent
-    inflow.filled(len(sent))
+    buffer.writable()[: len(sent)] = sent
+    buffer.advance(len(sent))
     with pytest.raises(http.Unreadable):
-        http.reply(inflow)
-
-
-# Risk: a few hundred clients, each with a long line that never ends, fill the front's memory.
-def test_unfinished_lines_share_one_purse():
-    purse = Purse(10)
-    first, second = Inflow(4, 12, purse), Inflow(4, 12, purse)
-    for inflow in (first, second):
-        inflow.room()
-        inflow.filled(4)
-    first.room()
-    first.filled(4)
-    second.room()
-    second.filled(4)
+        http.read_reply(buffer)
+
+
+# A few hundred clients, each with a long unfinished line, would exhaust the memory of the front.
+def test_unfinished_lines_share_one_quota():
+    quota = BufferQuota(10)
+    first, second = ReadBuffer(4, 12, quota), ReadBuffer(4, 12, quota)
+    for buffer in (first, second):
+        buffer.writable()
+        buffer.advance(4)
+    first.writable()
+    first.advance(4)
+    second.writable()
+    second.advance(4)
     with pytest.raises(TooLong):
-        first.room()
-    second.drop()
-    assert len(first.room()) == 4
+        first.writable()
+    second.release()
+    assert len(first.writable()) == 4
--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -21,9 +21,9 @@
 if TYPE_CHECKING:
     from thistlelever.carrier.budget_gate import BudgetGate
     from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
-    from thistlelever.carrier.wards import Wards
+    from thistlelever.carrier.leases import LeaseService
 
-# What a batch's task is message beside the actions and the ends of its dispatches.
+# What a batch's task receives beside the actions and the ends of its dispatches.
 CLIENT_LEFT, OVERDUE = "left", "overdue"
 # A batch that the decisions left without an answer is answered this long after its time limit: they
 # answer at the limit itself, and an answer counts for 70 ms more.
@@ -43,7 +43,7 @@
         # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
         # knows whose they are.
         self.gate: BudgetGate | None = None
-        self.wards: Wards | None = None
+        self.leases: LeaseService | None = None
         # Where state is kept, what a former life has said of a batch.
         self.remembered: RememberedOutcomes | None = None
         self.decisions, self.dispatcher, self.batches = decisions, dispatcher, batches
@@ -74,8 +74,8 @@
         finally:
             if self.gate:
                 self.gate.completed(batch, batch.true_work)
-            if batch.ward:
-                batch.ward.close()
+            if batch.lease_guard:
+                batch.lease_guard.close()
             batch.backstop.cancel()
             self.batches.drop(batch)
 
@@ -100,7 +100,7 @@
             self.gate.shut_down(at)
 
     async def run(self, batch: Batch, answer: Answer) -> None:
-        if self.wards and not await self.claim(batch, answer):
+        if self.leases and not await self.claim(batch, answer):
             return
         if self.remembered and (message := self.remembered.look_up(batch)):
             self.send_answer(batch, answer, message)
@@ -140,8 +140,8 @@
                 case End():
                     del batch.out[message.number]
                     batch.true_work += message.true_work
-                    if batch.ward:
-                        batch.ward.came_back(message)
+                    if batch.lease_guard:
+                        batch.lease_guard.end_dispatch(message)
                     if self.remembered:
                         self.remembered.record_end(batch, message)
                     if message.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
@@ -175,10 +175,13 @@
         """Find out whose the batch is before anything is done for it; whether it is this front's to go on
         with, and its client still there."""
         if not batch.asked.reference:
-            self.wards.enter_lazy(batch)
+            self.leases.register_lazy(batch)
             return True
         loop = asyncio.get_running_loop()
-        claiming, receiving = loop.create_task(self.wards.enter(batch)), loop.create_task(batch.inbox.get())
+        claiming, receiving = (
+            loop.create_task(self.leases.acquire(batch)),
+            loop.create_task(batch.inbox.get()),
+        )
         await asyncio.wait((claiming, receiving), return_when=asyncio.FIRST_COMPLETED)
         if receiving.done() and not claiming.done():
             claiming.cancel()
@@ -208,8 +211,8 @@
 
     async def send_if_owned(self, batch: Batch, answer: Answer, message: it.Action | End) -> None:
         """The final answer, once it is sure that the batch still is this front's to answer."""
-        if batch.ward:
-            message = await batch.ward.settled(message)
+        if batch.lease_guard:
+            message = await batch.lease_guard.confirm_answer(message)
         self.send_answer(batch, answer, message)
 
     async def wait_for_admission(self, batch: Batch, answer: Answer) -> bool:
@@ -229,7 +232,7 @@
                     self.gate.client_left(batch)
                     return False
                 case _ if message is OVERDUE:
-                    # Nothing was ever sent, so that trying answer_early is harmless.
+                    # Nothing was ever sent, so that trying again is harmless.
                     self.metrics.add("held past the limit")
                     self.send_answer(batch, answer, it.PushBack(batch.number, 0.0))
                     self.gate.client_left(batch)
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -21,7 +21,7 @@
 from thistlelever.store.stream import Stream
 from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
-from thistlelever.wire.inflow import Inflow, Purse, TooLong
+from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
 # Most lines are a few hundred bytes; a statement of 190 KB still passes.
 READ_BYTES, MAX_LINE_BYTES = 4_096, 262_144
@@ -54,7 +54,7 @@
         self.validator, self.batch_tasks, self.metrics = validator, batch_tasks, metrics
         self.log, self.bounds = log, bounds
         self.ready: Callable[[], bool] = lambda: False
-        self.unsent_bytes, self.purse = 0, Purse(bounds.unfinished)
+        self.unsent_bytes, self.quota = 0, BufferQuota(bounds.unfinished)
         # The connection that waits for a place, others behind it at the port, and since when some do.
         self.pending_socket: socket.socket | None = None
         self.full_since = float("inf")
@@ -159,7 +159,7 @@
         """Close who has nothing open and said nothing whole for too long."""
         now = clock.now()
         for session in [s for s in self.sessions if not s.open_batches and not s.shutting_down]:
-            waits = session.has_sent_line and session.inflow.start == session.inflow.end
+            waits = session.has_sent_line and session.buffer.start == session.buffer.end
             if (
                 now - session.since > (IDLE_TIMEOUT_S if waits else SILENT_TIMEOUT_S)
                 and not session.has_pending_input()
@@ -168,18 +168,20 @@
                 session.end()
 
     def batch(self, call: jsonrpc.Call) -> Batch:
-        """The batch that a call submits; `Bad` where it can't be one."""
+        """The batch that a call submits; `InvalidCall` where it can't be one."""
         if call.method not in self.validator.query_classes:
-            raise jsonrpc.Bad(jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number)
+            raise jsonrpc.InvalidCall(
+                jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number
+            )
         if call.number is None:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
+            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
         try:
-            return self.validator.make_batch(call.method, call.params, jsonrpc.statement(call))
+            return self.validator.make_batch(call.method, call.params, jsonrpc.submitted_statement(call))
         except InvalidFieldError as why:
             code, field = jsonrpc.BAD_FIELD, str(why)
             if why.still_open:
                 code, field = jsonrpc.NO_REQUEST, f"params.{why}"
-            raise jsonrpc.Bad(code, field, call.number) from None
+            raise jsonrpc.InvalidCall(code, field, call.number) from None
 
 
 class ClientSession:
@@ -188,7 +190,7 @@
     def __init__(self, stream: Stream, listener: ClientListener) -> None:
         self.stream, self.listener = stream, listener
         self.metrics = listener.metrics
-        self.inflow = Inflow(READ_BYTES, MAX_LINE_BYTES, listener.purse)
+        self.buffer = ReadBuffer(READ_BYTES, MAX_LINE_BYTES, listener.quota)
         self.open_batches: dict[int, Batch] = {}
         self.highest_number, self.bad_lines, self.paced_until = 0, 0, 0.0
         # The read that is under way, as one always is; answers not yet out; whether this side has ended it.
@@ -209,7 +211,9 @@
                     self.read()
                 except TooLong as why:
                     self.metrics.add("lines too long")
-                    self.write(jsonrpc.error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}"))
+                    self.write(
+                        jsonrpc.encode_error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}")
+                    )
                     self.end_when_answered()
                 self.handle_lines()
                 await self.wait_for_input()
@@ -227,23 +231,23 @@
         taken, and what it sent first is dispatched for nobody."""
         for _ in range(READS_PER_TURN):
             if self.pending_read is None:
-                full = self.inflow.end == len(self.inflow.data)
-                if full and self.inflow.whole() and not self.may_read_ahead():
+                full = self.buffer.end == len(self.buffer.data)
+                if full and self.buffer.has_line() and not self.may_read_ahead():
                     return
-                self.pending_read = self.stream.read_into(self.inflow.room(), partial=True)
+                self.pending_read = self.stream.read_into(self.buffer.writable(), partial=True)
             if not self.pending_read.done():
                 return
             reading, self.pending_read = self.pending_read, None
-            if self.inflow.start == self.inflow.end:
+            if self.buffer.start == self.buffer.end:
                 self.line_since = clock.now()
-            self.inflow.filled(reading.result())
+            self.buffer.advance(reading.result())
             if self.draining:
-                self.inflow.void()
+                self.buffer.discard()
 
     def may_read_ahead(self) -> bool:
         """Whether more is read though whole lines wait. Who has sent that much, and lines out of form before
         it, is not waited for."""
-        if len(self.inflow.data) < READ_AHEAD_BYTES and self.inflow.can_grow():
+        if len(self.buffer.data) < READ_AHEAD_BYTES and self.buffer.can_grow():
             return True
         if self.bad_lines:
             self.metrics.add("clients that flood")
@@ -253,7 +257,11 @@
     def handle_lines(self) -> None:
         """Some of the lines that have come; one client must not hold the loop."""
         for _ in range(LINES_PER_TURN):
-            if self.draining or clock.now() < self.paced_until or (message := self.inflow.line()) is None:
+            if (
+                self.draining
+                or clock.now() < self.paced_until
+                or (message := self.buffer.next_line()) is None
+            ):
                 return
             self.handle_line(message)
             if self.bad_lines:
@@ -262,7 +270,7 @@
     async def wait_for_input(self) -> None:
         """Wait until there is something to do."""
         slow = self.paced_until - clock.now()
-        if not self.inflow.whole() and self.pending_read is not None:
+        if not self.buffer.has_line() and self.pending_read is not None:
             await self.pending_read
         elif slow > 0 and self.pending_read is not None:
             await asyncio.wait((self.pending_read,), timeout=slow)
@@ -273,7 +281,7 @@
         """Take nothing more, and end the connection once what is open on it is answered. Risk: a request that
         was read is lost for what came behind it."""
         self.draining = True
-        self.inflow.void()
+        self.buffer.discard()
         self.end_if_answered()
 
     def end_if_answered(self) -> None:
@@ -289,7 +297,7 @@
         if self.shutting_down or self.stream.closed():
             return
         self.draining = self.shutting_down = True
-        self.inflow.void()
+        self.buffer.discard()
         self.abandon_batches()
         self.shut_write_side()
         asyncio.get_running_loop().call_later(LINGER_S, self.stream.close)
@@ -307,7 +315,7 @@
             return False
         till = max(self.since, self.line_since) + SILENT_TIMEOUT_S
         till = till if self.has_sent_line else min(till, self.since + FIRST_LINE_TIMEOUT_S)
-        return self.inflow.start == self.inflow.end or clock.now() < till
+        return self.buffer.start == self.buffer.end or clock.now() < till
 
     def has_unread_input(self) -> bool:
         """Whether something has come that no batch was made of yet."""
@@ -318,38 +326,40 @@
         with suppress(OSError):
             if self.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        return self.inflow.start != self.inflow.end
+        return self.buffer.start != self.buffer.end
 
     def handle_line(self, message: memoryview) -> None:
         if not bytes(message[:64]).strip():
             return
         self.since, self.has_sent_line = clock.now(), True
         try:
-            call = jsonrpc.read(message)
+            call = jsonrpc.parse_call(message)
             if call.method == "status":
                 if call.number is not None:
-                    self.write(jsonrpc.value(call.number, {"ready": self.listener.ready()}))
+                    self.write(jsonrpc.encode_value(call.number, {"ready": self.listener.ready()}))
             elif call.method == "withdraw":
                 self.withdraw(call)
             else:
                 self.submit(call)
                 self.bad_lines = 0
-        except jsonrpc.Bad as why:
+        except jsonrpc.InvalidCall as why:
             self.metrics.add("bad lines")
             self.bad_lines += 1
             self.listener.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
             # Risk: an error under a number that is open would be the answer to what is open under it.
             number = None if why.number in self.open_batches else why.number
-            self.write(jsonrpc.error(number, why.code, why.why))
+            self.write(jsonrpc.encode_error(number, why.code, why.why))
             if self.bad_lines >= MAX_BAD_LINES:
                 self.metrics.add("clients that send nothing of use")
                 self.end_when_answered()
 
     def submit(self, call: jsonrpc.Call) -> None:
         if call.number in self.open_batches:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, "id: still open", call.number)
+            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: still open", call.number)
         if len(self.open_batches) >= MAX_OPEN_REQUESTS:
-            raise jsonrpc.Bad(jsonrpc.NO_REQUEST, f"more than {MAX_OPEN_REQUESTS} open requests", call.number)
+            raise jsonrpc.InvalidCall(
+                jsonrpc.NO_REQUEST, f"more than {MAX_OPEN_REQUESTS} open requests", call.number
+            )
         batch = self.listener.batch(call)
         self.open_batches[call.number] = batch
         self.highest_number = max(self.highest_number, call.number)
@@ -385,7 +395,7 @@
         # A number of its own wants an answer of its own; that of a request would get a second one.
         if call.number is not None and call.number > self.highest_number:
             self.highest_number = call.number
-            self.write(jsonrpc.value(call.number, {}))
+            self.write(jsonrpc.encode_value(call.number, {}))
 
     def write(self, data: bytes) -> None:
         """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
@@ -417,7 +427,7 @@
     def close(self) -> None:
         """The connection has ended, and with it the client's interest in all that is open on it."""
         self.listener.sessions.pop(self, None)
-        self.inflow.drop()
+        self.buffer.release()
         self.abandon_batches()
         self.stream.close()
 
@@ -434,7 +444,7 @@
     """The one final answer as it goes to the client."""
     match told:
         case End():
-            return jsonrpc.result(number, told.pages)
+            return jsonrpc.encode_result(number, told.pages)
         case it.PushBack():
-            return jsonrpc.error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
-    return jsonrpc.error(number, jsonrpc.ERRORED, "errored")
+            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
+    return jsonrpc.encode_error(number, jsonrpc.ERRORED, "errored")
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -42,7 +42,7 @@
     true_memory: float = 0.0
     report: tuple[float, ...] = ()
     pages: list[bytes] = field(default_factory=list)
-    flight_messages: list[bytes] | None = None
+    stream_messages: list[bytes] | None = None
     # Rows that an update has changed, where its engine says so.
     changed: int = -1
     # Where the result went on before it was whole.
@@ -89,15 +89,15 @@
     async def run_dispatch(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `progress.started` holds
-        from the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
+        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `progress.started` holds from
+        the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
         run."""
 
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `run_dispatch`,
-        and nothing is begun. `ASTRAY` where the engine does not know of it."""
+        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `run_dispatch`, and
+        nothing is begun. `ASTRAY` where the engine does not know of it."""
 
     async def query_status(self, entry: Entry, name: Name) -> str:
         """Ask for a batch that nobody waits for here, so that its engine goes on with it or keeps its result:
@@ -172,7 +172,7 @@
             return "engine draining or gone"
         if clock.now() >= order.begin_by:
             return "too late to begin"
-        if batch.ward and not batch.ward.sure():
+        if batch.lease_guard and not batch.lease_guard.is_held():
             return "not surely this front's"
         return ""
 
@@ -236,7 +236,7 @@
     async def run_protocol(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        if batch.ward and not await batch.ward.out(end.number, end.engine):
+        if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
             raise NoResultError(self.never_sent(batch, end.number))
         if end.number in batch.under:
             await self.protocol(entry).resume(batch, entry, end, progress, till)
@@ -249,7 +249,7 @@
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
         """Risk: a front that was stopped and wakes calls off what another has gone on with."""
-        if not batch.ward or await batch.ward.may_call_off():
+        if not batch.lease_guard or await batch.lease_guard.may_cancel():
             await self.protocol(entry).cancel_dispatch(batch, entry, progress)
 
     def reprioritise(self, batch: Batch) -> None:
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -162,7 +162,7 @@
             fields["Pool-Mb"] = str(round(batch.grant))
         if batch.priority is not None:
             fields["Pool-Rank"] = str(batch.priority)
-        return http.call("POST", "/fetch", address, fields, asked.statement)
+        return http.encode_request("POST", "/fetch", address, fields, asked.statement)
 
     def outcome(self, reply: http.Reply, progress: DispatchProgress) -> it.DispatchOutcome:
         if reply.status == 200:
@@ -206,7 +206,7 @@
             try:
                 progress.last_call_at = clock.now()
                 self.count_call("GET", entry)
-                request = http.call("GET", f"{path}{page}", entry.address, {})
+                request = http.encode_request("GET", f"{path}{page}", entry.address, {})
                 reply = await link.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
                 self.take_reply(reply, page, link, end, progress, batch)
                 if reply.status in NEVER_RAN and batch.lane in self.needs_proof and link.calls > 1:
@@ -247,7 +247,7 @@
         except (Spoilt, http.Unreadable):
             link.stream.close()
             raise
-        end.report = http.gauges(reply.text(b"x-gauges"), self.fields) or end.report
+        end.report = http.parse_load_report(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
             progress.acknowledged = True
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
@@ -265,7 +265,7 @@
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MAX_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
-        rows = http.page(reply.body)
+        rows = http.check_page(reply.body)
         if link.repeats(reply):
             raise Spoilt("the same answer twice on one connection")
         if link.surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
@@ -282,7 +282,7 @@
                 link = await self.links.take(entry, urgent=False)
                 try:
                     path, priority = dispatch_path(batch, number)[:-1], b"%d" % batch.priority
-                    call = http.call("PUT", path, entry.address, {}, priority)
+                    call = http.encode_request("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
                     await link.call(call, CALL_TIMEOUT_S)
                 finally:
@@ -313,7 +313,7 @@
         try:
             link = await self.links.take(entry, urgent=False)
             try:
-                request = http.call("GET", f"/fetch/{name.txn}/0", entry.address, {})
+                request = http.encode_request("GET", f"/fetch/{name.txn}/0", entry.address, {})
                 reply = await link.call(request, POLL_TIMEOUT_S)
             finally:
                 self.links.give_back(link)
@@ -329,7 +329,7 @@
                 link = await self.links.take(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await link.call(http.call("DELETE", path, entry.address, {}), CALL_TIMEOUT_S)
+                    await link.call(http.encode_request("DELETE", path, entry.address, {}), CALL_TIMEOUT_S)
                     return
                 finally:
                     self.links.give_back(link)
@@ -344,8 +344,10 @@
         try:
             link = await self.urgent_link(entry)
             try:
-                reply = await link.call(http.call("GET", "/stats", entry.address, {}), self.probe_limit)
-                report = http.gauges(reply.text(b"x-gauges"), self.fields)
+                reply = await link.call(
+                    http.encode_request("GET", "/stats", entry.address, {}), self.probe_limit
+                )
+                report = http.parse_load_report(reply.text(b"x-gauges"), self.fields)
                 return (
                     it.DispatchOutcome.RETURNED if reply.status == 200 else it.DispatchOutcome.ERRORED,
                     report,
