--- a/thistlelever/carrier/__init__.py
+++ b/thistlelever/carrier/__init__.py
@@ -1,1 +1,1 @@
-"""Carries events to the decisions and their actions to the sockets. It decides nothing."""
+"""The I/O of a front: passes events to the decisions and carries out their actions on sockets."""
--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -1,4 +1,4 @@
-"""The life of one batch, from its reading to the end of its last dispatch, top to bottom."""
+"""Runs one task per batch, from its submission to the end of its last dispatch."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
     from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
     from thistlelever.carrier.leases import LeaseService
 
-# What a batch's task receives beside the actions and the ends of its dispatches.
+# Messages to a batch's task, besides actions, commands and ends of dispatches: its client has left, or its
+# backstop timer has fired.
 CLIENT_LEFT, OVERDUE = "left", "overdue"
-# A batch that the decisions left without an answer is answered this long after its time limit: they
-# answer at the limit itself, and an answer counts for 70 ms more.
+# How long after its time limit a batch is answered by the backstop if the decisions have not answered it, in
+# seconds. They answer at the limit itself, and an answer counts for 70 ms more.
 BACKSTOP_DELAY_S = 0.025
 
-# How a door gives a batch's one final answer: called once, with the result, with one that has begun to come
-# and goes on from there, or with why there is none.
+# Delivers a batch's final answer; called exactly once, with the end of the dispatch that returned the result,
+# with a result that is still streaming, or with a refusal or an error.
 Answer = Callable[[it.Action | End | Begun], None]
 
 
 class BatchTasks:
-    """Runs one task a batch."""
+    """Starts the task of each batch and keeps the tasks that run."""
 
     def __init__(
         self, decisions: DecisionLoop, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
     ) -> None:
-        # Where budgets are on, what batches pass before the decisions hear of them; where takeover is, who
-        # knows whose they are.
+        # With budgets on, the gate that batches pass before the decisions see them.
         self.gate: BudgetGate | None = None
+        # With takeover on, the leases of batches.
         self.leases: LeaseService | None = None
-        # Where state is kept, what a former life has said of a batch.
+        # With state kept on disk, what is known of batches from before a restart.
         self.remembered: RememberedOutcomes | None = None
         self.decisions, self.dispatcher, self.batches = decisions, dispatcher, batches
         self.metrics, self.log = metrics, log
         self.tasks: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, answer: Answer) -> None:
+        """Open a batch and start its task; `answer` is called exactly once."""
         self.batches.add(batch)
         task = asyncio.get_running_loop().create_task(self.run_guarded(batch, answer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run_guarded(self, batch: Batch, answer: Answer) -> None:
-        """The life, with an answer even where this code fails."""
+        """Run a batch; if that fails, cancel its dispatches and answer with an error."""
         self.arm_backstop(batch)
         try:
             await self.run(batch, answer)
@@ -80,6 +82,7 @@
             self.batches.drop(batch)
 
     def arm_backstop(self, batch: Batch) -> None:
+        """Set the timer that answers the batch if the decisions do not, replacing an earlier one."""
         if batch.backstop:
             batch.backstop.cancel()
         overdue_at = clock.on_loop(batch.limit_at) + BACKSTOP_DELAY_S
@@ -87,12 +90,12 @@
         batch.backstop = loop.call_at(overdue_at, batch.inbox.put_nowait, OVERDUE)
 
     def stop(self, at: float) -> None:
-        """The front ends at that time: what is open must be over by then, what is out included."""
+        """Shorten the time limits of open batches and of their dispatches to `at`, when the front stops."""
         for batch in self.batches.by_number.values():
             if batch.limit_at > at:
                 batch.limit_at = at
                 self.arm_backstop(batch)
-                # Risk: one that has struck can't be moved, and its refusal would end the stop halfway.
+                # An expired timeout raises if it is rescheduled, which would end the stop halfway.
                 for limit in (limit for limit in batch.limits.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
         self.decisions.add_event(it.FrontStopping(at))
@@ -100,6 +103,7 @@
             self.gate.shut_down(at)
 
     async def run(self, batch: Batch, answer: Answer) -> None:
+        """Handle the messages of a batch until it is answered and its last dispatch has ended."""
         if self.leases and not await self.claim(batch, answer):
             return
         if self.remembered and (message := self.remembered.look_up(batch)):
@@ -126,8 +130,8 @@
                     task = batch.out.get(message.number)
                     if task and not task.cancelling():
                         task.cancel()
-                # Risk: two dispatches' rows in one result. Only the first to ask passes on, and only while no
-                # answer was given; from then on the answer is begun, whatever becomes of the rest.
+                # Only the first dispatch that asks may stream its result, and only while the batch is not
+                # answered; otherwise rows of two dispatches could get into one result.
                 case Begun() if not batch.answered and message.result_stream.is_usable():
                     batch.result_stream = message.result_stream
                     self.extend_limit(batch, message.number)
@@ -147,7 +151,8 @@
                     if message.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
                         await self.send_if_owned(batch, answer, message)
                     self.decisions.add_event(message.event(batch.number, batch.answered))
-                # Risk: orders cross a client that has left, or the backstop; neither owes another answer.
+                # Actions may arrive after the client has left or the backstop has answered; the guards on
+                # `answered` prevent a second answer.
                 case it.PushBack() | it.Error() if not batch.answered:
                     await self.send_if_owned(batch, answer, message)
                 case TakenOver() if not batch.answered:
@@ -172,8 +177,8 @@
                     self.decisions.add_event(it.ClientLeft(batch.number))
 
     async def claim(self, batch: Batch, answer: Answer) -> bool:
-        """Find out whose the batch is before anything is done for it; whether it is this front's to go on
-        with, and its client still there."""
+        """Acquire the lease of a batch before anything is sent for it; returns whether this front may run the
+        batch and its client is still there."""
         if not batch.asked.reference:
             self.leases.register_lazy(batch)
             return True
@@ -191,8 +196,8 @@
             if message is CLIENT_LEFT:
                 batch.answered = True
             elif message is OVERDUE:
-                # Nothing of it was sent from here. One that has come before may be another front's by now,
-                # and what becomes of it there is not known here.
+                # Nothing was sent from here. A retried batch may run at another front, with an outcome that
+                # is not known here, so its client is not told that nothing ran.
                 answer_early = (
                     it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
                 )
@@ -205,18 +210,19 @@
         if message:
             self.send_answer(batch, answer, message)
             return False
-        # What looking for it took is time that the batch no longer has.
+        # The time that acquiring took counts against the time limit.
         batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
         return True
 
     async def send_if_owned(self, batch: Batch, answer: Answer, message: it.Action | End) -> None:
-        """The final answer, once it is sure that the batch still is this front's to answer."""
+        """Send the final answer once the lease confirms that this front may still answer the batch."""
         if batch.lease_guard:
             message = await batch.lease_guard.confirm_answer(message)
         self.send_answer(batch, answer, message)
 
     async def wait_for_admission(self, batch: Batch, answer: Answer) -> bool:
-        """Wait for the budgets' turn; whether it came before the client left or the time was up."""
+        """Wait until the budgets release the batch; returns False if it was refused, its client left or its
+        time was up."""
         self.gate.submit(batch)
         while True:
             message = await batch.inbox.get()
@@ -232,20 +238,21 @@
                     self.gate.client_left(batch)
                     return False
                 case _ if message is OVERDUE:
-                    # Nothing was ever sent, so that trying again is harmless.
+                    # Nothing was sent, so a retry is harmless.
                     self.metrics.add("held past the limit")
                     self.send_answer(batch, answer, it.PushBack(batch.number, 0.0))
                     self.gate.client_left(batch)
                     return False
 
     def extend_limit(self, batch: Batch, number: int) -> None:
-        """A result that goes on has until the client's own limit, not just while another dispatch could still
-        meet the goal: there will be no other."""
+        """Extend the time limit of a dispatch whose result is streaming to that of the batch, as no other
+        dispatch can replace it."""
         limit = batch.limits.get(number)
         if limit and not limit.expired():
             limit.reschedule(clock.on_loop(batch.limit_at))
 
     def send_answer(self, batch: Batch, answer: Answer, message: it.Action | End | Begun) -> None:
+        """Give the final answer; a second one is counted as a broken invariant and not sent."""
         if self.metrics.check_invariant(not batch.answered, "one final answer"):
             batch.answered = True
             answer(message)
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listening port, one session a connection, answers written whole."""
+"""The JSON-RPC listener for clients: accepts connections and runs one session per connection."""
 
 from __future__ import annotations
 
@@ -23,30 +23,41 @@
 from thistlelever.wire import jsonrpc
 from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
-# Most lines are a few hundred bytes; a statement of 190 KB still passes.
+# Initial size of a read buffer, and the longest line: room for a statement of 190 KB. Most lines have a few
+# hundred bytes.
 READ_BYTES, MAX_LINE_BYTES = 4_096, 262_144
-# 32 open requests at 48,000 bytes in base64 each: a client that reads nothing gets no more than that.
+# Open requests per connection, and unsent bytes per connection: the answers to that many requests, with
+# 48,000 bytes in base64 each.
 MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES = 32, 32 * 66_000
-# A client is owed a word or a close 3 s after it connects, and closes what idles for 4 s itself.
+# Seconds: until a connection without a whole line is closed, until the first line must be whole, until an
+# idle connection is closed. A client must get a reply or a close within 3 s of connecting; it closes its own
+# connections after 4 s idle.
 SILENT_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, IDLE_TIMEOUT_S = 1.5, 2.4, 5.0
-# Who has said nothing in this time is closed before one that has: it counts as idle for so much longer.
+# A connection without a whole line for SILENT_AFTER_S counts as idle for SILENT_PENALTY_S longer, so that it
+# is closed before one that has sent requests.
 SILENT_AFTER_S, SILENT_PENALTY_S = 0.1, 1.0
-# At the bound connections wait at the port for a place; past this a close tells them that there is none.
+# At the connection limit, how long a new connection may wait before it is closed unserved, in seconds.
 PLACE_TIMEOUT_S = 1.0
-# A client at full speed gets so many lines in one turn of the loop, and so many connections are taken in one.
+# Limits per iteration of the event loop: lines handled per client, connections accepted, reads per client.
 LINES_PER_TURN, ACCEPTS_PER_TURN, READS_PER_TURN = 8, 32, 16
-# Whole lines that wait are read up to this, which holds the open requests of usual clients.
+# Reading goes on up to this size while whole lines wait in the buffer; it holds the open requests of a
+# typical client.
 READ_AHEAD_BYTES = 65_536
-# A connection that this side has ended is read from for so long: what crosses the shutdown comes in 50 ms.
+# How long a connection is still read after its write side was shut down, in seconds. Data in flight arrives
+# within 50 ms.
 LINGER_S = 0.15
-# After each line out of form the next is read this much later, and after so many in a row none.
+# Delay in seconds per consecutive malformed line before the next is handled, and how many end the connection.
 BAD_LINE_DELAY_S, MAX_BAD_LINES = 0.01, 16
-# A port that can take no more for now is looked at again after this, and so are lines at the front's end.
+# Interval in seconds for retrying to accept, and for checking for unfinished work during shutdown.
 RETRY_DELAY_S = 0.005
 
 
 class ClientListener:
-    """Takes connections and turns what clients submit into batches."""
+    """Accepts client connections within the limits of `bounds` and makes batches of their calls.
+
+    `unsent_bytes` counts the answers of all sessions that are not written yet; `quota` bounds the growth of
+    their read buffers.
+    """
 
     def __init__(
         self, validator: RequestValidator, batch_tasks: BatchTasks, metrics: Metrics, log: Log, bounds: Bounds
@@ -55,23 +66,25 @@
         self.log, self.bounds = log, bounds
         self.ready: Callable[[], bool] = lambda: False
         self.unsent_bytes, self.quota = 0, BufferQuota(bounds.unfinished)
-        # The connection that waits for a place, others behind it at the port, and since when some do.
+        # An accepted connection that waits until a session ends, and since when the limit is reached; further
+        # connections wait in the listen queue.
         self.pending_socket: socket.socket | None = None
         self.full_since = float("inf")
         self.sessions: dict[ClientSession, asyncio.Task] = {}
         self.server_socket: socket.socket | None = None
 
     def listen(self, raw: socket.socket) -> None:
+        """Accept connections from a listening, non-blocking socket."""
         self.server_socket = raw
         asyncio.get_running_loop().add_reader(raw, self.accept)
 
     async def finish(self, within: float) -> None:
-        """Take no more, and end each connection in order; what is not over in that time is cut."""
-        # Risk: who waits at the port when it is closed is reset, with a first request that is whole.
+        """Stop accepting, answer what is open, then end all sessions, waiting up to `within` seconds."""
+        # Closing the socket would reset the connections in its queue, and their first requests with them.
         self.accept()
         asyncio.get_running_loop().remove_reader(self.server_socket)
         for raw in (self.server_socket, self.pending_socket):
-            # The descriptor is free even where the call fails.
+            # The descriptor is released even if close() fails.
             with suppress(OSError):
                 raw and raw.close()
         await self.drain()
@@ -81,33 +94,33 @@
             await asyncio.wait(self.sessions.values(), timeout=within)
 
     async def drain(self) -> None:
-        """Until what has begun to come is taken and answered, while the front's own time lasts. Risk: a
-        request whose last bytes come a moment after all others are answered meets the close."""
+        """Wait until received requests are answered, at most until `stop_at`. A request whose last bytes come
+        just after all others were answered is lost with its connection."""
         while clock.now() < self.validator.stop_at and (
             self.batch_tasks.tasks or any(session.has_pending_input() for session in self.sessions)
         ):
             await asyncio.sleep(RETRY_DELAY_S)
 
     def accept(self) -> None:
-        """Take what waits at the port; one turn of the loop must not go to new connections alone."""
+        """Accept waiting connections, a limited number per loop iteration."""
         for _ in range(ACCEPTS_PER_TURN):
             try:
                 raw, self.pending_socket = self.pending_socket or self.server_socket.accept()[0], None
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Risk: a port that stays readable and can't be taken from turns the loop into a spin.
+                # The socket stays readable; without a pause the event loop would spin.
                 self.metrics.add("connections that could not be taken")
                 self.pause_accepting()
                 return
             place = len(self.sessions) < self.bounds.sessions or self.close_idle_session()
             if not place and clock.now() < self.full_since + PLACE_TIMEOUT_S:
-                # Risk: closed unread, its first request is lost; a place may be free in a moment.
+                # Closing it would lose its first request; a session may end soon.
                 self.full_since, self.pending_socket = min(self.full_since, clock.now()), raw
                 self.pause_accepting()
                 return
             if not place:
-                # All have batches open. A close is an answer too, and the next front may have a place.
+                # All sessions have open batches. After a close the client can try another front.
                 self.metrics.add("connections past the bound")
                 with suppress(OSError):
                     raw.close()
@@ -116,7 +129,7 @@
             try:
                 raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             except OSError:
-                # The connection has ended already, or its answers leave a little later.
+                # The connection has already ended, or Nagle's algorithm delays its answers slightly.
                 self.metrics.add("connections without TCP_NODELAY")
             stream = Stream(
                 raw,
@@ -128,18 +141,23 @@
             self.sessions[session] = asyncio.get_running_loop().create_task(session.run())
 
     def pause_accepting(self) -> None:
+        """Stop accepting for `RETRY_DELAY_S` seconds."""
         asyncio.get_running_loop().remove_reader(self.server_socket)
         asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.resume_accepting)
 
     def resume_accepting(self) -> None:
+        """Accept again, unless the socket was closed meanwhile."""
         if self.server_socket.fileno() >= 0:
             self.listen(self.server_socket)
             self.accept()
 
     def close_idle_session(self) -> bool:
-        """Make place: of those with nothing open and nothing unread the one longest idle goes. Risk: a first
-        request that meets its connection's close is a loss, and so is a client kept out by others that stay
-        for good."""
+        """Close the session that has been idle longest, of those without open batches and unread input;
+        returns whether there was one.
+
+        Without this, clients that stay connected would keep others out for good. Sessions with unread input
+        are kept, as closing them would lose a request.
+        """
         now = clock.now()
 
         def idle_since(session: ClientSession) -> float:
@@ -156,7 +174,7 @@
         return False
 
     def sweep(self) -> None:
-        """Close who has nothing open and said nothing whole for too long."""
+        """Close sessions that have no open batch and have sent no whole line for too long."""
         now = clock.now()
         for session in [s for s in self.sessions if not s.open_batches and not s.shutting_down]:
             waits = session.has_sent_line and session.buffer.start == session.buffer.end
@@ -168,7 +186,7 @@
                 session.end()
 
     def batch(self, call: jsonrpc.Call) -> Batch:
-        """The batch that a call submits; `InvalidCall` where it can't be one."""
+        """Make a batch of a call; raises `InvalidCall` where the call is not a valid submission."""
         if call.method not in self.validator.query_classes:
             raise jsonrpc.InvalidCall(
                 jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number
@@ -185,7 +203,7 @@
 
 
 class ClientSession:
-    """One client's connection."""
+    """One client's connection: reads calls, one a line, and writes each answer as one line."""
 
     def __init__(self, stream: Stream, listener: ClientListener) -> None:
         self.stream, self.listener = stream, listener
@@ -193,18 +211,18 @@
         self.buffer = ReadBuffer(READ_BYTES, MAX_LINE_BYTES, listener.quota)
         self.open_batches: dict[int, Batch] = {}
         self.highest_number, self.bad_lines, self.paced_until = 0, 0, 0.0
-        # The read that is under way, as one always is; answers not yet out; whether this side has ended it.
+        # The read in progress; number of writes in progress; whether this side has ended the connection.
         self.pending_read: asyncio.Future | None = None
         self.pending_writes, self.shutting_down = 0, False
-        # Whether nothing more is taken, and the connection ends once what is open is answered.
+        # Whether input is ignored and the connection ends once the open batches are answered.
         self.draining = False
-        # When it connected, or last had a batch open or said something whole.
+        # When it connected, last had an open batch, or last sent a whole line; whether it has sent one.
         self.since, self.has_sent_line = clock.now(), False
-        # When the line began of which no end has come yet.
+        # When the first bytes of the current partial line arrived.
         self.line_since = self.since
 
     async def run(self) -> None:
-        """Until the connection is closed: by the client, or by this side some time after `end`."""
+        """Serve the connection until the client closes it, or this side does, `LINGER_S` after `end`."""
         try:
             while True:
                 try:
@@ -226,9 +244,11 @@
             self.close()
 
     def read(self) -> None:
-        """Read on for as long as something is there and has a place, before any of it is taken: a read is
-        always under way. Risk: a client that sends much and goes is gone for long before its last line is
-        taken, and what it sent first is dispatched for nobody."""
+        """Read what is there, as far as the buffer has room, before any line of it is handled.
+
+        A read is always in progress, so that the close of a client that sends much and leaves is noticed
+        before its first requests are dispatched in vain. Raises `TooLong` for a line past the limit.
+        """
         for _ in range(READS_PER_TURN):
             if self.pending_read is None:
                 full = self.buffer.end == len(self.buffer.data)
@@ -245,8 +265,8 @@
                 self.buffer.discard()
 
     def may_read_ahead(self) -> bool:
-        """Whether more is read though whole lines wait. Who has sent that much, and lines out of form before
-        it, is not waited for."""
+        """Whether to read on while whole lines wait; a client that fills the buffer after malformed lines is
+        disconnected."""
         if len(self.buffer.data) < READ_AHEAD_BYTES and self.buffer.can_grow():
             return True
         if self.bad_lines:
@@ -255,7 +275,7 @@
         return self.draining
 
     def handle_lines(self) -> None:
-        """Some of the lines that have come; one client must not hold the loop."""
+        """Handle a limited number of received lines, so that one client does not block the event loop."""
         for _ in range(LINES_PER_TURN):
             if (
                 self.draining
@@ -268,7 +288,7 @@
                 self.paced_until = clock.now() + BAD_LINE_DELAY_S * self.bad_lines
 
     async def wait_for_input(self) -> None:
-        """Wait until there is something to do."""
+        """Wait for input, or until the delay after malformed lines is over; yields at least once."""
         slow = self.paced_until - clock.now()
         if not self.buffer.has_line() and self.pending_read is not None:
             await self.pending_read
@@ -278,22 +298,24 @@
             await asyncio.sleep(max(slow, 0.0))
 
     def end_when_answered(self) -> None:
-        """Take nothing more, and end the connection once what is open on it is answered. Risk: a request that
-        was read is lost for what came behind it."""
+        """Ignore further input, and end the connection once its open batches are answered, so that bad input
+        does not lose requests that came before it."""
         self.draining = True
         self.buffer.discard()
         self.end_if_answered()
 
     def end_if_answered(self) -> None:
-        """End a connection on which nothing more is taken, unless an answer is owed on it still."""
+        """End the connection if it is draining and has no open batches."""
         if self.draining and not self.open_batches:
             self.end()
 
     def end(self) -> None:
-        """This side ends the connection, in order: nothing more is taken from it, what was written goes out,
-        our direction is shut, what comes is read and dropped for a while, and then it is closed. Risk: a
-        close over unread bytes resets the connection and takes the last answer with it; a line taken after
-        the shutdown has an effect that no answer can tell of."""
+        """End the connection in order: write out pending answers, shut down the write side, discard input for
+        `LINGER_S` seconds, then close.
+
+        Closing with unread input would reset the connection and lose the last answer. A line handled after
+        the shutdown would have effects that no answer could report, so input is discarded.
+        """
         if self.shutting_down or self.stream.closed():
             return
         self.draining = self.shutting_down = True
@@ -303,14 +325,17 @@
         asyncio.get_running_loop().call_later(LINGER_S, self.stream.close)
 
     def shut_write_side(self) -> None:
-        """Our direction, once all that was written is out."""
+        """Shut down the write side once the session is ending and all answers are written."""
         if self.shutting_down and not self.pending_writes and not self.stream.closed():
             with suppress(OSError):
                 self.stream.socket.shutdown(socket.SHUT_WR)
 
     def has_pending_input(self) -> bool:
-        """Whether something has come that no batch was made of yet, and that is not waited for too long.
-        Risk: a connection that rested is closed over half of its next request."""
+        """Whether there is unhandled input that is still worth waiting for.
+
+        A partial line counts until its timeout, so that an idle connection is not closed in the middle of
+        its next request.
+        """
         if self.draining or not self.has_unread_input():
             return False
         till = max(self.since, self.line_since) + SILENT_TIMEOUT_S
@@ -318,7 +343,7 @@
         return self.buffer.start == self.buffer.end or clock.now() < till
 
     def has_unread_input(self) -> bool:
-        """Whether something has come that no batch was made of yet."""
+        """Whether there is unhandled input, in the buffer or in the socket."""
         if self.stream.closed():
             return False
         if self.pending_read is not None and self.pending_read.done():
@@ -329,6 +354,7 @@
         return self.buffer.start != self.buffer.end
 
     def handle_line(self, message: memoryview) -> None:
+        """Handle one line; a malformed one is answered with an error and counted."""
         if not bytes(message[:64]).strip():
             return
         self.since, self.has_sent_line = clock.now(), True
@@ -346,7 +372,7 @@
             self.metrics.add("bad lines")
             self.bad_lines += 1
             self.listener.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
-            # Risk: an error under a number that is open would be the answer to what is open under it.
+            # An error with the number of an open request would be taken for the answer to that request.
             number = None if why.number in self.open_batches else why.number
             self.write(jsonrpc.encode_error(number, why.code, why.why))
             if self.bad_lines >= MAX_BAD_LINES:
@@ -354,6 +380,7 @@
                 self.end_when_answered()
 
     def submit(self, call: jsonrpc.Call) -> None:
+        """Start the batch of a call; raises `InvalidCall` where it is not valid or not allowed."""
         if call.number in self.open_batches:
             raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: still open", call.number)
         if len(self.open_batches) >= MAX_OPEN_REQUESTS:
@@ -376,7 +403,7 @@
         self.listener.batch_tasks.start(batch, answer)
 
     def log_refusal(self, batch: Batch, told: it.Action | End) -> None:
-        """Log an answer that is no result: whose it is, and how far the batch had come."""
+        """Log an answer without a result, with the batch's id and the number of its dispatches."""
         if type(told) in (it.PushBack, it.Error):
             said = "query refused" if type(told) is it.PushBack else "query errored"
             left = round(batch.limit_at - clock.now(), 3)
@@ -385,20 +412,22 @@
             )
 
     def withdraw(self, call: jsonrpc.Call) -> None:
-        """The client has stopped waiting for one of its requests: nothing more is owed for it."""
+        """Cancel a request that the client no longer waits for; it gets no answer."""
         self.metrics.add("withdrawn")
         named = call.params.get("id", call.number)
         for number, batch in list(self.open_batches.items()):
             if named in (number, batch.asked.txn):
                 del self.open_batches[number]
                 batch.inbox.put_nowait(CLIENT_LEFT)
-        # A number of its own wants an answer of its own; that of a request would get a second one.
+        # A withdrawal with its own number gets a reply; with a request's number the reply would be a second
+        # answer to that request.
         if call.number is not None and call.number > self.highest_number:
             self.highest_number = call.number
             self.write(jsonrpc.encode_value(call.number, {}))
 
     def write(self, data: bytes) -> None:
-        """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
+        """Write one whole line without waiting for it. A client that does not read is disconnected when the
+        unsent answers pass a limit."""
         if self.shutting_down or self.stream.closed():
             return
         if self.listener.unsent_bytes + len(data) > self.listener.bounds.unread:
@@ -418,21 +447,21 @@
             self.listener.unsent_bytes -= len(data)
             self.pending_writes -= 1
             self.shut_write_side()
-            # A failed write needs no more than being looked at: the session ends by its read.
+            # Retrieves the exception of a failed write; the session ends through its read.
             if not future.cancelled():
                 future.exception()
 
         written.add_done_callback(done)
 
     def close(self) -> None:
-        """The connection has ended, and with it the client's interest in all that is open on it."""
+        """Release the session after its connection has ended; its open batches are cancelled."""
         self.listener.sessions.pop(self, None)
         self.buffer.release()
         self.abandon_batches()
         self.stream.close()
 
     def abandon_batches(self) -> None:
-        """Nothing is owed any more for what is open here."""
+        """Tell all open batches that their client has left."""
         for _ in self.open_batches:
             self.metrics.add("left with the connection")
         for batch in self.open_batches.values():
@@ -441,7 +470,7 @@
 
 
 def encode_answer(number: int, told: it.Action | End) -> bytes:
-    """The one final answer as it goes to the client."""
+    """Encode a batch's final answer as a JSON-RPC line."""
     match told:
         case End():
             return jsonrpc.encode_result(number, told.pages)
--- a/thistlelever/carrier/decision_loop.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -1,4 +1,4 @@
-"""The one place where the decisions are told events and asked for actions."""
+"""Passes events to the decisions in batches and carries out the actions that they return."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 class DecisionLoop:
-    """Gathers what comes in one turn of the loop, tells it together, hands the actions on in order."""
+    """Collects events, passes them to the decisions together and carries out the actions in order.
+
+    `tick` is the shortest time between two turns in seconds. `turns` and `busy_seconds` count the turns and
+    the time that they took. A failure of the decisions is logged and counted.
+    """
 
     def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
         self.front, self.batches, self.metrics, self.log = front, batches, metrics, log
@@ -27,6 +31,7 @@
         self.on_ask_list: Callable[[], None] = lambda: None
 
     def add_event(self, event: it.Event) -> None:
+        """Queue an event for the next turn, which is scheduled if it is not yet."""
         if not self.events:
             loop = asyncio.get_running_loop()
             if loop.time() >= self.next_turn_at:
@@ -36,14 +41,17 @@
         self.events.append(event)
 
     def run_turn(self) -> None:
-        """Tell what has come. The next turn is a tick away at least, as on the bench, and as long as this
-        one elapsed: in a flood the decisions must leave half of the core to reading and answering."""
+        """Pass the queued events to the decisions.
+
+        The next turn starts a tick after this one at the earliest, and no sooner after its end than it took:
+        under overload the decisions leave half of the core to reading and answering.
+        """
         events, self.events = self.events, []
         started = perf_counter()
         try:
             actions = self.front.handle(clock.now(), events)
         except Exception as why:
-            # What is open still gets its answer: each batch has a backstop at its time limit.
+            # Open batches are still answered, by their backstop timers at the time limit.
             self.metrics.add("decisions failed")
             self.log("decisions failed", why=repr(why), trace=traceback.format_exc())
             if __debug__:
@@ -57,6 +65,7 @@
         self.next_turn_at = asyncio.get_running_loop().time() + max(self.tick - elapsed, elapsed)
 
     def execute(self, action: it.Action) -> None:
+        """Carry out one action, or put it into the inbox of its batch."""
         kind = type(action)
         if kind is it.Timer:
             loop = asyncio.get_running_loop()
@@ -70,7 +79,7 @@
         elif kind is not it.FollowList:
             batch = self.batches.by_number.get(action.batch)
             if batch is None:
-                # Its client left, or its backstop struck, in the very moment of the action.
+                # Its client left, or its backstop fired, while the decisions were running.
                 self.metrics.add("actions for what is over")
             else:
                 batch.inbox.put_nowait(action)
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -1,4 +1,4 @@
-"""One dispatch, whatever its engine speaks: its time limit, its outcome, and how it is given up."""
+"""Runs dispatches and probes independently of the engine's protocol: time limits, outcomes, cancellation."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class NoResultError(Exception):
-    """The dispatch is over without an answer."""
+    """A dispatch has ended without a result."""
 
     def __init__(self, outcome: it.DispatchOutcome) -> None:
         super().__init__(outcome.name)
@@ -31,8 +31,12 @@
 
 @dataclass(slots=True)
 class End:
-    """How a dispatch ended, with its result where it was returned: pages of rows, or for a batch that asked
-    for columns from an engine that speaks them the stream's messages as they came."""
+    """How a dispatch ended, and its result if it was returned.
+
+    The result is pages of rows, or for a batch that wants columns from an engine that sends them the Flight
+    messages as received. `took` is in seconds, `true_work` in core-seconds, `true_memory` in MB. The class
+    name is written in counters.
+    """
 
     number: int
     engine: it.EngineId
@@ -43,12 +47,13 @@
     report: tuple[float, ...] = ()
     pages: list[bytes] = field(default_factory=list)
     stream_messages: list[bytes] | None = None
-    # Rows that an update has changed, where its engine says so.
+    # Number of rows that an update changed; -1 if the engine did not report it.
     changed: int = -1
-    # Where the result went on before it was whole.
+    # Set once the result is streamed to the client before it is complete.
     result_stream: ResultStream | None = None
 
     def event(self, batch: int, complete: bool) -> it.DispatchEnded:
+        """Return the event for the decisions; `complete`: the batch is answered."""
         return it.DispatchEnded(
             batch,
             self.number,
@@ -64,19 +69,19 @@
 
 @dataclass(slots=True)
 class DispatchProgress:
-    """How far a dispatch has come, for the meaning of how it ended."""
+    """How far a dispatch has come, from which its outcome is derived. Times in seconds."""
 
     number: int
-    # Whether it still may begin: asked right before the first byte of each call that may make an engine run
-    # it, as a connection takes its time to come up and much may have changed meanwhile.
+    # Whether the dispatch may still start. Checked right before the first byte of each call that may make an
+    # engine run it, as much may have changed while the connection was being made.
     may_start: Callable[[], bool] = lambda: True
     started: bool = False
-    # When the decisions ordered it.
+    # When the decisions requested it.
     ordered_at: float = 0.0
-    # When the engine was last asked for the batch; whether it has ever said that it knows it.
+    # When the engine was last called for the batch; whether the engine has confirmed that it has it.
     last_call_at: float = 0.0
     acknowledged: bool = False
-    # Whether its engine was seen to be dead.
+    # Whether the engine refused a connection.
     engine_dead: bool = False
     suspect_replies: int = 0
     posts: int = 0
@@ -84,44 +89,47 @@
 
 
 class EngineProtocol(Protocol):
-    """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `cancel_dispatch`."""
+    """The protocol of one kind of engine. Only `cancel_dispatch` may outlive its dispatch."""
 
     async def run_dispatch(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        """The whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`. `progress.started` holds from
-        the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
-        run."""
+        """Run the whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`.
+
+        `progress.started` must be set from the first byte that may make the engine run the batch, so that a
+        batch that may have run is not reported as never run.
+        """
 
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
-        """Go on with a dispatch that another front has begun, by its id in `batch.under`: as `run_dispatch`, and
-        nothing is begun. `ASTRAY` where the engine does not know of it."""
+        """Continue a dispatch that another front began, by its name in `batch.under`, starting nothing.
+
+        Otherwise like `run_dispatch`. The outcome is `ASTRAY` if the engine does not know the dispatch.
+        """
 
     async def query_status(self, entry: Entry, name: Name) -> str:
-        """Ask for a batch that nobody waits for here, so that its engine goes on with it or keeps its result:
+        """Poll a batch that no client waits for here, so that its engine keeps it or its result. Returns
         `running`, `over`, `unknown` or `silent`."""
 
     async def cancel_by_name(self, entry: Entry, name: Name) -> None:
-        """Give up a batch that another front had out."""
+        """Cancel a dispatch that another front started."""
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
-        """Returns once the engine surely runs the batch no more, or can't be told so."""
+        """Cancel a dispatch; returns once the engine certainly no longer runs it, or cannot be reached."""
 
     async def wait_until_stopped(self, progress: DispatchProgress) -> None:
-        """Returns once the engine surely runs the batch no more, though nobody may tell it to give it up."""
+        """Wait until the engine certainly no longer runs the dispatch, where cancelling is not allowed."""
 
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
-        """The batch's new priority, for that dispatch. A call whose loss costs little: it is made once, and
-        a failure is counted."""
+        """Set the batch's new priority for a dispatch. The call is made once; a failure is only counted."""
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
-        """How a question for the engine's load ended, and the report."""
+        """Request the engine's load; returns the outcome of the call and the reported values."""
 
 
 class Dispatcher:
-    """Starts dispatches and probes, and gives up on them."""
+    """Starts dispatches and probes, and cancels dispatches that fail or are no longer needed."""
 
     def __init__(
         self,
@@ -133,30 +141,34 @@
         log: Log,
     ) -> None:
         self.allows_cancel, self.allows_copies = settings.cancel, settings.copies
-        # What an entry's engine speaks.
+        # Gives the protocol of an engine.
         self.protocol = protocol
         self.roll, self.decisions, self.metrics, self.log = roll, decisions, metrics, log
         self.background: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
+        """Start a dispatch as a task; its `End` goes to the batch's inbox, also if the task is cancelled."""
         batch.engines[number] = order.engine
         self.roll.begin(order.engine)
-        # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
+        # A task that is cancelled before its first step never runs, so the end is reported by a callback;
+        # otherwise the batch would stay open.
         end = End(number, order.engine, it.DispatchOutcome.UNSENT)
         task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
         task.add_done_callback(lambda task: self.on_task_done(batch, end))
         return task
 
     def on_task_done(self, batch: Batch, end: End) -> None:
-        """The one place where a dispatch's end is told, however its task ended."""
+        """Report the end of a dispatch to its batch, however its task ended."""
         self.roll.end(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
     def may_start(self, batch: Batch, order: it.Dispatch) -> bool:
-        """Whether something of a dispatch may still be progress. Risk: its client has left, its engine drains
-        (which counts from the first byte), or its repeats are no longer dropped, and it goes out all the
-        same."""
+        """Whether a dispatch may still be sent; logged and counted if not.
+
+        Since it was requested, its client may have left, its engine may drain (which counts from the first
+        byte), or its repeats may no longer be dropped as duplicates.
+        """
         why = self.refusal(batch, order)
         if not why:
             return True
@@ -165,7 +177,7 @@
         return False
 
     def refusal(self, batch: Batch, order: it.Dispatch) -> str:
-        """Why nothing of a dispatch may be sent any more; empty where it may."""
+        """Return why a dispatch may no longer be sent, or an empty string if it may."""
         if batch.answered:
             return "answered or left"
         if not self.roll.open_to(order.engine):
@@ -177,7 +189,7 @@
         return ""
 
     async def dispatch(self, batch: Batch, end: End, order: it.Dispatch) -> None:
-        """One dispatch from its first byte to its end."""
+        """Run one dispatch to its end, and cancel it at its engine where it may still run there."""
         begun, number = clock.now(), end.number
         till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
         progress = DispatchProgress(number, lambda: self.may_start(batch, order), ordered_at=begun)
@@ -189,7 +201,8 @@
                 async with asyncio.timeout_at(clock.on_loop(till)) as batch.limits[number]:
                     await self.run_protocol(batch, entry, end, progress, till)
         except TimeoutError:
-            # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
+            # A wait for a free connection of this front must not be reported as an unreachable engine, which
+            # would then count as cold.
             end.outcome = it.DispatchOutcome.TIMED_OUT if progress.started else it.DispatchOutcome.UNSENT
         except (asyncio.CancelledError, ReaderLeftError):
             end.outcome = it.DispatchOutcome.CANCELLED
@@ -207,20 +220,20 @@
         if progress.started and end.outcome in MAY_RUN_ON:
             another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
             left = max(batch.limit_at - clock.now(), 0.0)
-            # Risk: an end that a second order to give up swallows leaves the batch open for good.
+            # A second cancellation must not prevent the end from being reported; the batch would stay open.
             with suppress(asyncio.CancelledError, TimeoutError):
                 if self.allows_cancel:
-                    # Risk: a further dispatch that comes before the DELETE makes two out at once.
+                    # The end is reported after the cancel, so that no further dispatch runs beside this one.
                     cancelling = self.run_in_background(self.cancel_dispatch(batch, entry, progress))
                     if another:
                         await asyncio.wait((cancelling,), timeout=left)
                 elif another and not self.allows_copies:
-                    # Risk: where nothing may be called off, a time-out told at once makes the next dispatch
-                    # a second copy beside one that its engine runs on.
+                    # Without cancelling, a time-out reported at once would let the next dispatch run beside
+                    # this one.
                     await asyncio.wait_for(self.protocol(entry).wait_until_stopped(progress), left)
 
     def log_failure(self, batch: Batch, end: End, progress: DispatchProgress) -> None:
-        """Log a dispatch that ended without a result, unless its client has left."""
+        """Log a dispatch that ended without a result, unless it was cancelled."""
         if end.outcome in (it.DispatchOutcome.RETURNED, it.DispatchOutcome.CANCELLED):
             return
         self.log(
@@ -236,6 +249,7 @@
     async def run_protocol(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
     ) -> None:
+        """Run or resume the dispatch by its engine's protocol, once the lease allows it."""
         if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
             raise NoResultError(self.never_sent(batch, end.number))
         if end.number in batch.under:
@@ -244,25 +258,28 @@
             await self.protocol(entry).run_dispatch(batch, entry, end, progress, till)
 
     def never_sent(self, batch: Batch, number: int) -> it.DispatchOutcome:
-        """Risk: what another front has begun, told as never sent, is taken for what never ran."""
+        """Return the outcome of a dispatch that was not sent from here. One that another front began may have
+        run, and must not be reported as never sent."""
         return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
-        """Risk: a front that was stopped and wakes calls off what another has gone on with."""
+        """Cancel a dispatch at its engine, unless another front may have taken the batch over."""
         if not batch.lease_guard or await batch.lease_guard.may_cancel():
             await self.protocol(entry).cancel_dispatch(batch, entry, progress)
 
     def reprioritise(self, batch: Batch) -> None:
-        """The batch's priority also holds for what is out."""
+        """Send the batch's new priority to the engines of its running dispatches."""
         for number in batch.out:
             entry = self.roll.entries.get(batch.engines[number])
             if entry:
                 self.run_in_background(self.protocol(entry).set_priority(batch, entry, number))
 
     def probe(self, action: it.Probe) -> None:
+        """Start a probe; its end goes to the decisions as an event."""
         self.run_in_background(self.run_probe(action.engine))
 
     async def run_probe(self, engine: it.EngineId) -> None:
+        """Probe one engine; one that is not listed counts as unreachable."""
         begun, outcome, report, entry = (
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
@@ -274,6 +291,7 @@
         self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
 
     def run_in_background(self, work: Coroutine) -> asyncio.Task:
+        """Run a coroutine as a task and keep a reference until it is done."""
         task = asyncio.get_running_loop().create_task(work)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -1,8 +1,8 @@
-"""Engines that speak Arrow Flight SQL: GetFlightInfo starts a batch, DoGet brings its result.
+"""The Arrow Flight SQL protocol of engines: GetFlightInfo starts a batch, DoGet fetches its result.
 
-What no specification defines (reports, notes, priority, cancel, drop of repeats, 'never ran') is said in
-headers, metadata and actions as `docs/flight-engines.md` sets them down. Of a broken call only that is told
-as never run dispatch_headers an engine has said so, or whose connection was not up: a gRPC status alone proves nothing.
+Load reports, progress notes, priority, cancel, deduplication and "never ran" are not in the specification;
+they use headers, metadata and actions as described in `docs/flight-engines.md`. A batch is reported as never
+run only if its engine said so or its connection was not up, as a gRPC status alone proves nothing.
 """
 
 from __future__ import annotations
@@ -48,23 +48,23 @@
     ("grpc.max_reconnect_backoff_ms", 1_000),
     ("grpc.enable_http_proxy", 0),
 )
-# Side calls (cancel, priority, load) are short; the cancel is repeated so long.
+# In seconds: time-out of cancel, priority and load calls, how long a cancel is repeated, delay in between.
 CALL_TIMEOUT_S, DROP_AFTER_S, RETRY_DELAY_S = 0.25, 2.0, 0.05
 MAX_ENDPOINTS = 64
-# Rows of text that fit the platform's own door take less than this as columns.
+# Columns larger than this do not fit the text rows of the JSON-RPC protocol.
 MAX_BYTES_FOR_ROWS = 4 * columns.MAX_TEXT_BYTES
-# What our own protocol calls its actions on engines.
+# Action types of engines.
 PRIORITY, STATS, CANCEL = "thistlelever.priority", "thistlelever.stats", "CancelFlightInfo"
 PROGRESS_KINDS = {
     "advance": it.ProgressKind.PROGRESS,
     "disk": it.ProgressKind.SPILL,
     "stall": it.ProgressKind.WAITING,
 }
-# The call broke, or was said to have; whether the batch ran is unknown, and it may run on.
+# Codes of a broken call: it is unknown whether the batch ran, and it may still run.
 BROKEN = frozenset((StatusCode.UNAVAILABLE, StatusCode.CANCELLED, StatusCode.UNKNOWN, StatusCode.INTERNAL))
 Connectivity = grpc.ChannelConnectivity
 Metadata = tuple[tuple[str, str], ...]
-# Nothing is begun by such a call: the engine answers as to the one that began the dispatch, once it can.
+# With this header a call starts nothing: the engine answers it like the call that began the dispatch.
 RESUME_HEADERS: Metadata = (("x-resume", "1"),)
 EMPTY_DESCRIPTOR = pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=b"").SerializeToString()
 BATCH_STATUS = {StatusCode.DEADLINE_EXCEEDED: "running", StatusCode.NOT_FOUND: "unknown"}
@@ -72,7 +72,7 @@
 
 
 class ResultBuffer:
-    """The first messages of one result, while it could still come from another dispatch."""
+    """The first messages of a result, while another dispatch can still replace this one."""
 
     def __init__(self, max_bytes: int, quota: BufferQuota) -> None:
         self.max_bytes, self.quota, self.size = max_bytes, quota, 0
@@ -80,7 +80,7 @@
         self.schema = None
 
     def add(self, raw: bytes) -> bool:
-        """Keep a message; whether there is room for more."""
+        """Store a message; returns whether it fits the limits."""
         self.messages.append(raw)
         try:
             self.quota.reserve(len(raw))
@@ -90,12 +90,17 @@
         return self.size <= self.max_bytes
 
     def release(self) -> None:
+        """Drop the messages and return their bytes to the quota."""
         self.quota.reserve(-self.size)
         self.messages, self.size = [], 0
 
 
 class FlightEngines:
-    """One channel an engine, kept by its id; see `EngineProtocol` in `dispatch.py`."""
+    """The Arrow Flight SQL protocol of engines; implements `EngineProtocol` of `dispatch.py`.
+
+    There is one channel per engine, kept by the engine's id. Results are buffered up to `buffer_limit` bytes,
+    all together up to `quota`; a larger one is streamed with up to `stream_limit` bytes queued.
+    """
 
     def __init__(
         self,
@@ -109,9 +114,7 @@
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
         self.roll, self.decisions, self.metrics = roll, decisions, metrics
-        # What one result may buffer before it begins to go on, and all of them together.
         self.buffer_limit, self.quota = buffer_limit, quota
-        # What of a result that goes on may lie between its engine and its client.
         self.stream_limit = stream_limit
         self.channels: dict[it.EngineId, aio.Channel] = {}
         self.closing: set[asyncio.Task] = set()
@@ -122,7 +125,7 @@
         try:
             descriptor = batch_descriptor(batch)
         except UnicodeDecodeError:
-            # A statement that this protocol can't carry; no engine that speaks it will do better.
+            # Statements must be UTF-8 in this protocol, so no engine that uses it can run this one.
             raise NoResultError(it.DispatchOutcome.ERRORED) from None
         channel = await self.channel(entry)
         if not progress.may_start():
@@ -152,7 +155,10 @@
         till: float,
         further: Metadata = (),
     ) -> None:
-        """The calls of one dispatch."""
+        """Make the calls of one dispatch, with `further` headers on the first.
+
+        Sets `end.outcome` and the result, or raises `NoResultError`.
+        """
         progress.started, progress.last_call_at = True, clock.now()
         buffer = ResultBuffer(self.buffer_limit if batch.columns else MAX_BYTES_FOR_ROWS, self.quota)
         try:
@@ -178,19 +184,22 @@
                 raise NoResultError(it.DispatchOutcome.ASTRAY) from None
             raise NoResultError(await self.outcome(why, entry, batch, progress)) from None
         except aio.UsageError:
-            # Its channel was let go between two calls, as its engine is gone or its connection was lost.
+            # The channel was closed between two calls, as the engine left or the connection was lost.
             raise NoResultError(it.DispatchOutcome.RESET) from None
         except Unreadable as why:
             self.metrics.add("flight results without use")
             self.decisions.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
-            # What we stop reading its engine may run on.
+            # The engine may still run the batch.
             await self.cancel_dispatch(batch, entry, progress)
             end.outcome = it.DispatchOutcome.ERRORED
         finally:
             buffer.release()
 
     async def stream(self, call: aio.UnaryStreamCall, batch: Batch, end: End, buffer: ResultBuffer) -> None:
-        """Take one endpoint's messages: held while they are few, then handed on as they come."""
+        """Read the messages of one endpoint into the buffer; a result that is too large for it is streamed.
+
+        Raises `Unreadable` for an invalid stream, or one too large for a client of rows.
+        """
         first = True
         try:
             async for raw in call:
@@ -202,7 +211,7 @@
                     first = False
                     schema = columns.decode_schema(raw)
                     if buffer.schema is not None:
-                        # Of a further endpoint; the schema was passed on already, and must be the same.
+                        # The schema of a further endpoint was already passed on and must be the same.
                         if not schema.equals(buffer.schema):
                             raise Unreadable("endpoints of different schemas")
                         continue
@@ -212,7 +221,7 @@
                 elif not buffer.add(raw):
                     if not batch.columns:
                         raise Unreadable("more than a client that takes rows can get")
-                    # Too large to buffer: from here on no other dispatch can bring it.
+                    # Too large to buffer; from here on no other dispatch can replace this one.
                     end.result_stream = ResultStream(end.number, buffer.messages, self.stream_limit)
                     batch.inbox.put_nowait(Begun(end.number, end.result_stream))
                     buffer.release()
@@ -223,8 +232,8 @@
             call.cancel()
 
     def finish_result(self, batch: Batch, end: End, buffer: ResultBuffer) -> None:
-        """All is in. For a client of rows it becomes rows here, so that what does not fit is an error of this
-        dispatch and not of the client's."""
+        """Complete a result. Rows are decoded here, so that a result that does not fit is an error of this
+        dispatch."""
         if batch.columns and not end.result_stream:
             end.stream_messages = list(buffer.messages)
         elif not batch.columns:
@@ -252,7 +261,7 @@
             self.read_trailer(await call.trailing_metadata(), end)
             end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
-            # The call was over before all of it was written; its status says why.
+            # The call ended before everything was written; its status tells why.
             raise aio.AioRpcError(
                 await call.code(), await call.initial_metadata(), await call.trailing_metadata()
             ) from None
@@ -262,19 +271,22 @@
     async def outcome(
         self, why: aio.AioRpcError, entry: Entry, batch: Batch, progress: DispatchProgress
     ) -> it.DispatchOutcome:
-        """What a broken call means. Risk: UNAVAILABLE read as 'not sent' runs a batch twice: gRPC says it of
-        a connection that broke with the batch at work, too."""
+        """Return the outcome that a failed call stands for.
+
+        UNAVAILABLE does not mean that nothing was sent: gRPC also reports it for a connection that broke
+        while the batch was running, and the batch could run twice.
+        """
         said = dict(why.trailing_metadata() or ())
         if said.get("x-unrun") == "1":
             return it.DispatchOutcome.FULL if why.code() in REFUSED else it.DispatchOutcome.UNSENT
         if why.code() is StatusCode.DEADLINE_EXCEEDED:
             return it.DispatchOutcome.TIMED_OUT
         if why.code() not in BROKEN:
-            # Risk: a status that this side made (a message too large) leaves the engine at work.
+            # The status may come from this side (message too large) while the engine is still running.
             await self.cancel_dispatch(batch, entry, progress)
             return it.DispatchOutcome.ERRORED
-        # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
-        # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
+        # An engine that never got the batch must not count as failing; when connections break, all engines
+        # would. The cancel tells whether it got it, and keeps a call still in a buffer from starting it.
         name = batch.name(progress.number)
         if (
             not progress.acknowledged
@@ -284,8 +296,11 @@
         return it.DispatchOutcome.RESET
 
     def call_options(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
-        """A call's time limit and headers. The call may last as long as the client waits, as a result that
-        has begun to go on does; the dispatch's own end, when it comes sooner, is told to the engine."""
+        """Return the time-out and the headers of a call.
+
+        The call may last as long as the client waits, as a streamed result may; the dispatch's own limit
+        `till`, which may be earlier, is sent to the engine in milliseconds.
+        """
         asked, left = batch.asked, max(ceil((till - clock.now()) * 1e3), 1)
         fields = [
             *dispatch_headers(batch.name(number)),
@@ -302,15 +317,17 @@
         return {"timeout": max(batch.limit_at - clock.now(), 0.001), "metadata": tuple(fields)}
 
     def read_trailer(self, metadata, end: End) -> None:
-        """Report, work and memory, where the call's trailer has them."""
+        """Take load report, work and memory from a call's trailer, as far as it has them."""
         said = {key: value for key, value in metadata or () if isinstance(value, str)}
         end.report = parse_load_report(said.get("x-gauges", ""), self.fields) or end.report
         end.true_work = (parse_measure(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
         end.true_memory = parse_measure(said.get("high-water", "")) or end.true_memory
 
     def handle_note(self, metadata: bytes, batch: Batch, end: End) -> None:
-        """A message of metadata alone is a note: `advance=0.4`. Of a result that has begun to go on none is
-        told: it can't be called off for a better one any more."""
+        """Pass a progress note such as `advance=0.4`, a message of metadata alone, to the decisions.
+
+        Notes on a result that is already streamed are dropped, as no other dispatch can replace it.
+        """
         name, _, word = metadata[:64].decode("latin-1").partition("=")
         kind, value = PROGRESS_KINDS.get(name), parse_measure(word)
         if kind and value is not None and not end.result_stream:
@@ -340,8 +357,7 @@
         await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), till)
 
     async def cancel_until_confirmed(self, entry: Entry, name: Name, descriptor: bytes, till: float) -> None:
-        """The cancel, until the engine has it, can't cancel at all, or is out of reach for as long as it goes
-        on with a batch that nobody reads."""
+        """Repeat the cancel until the engine has handled it, does not support it, or the time is `till`."""
         while clock.now() < till:
             code = await self.send_cancel(entry, name, descriptor)
             if code in (StatusCode.OK, StatusCode.NOT_FOUND, StatusCode.UNIMPLEMENTED):
@@ -352,8 +368,10 @@
         self.metrics.add("flight cancel failed")
 
     async def send_cancel(self, entry: Entry, name: Name, descriptor: bytes) -> StatusCode | None:
-        """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
-        None where it is out of reach."""
+        """Send one cancel and return the engine's status, or None if it cannot be reached.
+
+        NOT_FOUND: the engine never had this dispatch and will not start it.
+        """
         parsed = decode(pb.FlightDescriptor, descriptor)
         info = pb.FlightInfo(flight_descriptor=parsed, app_metadata=name.txn.encode())
         try:
@@ -368,7 +386,7 @@
             return None
 
     async def wait_until_stopped(self, progress: DispatchProgress) -> None:
-        """An engine that runs on says nothing of its end: none follows before the batch's time limit."""
+        """Never return: these engines do not report when a batch ends that is not cancelled."""
         await asyncio.Event().wait()
 
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
@@ -380,7 +398,7 @@
             self.metrics.add("flight priority failed")
 
     async def call_action(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
-        """An action's first result."""
+        """Call an action and return its first result; raises `AioRpcError` or `NoResultError`."""
         channel = await self.channel(entry)
         call = channel.unary_stream(SERVICE + "DoAction")(
             pb.Action(type=kind, body=body).SerializeToString(), timeout=CALL_TIMEOUT_S, metadata=metadata
@@ -407,8 +425,11 @@
         return it.DispatchOutcome.RETURNED, parse_load_report(answer.decode("latin-1"), self.fields)
 
     async def channel(self, entry: Entry) -> aio.Channel:
-        """A channel that is up, or `NoResultError` as unreachable: nothing was sent then. What a kept channel says
-        of its lost connection is old news; only a new one's failure is the engine's."""
+        """Return a connected channel; raises `NoResultError` with `UNREACHABLE` if there is none.
+
+        Only the failure of a new channel counts against the engine; a kept one may have lost its connection
+        earlier.
+        """
         engine, due = entry.engine.id, asyncio.get_running_loop().time() + self.connect_limit
         while True:
             channel, fresh = self.channels.get(engine), False
@@ -428,6 +449,7 @@
                 raise NoResultError(it.DispatchOutcome.UNREACHABLE)
 
     async def wait_connected(self, channel: aio.Channel) -> bool:
+        """Wait until the channel is connected or has failed; returns whether it is connected."""
         state = channel.get_state(try_to_connect=True)
         while state not in (Connectivity.READY, Connectivity.TRANSIENT_FAILURE, Connectivity.SHUTDOWN):
             await channel.wait_for_state_change(state)
@@ -435,15 +457,18 @@
         return state is Connectivity.READY
 
     def forget(self, engine: it.EngineId) -> None:
-        """Risk: kept by address, the channel of an engine that is gone is taken for the next one's there."""
+        """Close the channel of an engine that left or lost its connection; running calls may finish.
+
+        Channels are kept by engine id: by address, an engine's channel would be used for its successor there.
+        """
         channel = self.channels.pop(engine, None)
         if channel:
-            # What is out on it has its own end; a result that still comes is read on.
             task = asyncio.get_running_loop().create_task(channel.close(grace=DROP_AFTER_S))
             self.closing.add(task)
             task.add_done_callback(self.closing.discard)
 
     async def close(self) -> None:
+        """Close all channels."""
         for engine in list(self.channels):
             self.forget(engine)
         if self.closing:
@@ -451,12 +476,13 @@
 
 
 def dispatch_headers(name: Name) -> Metadata:
-    """What names a dispatch: an engine that has called one off may get the same batch's next."""
+    """Return the headers that identify a dispatch; the id of the batch alone would not, as an engine that
+    cancelled one dispatch may get the next."""
     return ("x-txn", name.txn), ("x-dispatch", str(name.number))
 
 
 def batch_descriptor(batch: Batch) -> bytes:
-    """The descriptor that asks for a batch."""
+    """Encode the Flight descriptor of a batch's statement; raises `UnicodeDecodeError` if it is not UTF-8."""
     kind = sql.CommandStatementUpdate if batch.update else sql.CommandStatementQuery
     command = encode_any(kind(query=batch.asked.statement.decode()))
     return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=command).SerializeToString()
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -1,4 +1,4 @@
-"""Engines that speak HTTP/1.1: the call that starts a batch, the polls for its news, its pages."""
+"""The HTTP/1.1 protocol of engines: a POST starts a batch, GETs poll its progress and fetch its pages."""
 
 from __future__ import annotations
 
@@ -17,38 +17,42 @@
 from thistlelever.store.roll import Roll
 from thistlelever.wire import http
 
-# News comes after 250 ms at the latest, other answers at once; what takes this long is silent. Risk: a short
-# batch whose answer got lost is given up and run again before its engine was asked for it once more.
+# Time-outs in seconds: of polls and of the call that starts a batch, and of other calls. Engines answer the
+# former within 250 ms and the latter at once. With longer time-outs a short batch whose answer was lost would be
+# given up and run again before its engine is polled once more.
 POLL_TIMEOUT_S, CALL_TIMEOUT_S = 0.35, 0.15
-# A dispatch that begins this long after it was ordered is logged.
+# A dispatch that starts later than this after it was requested is logged, in seconds.
 LATE_START_S = 0.1
-# An engine drops a batch that it has not been asked for in this time.
+# Engines drop a batch that was not polled for this long, in seconds.
 DROP_AFTER_S = 2.0
-# A question that found no dispatch_path or no answer is put again after this long, longer each time.
+# Delay in seconds before a call without connection or answer is repeated; grows with each unusable reply.
 RETRY_DELAY_S = 0.02
-# So many times in a row a question may go without an answer that can be used before the dispatch is lost.
+# Consecutive unusable replies to a poll after which the dispatch is given up.
 MAX_UNUSABLE_REPLIES = 8
-# An answer with more behind it may be cut by a wrong length: so often it is asked for once more.
+# How often a reply with surplus bytes behind it is fetched again, as a wrong length may have cut it short.
 MAX_SUSPECT_REPLIES = 2
-# Answers that prove, with the field that says so, that the batch never ran.
+# Statuses that, with the header x-unrun, prove that the batch never ran.
 NEVER_RAN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
-# What is known of an engine that no connection came up to; any other want of one says nothing of it.
+# Outcomes of failed connections that tell something about the engine; other failures are this front's own.
 CONNECT_FAILURES = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
 PROGRESS_KINDS = {
     "advance": it.ProgressKind.PROGRESS,
     "disk": it.ProgressKind.SPILL,
     "stall": it.ProgressKind.WAITING,
 }
-# A result holds 48,000 bytes in pages of 6,000; a count far past that is no count.
+# Results have up to 48,000 bytes in pages of 6,000; a page count far above that is invalid.
 MAX_PAGES = 64
 
 
 class Spoilt(Exception):
-    """The reply is HTTP, and yet not what was asked for: the batch has run, and the reply is there still."""
+    """A reply that is valid HTTP but not the answer to the request; the engine still has the right one.
+
+    The class name is written in a counter.
+    """
 
 
 class HttpEngines:
-    """The platform's own dispatch_path to its engines; see `EngineProtocol` in `dispatch.py`."""
+    """The platform's own protocol for engines; implements `EngineProtocol` of `dispatch.py`."""
 
     def __init__(
         self, settings: it.Settings, roll: Roll, links: Links, decisions: DecisionLoop, metrics: Metrics
@@ -57,7 +61,8 @@
         self.non_idempotent = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
         )
-        # Groups that a wrong word of 'never ran' does harm to: they may not go just anywhere after it.
+        # Query classes for which a wrong report that the batch never ran does harm, as they may not be
+        # dispatched to any engine after that.
         self.needs_proof = self.non_idempotent | {
             t.name
             for t in settings.tariffs
@@ -75,9 +80,8 @@
             while reply is None or reply.status == 202:
                 reply = await self.poll(path, 0, entry, end, progress, batch)
             end.outcome = self.outcome(reply, progress)
-            # What its engine never got was no dispatch so far, and goes there again. Of a once-only batch
-            # that the engine does not know of it is not proof enough. Risk: the engine had it, and has
-            # dropped it by now: sent again when its repeats are no longer dropped, it runs twice.
+            # The engine does not know the batch, so it is sent there again; not if it is not idempotent: the
+            # engine may have had it and dropped it meanwhile, and it would run twice.
             if (
                 batch.lane in self.non_idempotent
                 or progress.posts >= MAX_UNUSABLE_REPLIES
@@ -99,7 +103,7 @@
     async def fetch_pages(
         self, path: str, batch: Batch, entry: Entry, end: End, progress: DispatchProgress
     ) -> None:
-        """The pages behind the first."""
+        """Fetch the pages after the first."""
         for page in range(1, progress.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
             reply = await self.poll(path, page, entry, end, progress, batch)
             end.outcome = self.outcome(reply, progress)
@@ -114,7 +118,10 @@
         progress: DispatchProgress,
         till: float,
     ) -> http.Reply | None:
-        """The call that starts it, and its reply if it got one of use."""
+        """Send the call that starts the batch; returns its reply, or None if there was no usable one.
+
+        Raises `NoResultError` if nothing was sent.
+        """
         try:
             link = await self.urgent_link(entry, batch.lane in self.needs_proof)
         except (Refused, Unreached, Broken, Short) as why:
@@ -144,7 +151,10 @@
             self.links.give_back(link)
 
     async def urgent_link(self, entry: Entry, unused: bool = False) -> Link:
-        """A link for what must not wait. A reset as it comes up is news of that connection alone."""
+        """Take a connection for a call that must not wait.
+
+        A reset while connecting says nothing about the engine, so another attempt is made.
+        """
         for _ in range(MAX_UNUSABLE_REPLIES):
             try:
                 return await self.links.take(entry, urgent=True, unused=unused)
@@ -153,6 +163,7 @@
         raise Broken("each new connection is reset")
 
     def request(self, batch: Batch, address: tuple[str, int], till: float) -> bytes:
+        """Encode the call that starts the batch, with the time left until `till` in milliseconds."""
         asked = batch.asked
         left = max(ceil((till - clock.now()) * 1e3), 1)
         fields = {"X-Txn": asked.txn, "X-Lane": batch.lane, "X-Limit-Ms": str(left)}
@@ -165,6 +176,7 @@
         return http.encode_request("POST", "/fetch", address, fields, asked.statement)
 
     def outcome(self, reply: http.Reply, progress: DispatchProgress) -> it.DispatchOutcome:
+        """Return the outcome that a reply stands for; raises `NoResultError` if that proves nothing."""
         if reply.status == 200:
             return it.DispatchOutcome.RETURNED
         unrun = reply.text(b"x-unrun") == "1"
@@ -173,8 +185,8 @@
             if outcome is it.DispatchOutcome.ASTRAY:
                 raise NoResultError(outcome)
             return outcome
-        # Risk: an engine that never got the batch, told as one that errs, is taken for ill; so are all on a
-        # day when connections break.
+        # An engine that never got the batch must not be reported as failing; when connections break, all
+        # engines would be taken for unhealthy.
         return it.DispatchOutcome.ERRORED if progress.acknowledged else it.DispatchOutcome.ASTRAY
 
     async def poll(
@@ -186,11 +198,11 @@
         progress: DispatchProgress,
         batch: Batch,
     ) -> http.Reply:
-        """One question about a batch that is out, on new connections until it is answered.
+        """Fetch the state or a page of a batch, on new connections until there is a usable reply.
 
-        A poll or a page belongs to no connection, and a result lies at its engine until it is dropped, so
-        asking again is no further dispatch. It ends with an engine that has died or gives nothing that can be
-        used; a silent one is asked until the dispatch times out.
+        A poll is not bound to a connection and the engine keeps the result, so repeating it is not another
+        dispatch. A silent engine is polled until the dispatch times out. Raises `NoResultError` with `RESET`
+        if the engine is dead or sends `MAX_UNUSABLE_REPLIES` unusable replies.
         """
         unusable, unused = 0, False
         while unusable < MAX_UNUSABLE_REPLIES:
@@ -200,7 +212,7 @@
                 progress.engine_dead = True
                 break
             except (Unreached, Short, Broken):
-                # Risk: a network that says no at once, asked again at once, takes the whole core.
+                # Without a pause a network that fails at once would take all of the CPU.
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             try:
@@ -210,8 +222,8 @@
                 reply = await link.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
                 self.take_reply(reply, page, link, end, progress, batch)
                 if reply.status in NEVER_RAN and batch.lane in self.needs_proof and link.calls > 1:
-                    # Risk: a second copy of the answer to another batch, late on a link that carried that
-                    # one, taken for proof that this one never ran. Only an unused connection proves it.
+                    # The reply may be a late copy of the answer to an earlier call on this connection. Only
+                    # on an unused connection is it proof that this batch never ran.
                     unused = True
                     link.stream.close()
                     raise Spoilt("no proof on a connection that carried others")
@@ -227,18 +239,22 @@
         raise NoResultError(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
-        """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
+        """Count a call to an engine that drains or is no longer listed, such as a poll or a cancel."""
         if not self.roll.open_to(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
     def count_unusable(self, why: Exception) -> None:
+        """Count a call without a usable reply, by the class of the exception."""
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
     def take_reply(
         self, reply: http.Reply, page: int, link: Link, end: End, progress: DispatchProgress, batch: Batch
     ) -> None:
-        """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
-        one that can't be the answer to the question: its connection is used no more."""
+        """Take what is needed out of a reply before its buffer is reused: load, progress, cost and rows.
+
+        Raises `Spoilt` or `http.Unreadable` and closes the connection if it cannot be the answer to the
+        request; nothing is taken from it then.
+        """
         try:
             if reply.status == 200:
                 rows = self.rows(reply, page, link, progress)
@@ -261,7 +277,7 @@
             end.pages.append(rows)
 
     def rows(self, reply: http.Reply, page: int, link: Link, progress: DispatchProgress) -> bytes:
-        """The rows of a good end or a further page."""
+        """Return the rows of a page; raises `Spoilt` for a reply that cannot be the requested page."""
         told = reply.number(b"chunk" if page else b"chunks")
         if told is None or told % 1 or (told != page if page else not 1 <= told <= MAX_PAGES):
             raise Spoilt("no number of pages, or not the page asked for")
@@ -269,7 +285,7 @@
         if link.repeats(reply):
             raise Spoilt("the same answer twice on one connection")
         if link.surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
-            # Risk: what lies behind may be the rest of these rows, cut off by a length put too low.
+            # The surplus may be the rest of these rows, cut off by a length that is too small.
             progress.suspect_replies += 1
             raise Spoilt("more than one answer")
         if not page:
@@ -291,8 +307,10 @@
             self.metrics.add("PUT failed")
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
-        """The DELETE, until the engine has it, or no longer holds the batch anyway: it is dead, or has not
-        been asked for it in so long. What a client has left waits behind what others wait for."""
+        """Send DELETE until the engine has confirmed it, is dead, or must have dropped the batch.
+
+        If the batch's client has left, the call yields connections to batches that clients wait for.
+        """
         await self.delete(
             entry,
             dispatch_path(batch, progress.number)[:-1],
@@ -301,8 +319,8 @@
         )
 
     async def wait_until_stopped(self, progress: DispatchProgress) -> None:
-        """An engine ends what it has not been asked for in so long; a question may lie there as long as news
-        may take."""
+        """Wait until the engine has dropped the batch: `DROP_AFTER_S` after the last poll, which may be held
+        there for `POLL_TIMEOUT_S`."""
         if not progress.engine_dead:
             await asyncio.sleep(progress.last_call_at + POLL_TIMEOUT_S + DROP_AFTER_S - clock.now())
 
@@ -324,6 +342,7 @@
         return {200: "over", 202: "running"}.get(reply.status, "unknown")
 
     async def delete(self, entry: Entry, path: str, till: float, urgent: Callable[[], bool]) -> None:
+        """Send DELETE until it is answered, the engine refuses connections, or the time is `till`."""
         while clock.now() < till:
             try:
                 link = await self.links.take(entry, urgent=urgent())
@@ -335,7 +354,8 @@
                     self.links.give_back(link)
             except Refused:
                 break
-            # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
+            # A slow connection does not mean that the engine is dead; without the cancel the next dispatch
+            # would run beside this one.
             except (Unreached, Broken, Silent, Short):
                 await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("DELETE failed")
@@ -363,12 +383,13 @@
 
 
 def proven_unrun(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
-    """An outcome that says that the dispatch never ran, if nothing of it went out before. Risk: a first call
-    whose answer was lost may have run; that a second one did not is no proof of it."""
+    """Return an outcome that says that the dispatch never ran, or `ASTRAY` if `earlier` calls were sent.
+
+    An earlier call whose answer was lost may have run the batch even if the last one did not.
+    """
     return it.DispatchOutcome.ASTRAY if earlier > 0 else outcome
 
 
 def dispatch_path(batch: Batch, number: int) -> str:
-    """Where its engine is asked for a dispatch: under the id that it was begun with, by this front or
-    another."""
+    """Return the path of a dispatch at its engine, under the id with which this or another front began it."""
     return f"/fetch/{batch.name(number).txn}/"
--- a/thistlelever/carrier/loop_lag.py
+++ b/thistlelever/carrier/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the loop comes to what is due."""
+"""Measures how late the event loop runs its timers."""
 
 from __future__ import annotations
 
@@ -6,28 +6,35 @@
 
 from thistlelever.ground import clock
 
-# Often enough to see a stall that costs a time limit, at 50 wake-ups a second.
+# Interval of the measurement in seconds: short enough to see a stall that matters to time limits, at 50
+# wake-ups a second.
 INTERVAL_S = 0.02
-# Of a past stall half is remembered 0.13 s later: in a flood they come one after the other.
+# Factor per interval by which a past lag decays: half of it is left after 0.13 s. Under overload stalls
+# follow one another closely.
 DECAY = 0.9
 
 
 class LoopLagMonitor:
-    """The loop's lag now, and the worst since it was last written."""
+    """The recent lag of the event loop in seconds, and the worst since `worst` was last reset."""
 
     def __init__(self) -> None:
         self.lag, self.worst, self.due = 0.0, 0.0, float("inf")
 
     def current(self) -> float:
-        """How late the loop is now. Risk: after a stop of the process what waits at the sockets is read
-        before the beat that would tell of the stop, and would count as just sent."""
+        """Return the lag in seconds, including that of an overdue measurement.
+
+        After the process was stopped, sockets may be read before the measurement is taken; without the
+        overdue part their data would count as just sent.
+        """
         return max(self.lag, clock.now() - self.due)
 
     def record(self, late: float) -> None:
+        """Take in one measured lag in seconds."""
         self.lag = max(late, self.lag * DECAY)
         self.worst = max(self.worst, late)
 
     async def run(self) -> None:
+        """Measure the lag for as long as the front runs."""
         while True:
             self.due = clock.now() + INTERVAL_S
             await asyncio.sleep(INTERVAL_S)
--- a/thistlelever/carrier/remembered_outcomes.py
+++ b/thistlelever/carrier/remembered_outcomes.py
@@ -1,4 +1,4 @@
-"""Batches that have begun before this front had them: in its former life, or at another front."""
+"""Batches that were begun before this front received them: before its restart, or at another front."""
 
 from __future__ import annotations
 
@@ -15,9 +15,12 @@
 def resume_from(
     batch: Batch, query_class: it.QueryClass, roll: Roll, name: Name, engine: it.EngineId, ran_for: float
 ) -> bool:
-    """What was begun there becomes the batch's first dispatch: whether it can go on from it. Where its
-    engine is out of sight only what may run again, or whose repeats all engines drop still, is begun
-    anew."""
+    """Make a dispatch that was begun elsewhere the first dispatch of the batch.
+
+    `name` is the dispatch's name at its engine, `ran_for` how long ago it began, in seconds. Returns whether
+    the batch can go on. If the engine is not listed, it is dispatched anew, but only if it is idempotent or
+    all engines still drop repeats of it.
+    """
     if roll.listed(engine):
         batch.under[0] = name
         batch.taken = batch.taken._replace(running_on=engine, running_for=ran_for)
@@ -29,9 +32,12 @@
 
 
 class RememberedOutcomes:
-    """Marks of referenced batches that may have run, so that after a restart their repeats go only where
-    they are still_dropped. `remember` is told a key, its engine, name and window, or None where it surely never
-    ran; `find` gives engine, name and how long ago, or None."""
+    """Idempotency keys of batches that may have run, so that after a restart a repeat goes only where it is
+    dropped as a duplicate.
+
+    `remember` stores a key with its engine, name and window in seconds, or removes it if given None; `find`
+    returns engine, name and age in seconds for a key, or None.
+    """
 
     def __init__(
         self,
@@ -45,11 +51,12 @@
         self.roll, self.metrics, self.remember, self.find = roll, metrics, remember, find
 
     def is_deduplicated(self, batch: Batch) -> bool:
+        """Whether engines drop repeats of the batch by its idempotency key."""
         repeat = self.query_classes[batch.lane].repeat
         return bool(batch.asked.reference) and repeat is it.Idempotency.DEDUPLICATED
 
     def look_up(self, batch: Batch) -> it.Error | None:
-        """What a former life knows of the batch; an answer where it can't be gone on with."""
+        """Continue a batch that was begun before a restart; returns an error answer if that is impossible."""
         if batch.under or not self.is_deduplicated(batch):
             return None
         found = self.find(bytes.fromhex(batch.asked.reference))
@@ -58,7 +65,7 @@
         engine, name, ran_for = found
         query_class = self.query_classes[batch.lane]
         if ran_for >= query_class.window:
-            # No engine drops its repeats any more: it may have run, and must not again.
+            # It may have run, and no engine drops a repeat of it any more.
             resumable = False
         else:
             resumable = resume_from(batch, query_class, self.roll, name, engine, ran_for)
@@ -66,14 +73,14 @@
         return None if resumable else it.Error(batch.number)
 
     def record_dispatch(self, batch: Batch, number: int, engine: it.EngineId) -> None:
-        """A dispatch is about to go out; nobody waits for the disk."""
+        """Store the batch's first dispatch before it is sent, without waiting for the disk."""
         if not number and 0 not in batch.under and self.is_deduplicated(batch):
             key = bytes.fromhex(batch.asked.reference)
             query_class = self.query_classes[batch.lane]
             self.remember(key, (engine, batch.name(0), query_class.window))
 
     def record_end(self, batch: Batch, end: End) -> None:
-        """The first dispatch surely never ran: its repeats are nobody's to drop."""
+        """Remove the record if the first dispatch certainly never ran, as no engine would drop a repeat."""
         if (
             end.outcome in NEVER_RAN
             and not end.number
--- a/thistlelever/carrier/result_stream.py
+++ b/thistlelever/carrier/result_stream.py
@@ -1,4 +1,4 @@
-"""A result that goes on to its client before it is all in: bounded, in order, of one dispatch alone."""
+"""A result that is passed to its client while its engine still sends it."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 
 
 class ReaderLeftError(Exception):
-    """Nobody takes the rest of the result."""
+    """The client does not read the rest of the result."""
 
 
 class ResultStream:
-    """Messages between the one dispatch that brings them and the one client that takes them."""
+    """A bounded queue of messages from one dispatch to one client.
+
+    `number` is that of the dispatch; `initial` are the messages that came before streaming began.
+    """
 
     def __init__(self, number: int, initial: list[bytes], max_bytes: int) -> None:
-        # Past `max_bytes` bytes that lie here the engine is not read, and its connection's flow control holds it.
+        # Past `max_bytes` queued bytes the engine is not read, so that flow control slows it down.
         self.number, self.max_bytes = number, max_bytes
         self.queued, self.queued_bytes = deque(initial), sum(map(len, initial))
-        # How the dispatch ended; None while it goes on. Whatever is not `RETURNED` is no whole result.
+        # How the dispatch ended, None while it runs. The result is complete only if it is `RETURNED`.
         self.outcome: DispatchOutcome | None = None
         self.reader_left = False
         self.changed = asyncio.Event()
 
     async def put(self, message: bytes) -> None:
-        """Hand on one message once there is room for it."""
+        """Queue a message once there is room; raises `ReaderLeftError` if the client has left."""
         while self.queued_bytes >= self.max_bytes and not self.reader_left:
             self.changed.clear()
             await self.changed.wait()
@@ -37,7 +40,7 @@
         self.changed.set()
 
     async def take(self) -> bytes | None:
-        """The next message; None at the end, and then `outcome` says whether it is the whole."""
+        """Return the next message, or None at the end, when `outcome` tells if the result is complete."""
         while not self.queued and self.outcome is None:
             self.changed.clear()
             await self.changed.wait()
@@ -49,31 +52,32 @@
         return message
 
     def end(self, outcome: DispatchOutcome) -> None:
-        """Risk: what was handed on before a break, taken on to its end, could pass for more than it is: at a
-        break the client hears of it at once."""
+        """End the stream. If the dispatch failed, queued messages are discarded, so that the client gets the
+        failure at once and does not take a part for the whole."""
         self.outcome = outcome
         if outcome is not DispatchOutcome.RETURNED:
             self.discard()
         self.changed.set()
 
     def is_usable(self) -> bool:
-        """Whether the dispatch goes on or has brought the whole."""
+        """Whether the dispatch is still running or has returned the whole result."""
         return self.outcome in (None, DispatchOutcome.RETURNED)
 
     def close_reader(self) -> None:
-        """The client takes no more."""
+        """Stop the stream because the client reads no more."""
         self.reader_left = True
         self.discard()
         self.changed.set()
 
     def discard(self) -> None:
+        """Drop the queued messages."""
         self.queued.clear()
         self.queued_bytes = 0
 
 
 @dataclass(slots=True)
 class Begun:
-    """A dispatch asks that its result may go on before it is all in."""
+    """Request of a dispatch to pass on its result before it is complete. Its name is written in counters."""
 
     number: int
     result_stream: ResultStream
--- a/thistlelever/carrier/validation.py
+++ b/thistlelever/carrier/validation.py
@@ -1,4 +1,4 @@
-"""What every door has in common: a submission becomes a batch here, under the same bounds."""
+"""Validates submissions and makes batches of them, for the servers of all client protocols."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.wire import statement as sql
 
-# An estimate past so many time limits on all threads, or so many times an engine's memory, is none.
+# Largest accepted estimates: cost in time limits on all threads, memory in multiples of an engine's memory.
 MAX_TIME_LIMITS, MAX_ENGINE_MEMORIES = 100.0, 4.0
 
 
 class RequestValidator:
-    """Makes batches of what clients submit. It takes none: a batch is taken once its course has begun."""
+    """Makes batches of submissions. A batch is open only once `BatchTasks.start` has run.
+
+    No batch gets a time limit past `stop_at`, the time at which the front stops.
+    """
 
     def __init__(self, settings: it.Settings, loop_lag: LoopLagMonitor, batches: Batches) -> None:
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
@@ -25,12 +28,15 @@
         self.loop_lag, self.batches, self.stop_at = loop_lag, batches, float("inf")
 
     def make_batch(self, name: str, fields: Mapping, statement: bytes) -> Batch:
-        """The batch of that service group (a known one); `InvalidFieldError` where it can't be one."""
+        """Make a batch of the query class `name`, which must be known.
+
+        Raises `InvalidFieldError` for a field that is missing, invalid or out of range.
+        """
         group, query_class = self.query_classes[name]
         asked = parse_submission(fields, statement)
         if asked.txn in self.batches.by_txn:
             raise InvalidFieldError("id", "still open", still_open=True)
-        # Risk: a figure without measure stays in averages and timers for as long as the front lives.
+        # An absurd value would distort averages and timers for as long as the front runs.
         if asked.wait > 2 * query_class.time_limit:
             raise InvalidFieldError("wait", "past the service group's time limit")
         if (asked.work or 0.0) > MAX_TIME_LIMITS * query_class.time_limit * query_class.width:
@@ -45,7 +51,8 @@
         if table is None:
             raise InvalidFieldError("bytes", "the statement names no table of a group")
         number, now = self.batches.number(), clock.now()
-        # Risk: a loop that falls behind has read this late and will answer late; no client waits longer.
+        # A lagging event loop has read the request late and will answer it late; the client does not wait
+        # longer for that.
         left = min(asked.wait - 2 * self.loop_lag.current(), self.stop_at - now)
         taken = it.BatchReceived(
             number,
@@ -62,5 +69,5 @@
 
 
 def ordering_key(table: bytes) -> int:
-    """What batches of one table share; any number will do, as it never leaves the front."""
+    """Return a number that batches of one table share, ignoring case; it is used within the front only."""
     return int.from_bytes(table.lower(), "big") or 1
