--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -119,7 +119,7 @@
         ended, asked = asyncio.Event(), asyncio.Event()
 
         class EngineProtocol:
-            async def run_dispatch(self, batch, entry, end, progress, till):
+            async def run_dispatch(self, batch, entry, end, progress, deadline):
                 progress.started = True
                 raise NoResultError(outcome)
 
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -113,13 +113,13 @@
                 self.metrics.add("connections that could not be taken")
                 self.pause_accepting()
                 return
-            place = len(self.sessions) < self.bounds.sessions or self.close_idle_session()
-            if not place and clock.now() < self.full_since + PLACE_TIMEOUT_S:
+            has_place = len(self.sessions) < self.bounds.sessions or self.close_idle_session()
+            if not has_place and clock.now() < self.full_since + PLACE_TIMEOUT_S:
                 # Closing it would lose its first request; a session may end soon.
                 self.full_since, self.pending_socket = min(self.full_since, clock.now()), raw
                 self.pause_accepting()
                 return
-            if not place:
+            if not has_place:
                 # All sessions have open batches. After a close the client can try another front.
                 self.metrics.add("connections past the bound")
                 with suppress(OSError):
@@ -177,12 +177,12 @@
         """Close sessions that have no open batch and have sent no whole line for too long."""
         now = clock.now()
         for session in [s for s in self.sessions if not s.open_batches and not s.shutting_down]:
-            waits = session.has_sent_line and session.buffer.start == session.buffer.end
+            is_idle = session.has_sent_line and session.buffer.start == session.buffer.end
             if (
-                now - session.since > (IDLE_TIMEOUT_S if waits else SILENT_TIMEOUT_S)
+                now - session.since > (IDLE_TIMEOUT_S if is_idle else SILENT_TIMEOUT_S)
                 and not session.has_pending_input()
             ):
-                self.metrics.add("idle clients closed" if waits else "silent clients closed")
+                self.metrics.add("idle clients closed" if is_idle else "silent clients closed")
                 session.end()
 
     def batch(self, call: jsonrpc.Call) -> Batch:
@@ -338,9 +338,9 @@
         """
         if self.draining or not self.has_unread_input():
             return False
-        till = max(self.since, self.line_since) + SILENT_TIMEOUT_S
-        till = till if self.has_sent_line else min(till, self.since + FIRST_LINE_TIMEOUT_S)
-        return self.buffer.start == self.buffer.end or clock.now() < till
+        deadline = max(self.since, self.line_since) + SILENT_TIMEOUT_S
+        deadline = deadline if self.has_sent_line else min(deadline, self.since + FIRST_LINE_TIMEOUT_S)
+        return self.buffer.start == self.buffer.end or clock.now() < deadline
 
     def has_unread_input(self) -> bool:
         """Whether there is unhandled input, in the buffer or in the socket."""
@@ -392,23 +392,23 @@
         self.highest_number = max(self.highest_number, call.number)
         self.metrics.add("taken")
 
-        def answer(told) -> None:
+        def answer(message) -> None:
             if self.open_batches.pop(call.number, None) is batch:
                 self.since = clock.now()
-                self.metrics.add(type(told).__name__)
-                self.log_refusal(batch, told)
-                self.write(encode_answer(call.number, told))
+                self.metrics.add(type(message).__name__)
+                self.log_refusal(batch, message)
+                self.write(encode_answer(call.number, message))
                 self.end_if_answered()
 
         self.listener.batch_tasks.start(batch, answer)
 
-    def log_refusal(self, batch: Batch, told: it.Action | End) -> None:
+    def log_refusal(self, batch: Batch, message: it.Action | End) -> None:
         """Log an answer without a result, with the batch's id and the number of its dispatches."""
-        if type(told) in (it.PushBack, it.Error):
-            said = "query refused" if type(told) is it.PushBack else "query errored"
+        if type(message) in (it.PushBack, it.Error):
+            event = "query refused" if type(message) is it.PushBack else "query errored"
             left = round(batch.limit_at - clock.now(), 3)
             self.listener.log(
-                said, id=batch.asked.txn, group=batch.lane, dispatches=batch.dispatches, left_s=left
+                event, id=batch.asked.txn, group=batch.lane, dispatches=batch.dispatches, left_s=left
             )
 
     def withdraw(self, call: jsonrpc.Call) -> None:
@@ -469,11 +469,11 @@
         self.open_batches.clear()
 
 
-def encode_answer(number: int, told: it.Action | End) -> bytes:
+def encode_answer(number: int, message: it.Action | End) -> bytes:
     """Encode a batch's final answer as a JSON-RPC line."""
-    match told:
+    match message:
         case End():
-            return jsonrpc.encode_result(number, told.pages)
+            return jsonrpc.encode_result(number, message.pages)
         case it.PushBack():
-            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
+            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", message.return_in)
     return jsonrpc.encode_error(number, jsonrpc.ERRORED, "errored")
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -92,7 +92,7 @@
     """The protocol of one kind of engine. Only `cancel_dispatch` may outlive its dispatch."""
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         """Run the whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`.
 
@@ -101,7 +101,7 @@
         """
 
     async def resume(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         """Continue a dispatch that another front began, by its name in `batch.under`, starting nothing.
 
@@ -146,14 +146,14 @@
         self.roll, self.decisions, self.metrics, self.log = roll, decisions, metrics, log
         self.background: set[asyncio.Task] = set()
 
-    def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
+    def start(self, batch: Batch, number: int, request: it.Dispatch) -> asyncio.Task:
         """Start a dispatch as a task; its `End` goes to the batch's inbox, also if the task is cancelled."""
-        batch.engines[number] = order.engine
-        self.roll.begin(order.engine)
+        batch.engines[number] = request.engine
+        self.roll.begin(request.engine)
         # A task that is cancelled before its first step never runs, so the end is reported by a callback;
         # otherwise the batch would stay open.
-        end = End(number, order.engine, it.DispatchOutcome.UNSENT)
-        task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
+        end = End(number, request.engine, it.DispatchOutcome.UNSENT)
+        task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, request))
         task.add_done_callback(lambda task: self.on_task_done(batch, end))
         return task
 
@@ -163,43 +163,45 @@
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
-    def may_start(self, batch: Batch, order: it.Dispatch) -> bool:
+    def may_start(self, batch: Batch, request: it.Dispatch) -> bool:
         """Whether a dispatch may still be sent; logged and counted if not.
 
         Since it was requested, its client may have left, its engine may drain (which counts from the first
         byte), or its repeats may no longer be dropped as duplicates.
         """
-        why = self.refusal(batch, order)
+        why = self.refusal(batch, request)
         if not why:
             return True
         self.metrics.add(f"dispatches withheld: {why}")
-        self.log("dispatch withheld", id=batch.asked.txn, engine=order.engine.decode("latin-1"), why=why)
+        self.log("dispatch withheld", id=batch.asked.txn, engine=request.engine.decode("latin-1"), why=why)
         return False
 
-    def refusal(self, batch: Batch, order: it.Dispatch) -> str:
+    def refusal(self, batch: Batch, request: it.Dispatch) -> str:
         """Return why a dispatch may no longer be sent, or an empty string if it may."""
         if batch.answered:
             return "answered or left"
-        if not self.roll.open_to(order.engine):
+        if not self.roll.open_to(request.engine):
             return "engine draining or gone"
-        if clock.now() >= order.begin_by:
+        if clock.now() >= request.begin_by:
             return "too late to begin"
         if batch.lease_guard and not batch.lease_guard.is_held():
             return "not surely this front's"
         return ""
 
-    async def dispatch(self, batch: Batch, end: End, order: it.Dispatch) -> None:
+    async def dispatch(self, batch: Batch, end: End, request: it.Dispatch) -> None:
         """Run one dispatch to its end, and cancel it at its engine where it may still run there."""
-        begun, number = clock.now(), end.number
-        till = min(begun + order.time_out, batch.limit_at) if order.time_out > 0 else batch.limit_at
-        progress = DispatchProgress(number, lambda: self.may_start(batch, order), ordered_at=begun)
+        started_at, number = clock.now(), end.number
+        deadline = (
+            min(started_at + request.time_out, batch.limit_at) if request.time_out > 0 else batch.limit_at
+        )
+        progress = DispatchProgress(number, lambda: self.may_start(batch, request), ordered_at=started_at)
         try:
-            entry = self.roll.entries.get(order.engine)
-            if batch.answered or till <= begun or entry is None:
+            entry = self.roll.entries.get(request.engine)
+            if batch.answered or deadline <= started_at or entry is None:
                 end.outcome = self.never_sent(batch, number)
             else:
-                async with asyncio.timeout_at(clock.on_loop(till)) as batch.limits[number]:
-                    await self.run_protocol(batch, entry, end, progress, till)
+                async with asyncio.timeout_at(clock.on_loop(deadline)) as batch.limits[number]:
+                    await self.run_protocol(batch, entry, end, progress, deadline)
         except TimeoutError:
             # A wait for a free connection of this front must not be reported as an unreachable engine, which
             # would then count as cold.
@@ -212,22 +214,22 @@
             self.metrics.add("dispatch failed")
             self.log("dispatch failed", why=repr(why), trace=traceback.format_exc())
             end.outcome = it.DispatchOutcome.ERRORED
-        end.took = clock.now() - begun
+        end.took = clock.now() - started_at
         self.log_failure(batch, end, progress)
         if end.result_stream:
             end.result_stream.end(end.outcome)
         batch.limits.pop(number, None)
         if progress.started and end.outcome in MAY_RUN_ON:
-            another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.limit_at
+            may_retry = end.outcome is not it.DispatchOutcome.TIMED_OUT or deadline < batch.limit_at
             left = max(batch.limit_at - clock.now(), 0.0)
             # A second cancellation must not prevent the end from being reported; the batch would stay open.
             with suppress(asyncio.CancelledError, TimeoutError):
                 if self.allows_cancel:
                     # The end is reported after the cancel, so that no further dispatch runs beside this one.
                     cancelling = self.run_in_background(self.cancel_dispatch(batch, entry, progress))
-                    if another:
+                    if may_retry:
                         await asyncio.wait((cancelling,), timeout=left)
-                elif another and not self.allows_copies:
+                elif may_retry and not self.allows_copies:
                     # Without cancelling, a time-out reported at once would let the next dispatch run beside
                     # this one.
                     await asyncio.wait_for(self.protocol(entry).wait_until_stopped(progress), left)
@@ -247,15 +249,15 @@
         )
 
     async def run_protocol(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         """Run or resume the dispatch by its engine's protocol, once the lease allows it."""
         if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
             raise NoResultError(self.never_sent(batch, end.number))
         if end.number in batch.under:
-            await self.protocol(entry).resume(batch, entry, end, progress, till)
+            await self.protocol(entry).resume(batch, entry, end, progress, deadline)
         else:
-            await self.protocol(entry).run_dispatch(batch, entry, end, progress, till)
+            await self.protocol(entry).run_dispatch(batch, entry, end, progress, deadline)
 
     def never_sent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Return the outcome of a dispatch that was not sent from here. One that another front began may have
@@ -280,7 +282,7 @@
 
     async def run_probe(self, engine: it.EngineId) -> None:
         """Probe one engine; one that is not listed counts as unreachable."""
-        begun, outcome, report, entry = (
+        started_at, outcome, report, entry = (
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
             (),
@@ -288,7 +290,7 @@
         )
         if entry:
             outcome, report = await self.protocol(entry).probe(entry)
-        self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
+        self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - started_at, report))
 
     def run_in_background(self, work: Coroutine) -> asyncio.Task:
         """Run a coroutine as a task and keep a reference until it is done."""
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -29,8 +29,8 @@
 from thistlelever.wire.http import parse_load_report, parse_measure
 from thistlelever.wire.read_buffer import BufferQuota, TooLong
 
-# Retries that gRPC makes of itself would be dispatches that nobody decided; keep-alives find a peer that has
-# vanished; windows that grow by measure would buffer what a slow reader leaves.
+# gRPC's own retries would be dispatches that the decisions do not know of. Keep-alives detect a peer that has
+# vanished. Flow-control windows sized by bandwidth would buffer what a slow client has not read.
 CHANNEL_OPTIONS = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
@@ -120,7 +120,7 @@
         self.closing: set[asyncio.Task] = set()
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         try:
             descriptor = batch_descriptor(batch)
@@ -130,19 +130,21 @@
         channel = await self.channel(entry)
         if not progress.may_start():
             raise NoResultError(it.DispatchOutcome.UNSENT)
-        await self.fetch(channel, descriptor, batch, entry, end, progress, till)
+        await self.fetch(channel, descriptor, batch, entry, end, progress, deadline)
 
     async def resume(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         if batch.update:
-            # Its count is in the one answer to its call, dispatch_headers went to another front.
+            # The row count was in the answer to the call, which went to another front.
             raise NoResultError(it.DispatchOutcome.ASTRAY)
         try:
             channel = await self.channel(entry)
         except NoResultError:
             raise NoResultError(it.DispatchOutcome.RESET) from None
-        await self.fetch(channel, batch_descriptor(batch), batch, entry, end, progress, till, RESUME_HEADERS)
+        await self.fetch(
+            channel, batch_descriptor(batch), batch, entry, end, progress, deadline, RESUME_HEADERS
+        )
 
     async def fetch(
         self,
@@ -152,10 +154,10 @@
         entry: Entry,
         end: End,
         progress: DispatchProgress,
-        till: float,
-        further: Metadata = (),
+        deadline: float,
+        extra_headers: Metadata = (),
     ) -> None:
-        """Make the calls of one dispatch, with `further` headers on the first.
+        """Make the calls of one dispatch, with `extra_headers` on the first.
 
         Sets `end.outcome` and the result, or raises `NoResultError`.
         """
@@ -163,9 +165,9 @@
         buffer = ResultBuffer(self.buffer_limit if batch.columns else MAX_BYTES_FOR_ROWS, self.quota)
         try:
             if batch.update:
-                await self.update(channel, descriptor, batch, end, progress, till)
+                await self.update(channel, descriptor, batch, end, progress, deadline)
                 return
-            options = self.call_options(batch, end.number, till, further)
+            options = self.call_options(batch, end.number, deadline, extra_headers)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")(descriptor, **options)
             info = decode(pb.FlightInfo, await call)
             progress.acknowledged, progress.last_call_at = True, clock.now()
@@ -174,13 +176,13 @@
                 raise Unreadable(f"{len(info.endpoint)} endpoints")
             for endpoint in info.endpoint:
                 call = channel.unary_stream(SERVICE + "DoGet")(
-                    endpoint.ticket.SerializeToString(), **self.call_options(batch, end.number, till)
+                    endpoint.ticket.SerializeToString(), **self.call_options(batch, end.number, deadline)
                 )
                 await self.stream(call, batch, end, buffer)
             self.finish_result(batch, end, buffer)
         except aio.AioRpcError as why:
             self.read_trailer(why.trailing_metadata(), end)
-            if further and why.code() is StatusCode.NOT_FOUND:
+            if extra_headers and why.code() is StatusCode.NOT_FOUND:
                 raise NoResultError(it.DispatchOutcome.ASTRAY) from None
             raise NoResultError(await self.outcome(why, entry, batch, progress)) from None
         except aio.UsageError:
@@ -203,9 +205,9 @@
         first = True
         try:
             async for raw in call:
-                said = decode_stream_message(raw)
-                if not said.header:
-                    self.handle_note(said.metadata, batch, end)
+                message = decode_stream_message(raw)
+                if not message.header:
+                    self.handle_note(message.metadata, batch, end)
                     continue
                 if first:
                     first = False
@@ -247,17 +249,17 @@
         batch: Batch,
         end: End,
         progress: DispatchProgress,
-        till: float,
+        deadline: float,
     ) -> None:
-        call = channel.stream_stream(SERVICE + "DoPut")(**self.call_options(batch, end.number, till))
+        call = channel.stream_stream(SERVICE + "DoPut")(**self.call_options(batch, end.number, deadline))
         try:
             parsed = decode(pb.FlightDescriptor, descriptor)
             await call.write(pb.FlightData(flight_descriptor=parsed).SerializeToString())
             await call.done_writing()
             async for raw in call:
-                said = decode(pb.PutResult, raw)
-                if said.app_metadata:
-                    end.changed = decode(sql.DoPutUpdateResult, said.app_metadata).record_count
+                result = decode(pb.PutResult, raw)
+                if result.app_metadata:
+                    end.changed = decode(sql.DoPutUpdateResult, result.app_metadata).record_count
             self.read_trailer(await call.trailing_metadata(), end)
             end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
@@ -276,8 +278,8 @@
         UNAVAILABLE does not mean that nothing was sent: gRPC also reports it for a connection that broke
         while the batch was running, and the batch could run twice.
         """
-        said = dict(why.trailing_metadata() or ())
-        if said.get("x-unrun") == "1":
+        trailer = dict(why.trailing_metadata() or ())
+        if trailer.get("x-unrun") == "1":
             return it.DispatchOutcome.FULL if why.code() in REFUSED else it.DispatchOutcome.UNSENT
         if why.code() is StatusCode.DEADLINE_EXCEEDED:
             return it.DispatchOutcome.TIMED_OUT
@@ -295,16 +297,16 @@
             return it.DispatchOutcome.ASTRAY
         return it.DispatchOutcome.RESET
 
-    def call_options(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
+    def call_options(self, batch: Batch, number: int, deadline: float, extra_headers: Metadata = ()) -> dict:
         """Return the time-out and the headers of a call.
 
         The call may last as long as the client waits, as a streamed result may; the dispatch's own limit
-        `till`, which may be earlier, is sent to the engine in milliseconds.
+        `deadline`, which may be earlier, is sent to the engine in milliseconds.
         """
-        asked, left = batch.asked, max(ceil((till - clock.now()) * 1e3), 1)
+        asked, left = batch.asked, max(ceil((deadline - clock.now()) * 1e3), 1)
         fields = [
             *dispatch_headers(batch.name(number)),
-            *further,
+            *extra_headers,
             ("x-lane", batch.lane),
             ("x-limit-ms", str(left)),
         ]
@@ -318,10 +320,10 @@
 
     def read_trailer(self, metadata, end: End) -> None:
         """Take load report, work and memory from a call's trailer, as far as it has them."""
-        said = {key: value for key, value in metadata or () if isinstance(value, str)}
-        end.report = parse_load_report(said.get("x-gauges", ""), self.fields) or end.report
-        end.true_work = (parse_measure(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
-        end.true_memory = parse_measure(said.get("high-water", "")) or end.true_memory
+        trailer = {key: value for key, value in metadata or () if isinstance(value, str)}
+        end.report = parse_load_report(trailer.get("x-gauges", ""), self.fields) or end.report
+        end.true_work = (parse_measure(trailer.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
+        end.true_memory = parse_measure(trailer.get("high-water", "")) or end.true_memory
 
     def handle_note(self, metadata: bytes, batch: Batch, end: End) -> None:
         """Pass a progress note such as `advance=0.4`, a message of metadata alone, to the decisions.
@@ -353,12 +355,14 @@
         await self.cancel_until_confirmed(entry, name, EMPTY_DESCRIPTOR, clock.now() + DROP_AFTER_S)
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
-        name, till = batch.name(progress.number), progress.last_call_at + DROP_AFTER_S
-        await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), till)
+        name, deadline = batch.name(progress.number), progress.last_call_at + DROP_AFTER_S
+        await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), deadline)
 
-    async def cancel_until_confirmed(self, entry: Entry, name: Name, descriptor: bytes, till: float) -> None:
-        """Repeat the cancel until the engine has handled it, does not support it, or the time is `till`."""
-        while clock.now() < till:
+    async def cancel_until_confirmed(
+        self, entry: Entry, name: Name, descriptor: bytes, deadline: float
+    ) -> None:
+        """Repeat the cancel until the engine has handled it, does not support it, or `deadline` passes."""
+        while clock.now() < deadline:
             code = await self.send_cancel(entry, name, descriptor)
             if code in (StatusCode.OK, StatusCode.NOT_FOUND, StatusCode.UNIMPLEMENTED):
                 return
@@ -403,13 +407,13 @@
         call = channel.unary_stream(SERVICE + "DoAction")(
             pb.Action(type=kind, body=body).SerializeToString(), timeout=CALL_TIMEOUT_S, metadata=metadata
         )
-        found = b""
+        first_result = b""
         try:
             async for raw in call:
-                found = found or decode(pb.Result, raw).body
+                first_result = first_result or decode(pb.Result, raw).body
         finally:
             call.cancel()
-        return found
+        return first_result
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -18,8 +18,8 @@
 from thistlelever.wire import http
 
 # Time-outs in seconds: of polls and of the call that starts a batch, and of other calls. Engines answer the
-# former within 250 ms and the latter at once. With longer time-outs a short batch whose answer was lost would be
-# given up and run again before its engine is polled once more.
+# former within 250 ms and the latter at once. With longer time-outs a short batch whose answer was lost would
+# be given up and run again before its engine is polled once more.
 POLL_TIMEOUT_S, CALL_TIMEOUT_S = 0.35, 0.15
 # A dispatch that starts later than this after it was requested is logged, in seconds.
 LATE_START_S = 0.1
@@ -71,12 +71,12 @@
         self.roll, self.links, self.decisions, self.metrics = roll, links, decisions, metrics
 
     async def run_dispatch(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         path = dispatch_path(batch, end.number)
         end.outcome = it.DispatchOutcome.ASTRAY
         while end.outcome is it.DispatchOutcome.ASTRAY:
-            reply = await self.post(batch, entry, end, progress, till)
+            reply = await self.post(batch, entry, end, progress, deadline)
             while reply is None or reply.status == 202:
                 reply = await self.poll(path, 0, entry, end, progress, batch)
             end.outcome = self.outcome(reply, progress)
@@ -91,7 +91,7 @@
         await self.fetch_pages(path, batch, entry, end, progress)
 
     async def resume(
-        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, till: float
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
         path, progress.started = dispatch_path(batch, end.number), True
         reply = await self.poll(path, 0, entry, end, progress, batch)
@@ -116,7 +116,7 @@
         entry: Entry,
         end: End,
         progress: DispatchProgress,
-        till: float,
+        deadline: float,
     ) -> http.Reply | None:
         """Send the call that starts the batch; returns its reply, or None if there was no usable one.
 
@@ -140,7 +140,7 @@
                 "dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4)
             )
         try:
-            reply = await link.call(self.request(batch, entry.address, till), POLL_TIMEOUT_S)
+            reply = await link.call(self.request(batch, entry.address, deadline), POLL_TIMEOUT_S)
             self.take_reply(reply, 0, link, end, progress, batch)
             progress.acknowledged = True
             return reply
@@ -162,10 +162,10 @@
                 self.count_unusable(why)
         raise Broken("each new connection is reset")
 
-    def request(self, batch: Batch, address: tuple[str, int], till: float) -> bytes:
-        """Encode the call that starts the batch, with the time left until `till` in milliseconds."""
+    def request(self, batch: Batch, address: tuple[str, int], deadline: float) -> bytes:
+        """Encode the call that starts the batch, with the time left until `deadline` in milliseconds."""
         asked = batch.asked
-        left = max(ceil((till - clock.now()) * 1e3), 1)
+        left = max(ceil((deadline - clock.now()) * 1e3), 1)
         fields = {"X-Txn": asked.txn, "X-Lane": batch.lane, "X-Limit-Ms": str(left)}
         if asked.reference:
             fields["X-Dedupe"] = asked.reference
@@ -278,8 +278,12 @@
 
     def rows(self, reply: http.Reply, page: int, link: Link, progress: DispatchProgress) -> bytes:
         """Return the rows of a page; raises `Spoilt` for a reply that cannot be the requested page."""
-        told = reply.number(b"chunk" if page else b"chunks")
-        if told is None or told % 1 or (told != page if page else not 1 <= told <= MAX_PAGES):
+        page_field = reply.number(b"chunk" if page else b"chunks")
+        if (
+            page_field is None
+            or page_field % 1
+            or (page_field != page if page else not 1 <= page_field <= MAX_PAGES)
+        ):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.check_page(reply.body)
         if link.repeats(reply):
@@ -289,7 +293,7 @@
             progress.suspect_replies += 1
             raise Spoilt("more than one answer")
         if not page:
-            progress.pages = int(told)
+            progress.pages = int(page_field)
         return rows
 
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
@@ -341,9 +345,9 @@
             return "silent"
         return {200: "over", 202: "running"}.get(reply.status, "unknown")
 
-    async def delete(self, entry: Entry, path: str, till: float, urgent: Callable[[], bool]) -> None:
-        """Send DELETE until it is answered, the engine refuses connections, or the time is `till`."""
-        while clock.now() < till:
+    async def delete(self, entry: Entry, path: str, deadline: float, urgent: Callable[[], bool]) -> None:
+        """Send DELETE until it is answered, the engine refuses connections, or `deadline` has passed."""
+        while clock.now() < deadline:
             try:
                 link = await self.links.take(entry, urgent=urgent())
                 try:
