--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where two ends cross, in parts too small for a whole front: each fails without the mend that it names."""
+"""Races between ends of dispatches, connections and time limits, tested on single components."""
 
 import asyncio
 from collections import Counter
@@ -45,7 +45,7 @@
 
 
 def test_all_that_goes_out_of_a_referenced_batch_begins_within_the_window_of_the_first():
-    # The carrier takes time to send, and the window may end meanwhile (`Front.latest_send_time`).
+    # Sending takes time, and the deduplication window may end meanwhile (`Front.latest_send_time`).
     assert [d.begin_by for d in dispatches(DEDUPLICATED_GROUP)] == [11.5, 11.5]
 
 
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
-    # The engine would run on, and the next dispatch would be a second copy (`Front.dispatch_timeout`).
+    # The engine would keep running it beside the next dispatch (`Front.dispatch_timeout`).
     front = Front(SETTINGS._replace(tariffs=(GROUP,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("outcome", (it.DispatchOutcome.RESET, it.DispatchOutcome.TIMED_OUT))
 def test_where_nothing_can_be_called_off_no_end_is_told_before_the_engine_has_surely_ended(outcome):
-    # Risk: told at once, it lets the next dispatch go beside one that runs on (`Dispatcher.dispatch`).
+    # An end reported at once would let the next dispatch run beside this one (`Dispatcher.dispatch`).
     async def run():
         ended, asked = asyncio.Event(), asyncio.Event()
 
@@ -152,7 +152,7 @@
         asked = clock.now()
         await engines.wait_until_stopped(DispatchProgress(0, last_call_at=asked))
         assert clock.now() >= asked + 0.05
-        # One that was seen to be dead is not waited for.
+        # A dead engine is not waited for.
         await asyncio.wait_for(
             engines.wait_until_stopped(DispatchProgress(0, last_call_at=clock.now() + 60, engine_dead=True)),
             8,
@@ -181,8 +181,8 @@
 
 
 def test_a_dispatch_called_off_before_its_first_step_has_an_end():
-    # Risk: a loop that is held up orders a dispatch and calls it off in one turn; its task never runs, and
-    # the batch stays open for good (`Dispatcher.on_task_done`).
+    # A delayed decision loop may start and cancel a dispatch in one turn. Its task never runs then, and the
+    # batch would stay open for good (`Dispatcher.on_task_done`).
     assert called_off_before_its_first_step(asyncio.Task.cancel) is it.DispatchOutcome.UNSENT
 
 
@@ -191,7 +191,7 @@
 
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
-    # Risk: the sockets are read before the beat that tells of the stop (`LoopLagMonitor.current`).
+    # After a stop the sockets are read before the next measurement of the lag (`LoopLagMonitor.current`).
     settings = front_config.read(configuration(), {}).settings
     loop_lag = LoopLagMonitor()
     validator = RequestValidator(settings, loop_lag, Batches())
@@ -203,7 +203,7 @@
 
 @asynccontextmanager
 async def one_place():
-    """Links that may be one, that one with a call behind it, and the engine's entry."""
+    """A pool limited to one connection, that connection with one call made, and the engine's entry."""
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     entry = SimpleNamespace(engine=SimpleNamespace(id=b"a"), address=server.sockets[0].getsockname())
     links = Links(1, 30.0, 8.0, Metrics())
@@ -216,8 +216,8 @@
 
 @pytest.mark.parametrize("unused", (False, True))
 def test_who_wants_an_unused_link_gets_none_that_carried_a_call(unused):
-    # Risk: what is late on a used one is taken for the answer to the next call (`Links.take`). With one place
-    # only the kept one makes way.
+    # A late reply on a used connection would be taken for the answer to the next call (`Links.take`). At the
+    # limit of one connection the idle one has to be closed for it.
     async def run():
         async with one_place() as (links, kept, entry):
             links.give_back(kept)
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -1,5 +1,5 @@
-"""The narrow place: what comes in one moment is told together, a failure there ends nothing, and what
-crosses an end is no second one."""
+"""The decision loop passes events on together and survives failures of the decisions; messages that arrive
+after a batch is answered cause no second answer. Also polls and cancels over connections that fail."""
 
 import asyncio
 from collections import deque
@@ -21,15 +21,15 @@
 TICK = 0.02
 
 
-class Told:
-    """Decisions that only remember what they were told, and fail when told 13."""
+class RecordingDecisions:
+    """Fake decisions that record the events of each turn, and fail on a timer with token 13."""
 
     def __init__(self):
-        self.moments, self.done = [], asyncio.Event()
+        self.turns, self.done = [], asyncio.Event()
 
     def handle(self, now, events):
         tokens = [event.token for event in events]
-        self.moments.append((now, tokens))
+        self.turns.append((now, tokens))
         if tokens[-1] == 13:
             raise KeyError("thirteen")
         if tokens[-1] == 99:
@@ -39,23 +39,23 @@
 
 def play(*moments):
     async def run():
-        front, log, unheeded = Told(), [], []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: unheeded.append(context))
+        front, log, unhandled = RecordingDecisions(), [], []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: unhandled.append(context))
         metrics = Metrics()
         decisions = DecisionLoop(front, TICK, Batches(), metrics, lambda event, **facts: log.append(event))
         for tokens in moments:
             for token in tokens:
                 decisions.add_event(it.TimerDue(token))
-            while not front.moments or tokens[-1] not in front.moments[-1][1]:
+            while not front.turns or tokens[-1] not in front.turns[-1][1]:
                 await asyncio.sleep(0)
         await front.done.wait()
-        return front.moments, metrics, log
+        return front.turns, metrics, log
 
     return asyncio.run(run())
 
 
 def test_one_moment_is_told_together_and_the_next_is_a_tick_away():
-    # Risk: a turn for each event, and in a flood the decisions leave no time to read and answer.
+    # With one turn per event the decisions would leave no time to read and answer under load.
     moments, _, _ = play([1, 2, 3], [4, 99])
     assert [tokens for _, tokens in moments] == [[1, 2, 3], [4, 99]]
     assert moments[1][0] - moments[0][0] >= TICK * 0.9
@@ -77,10 +77,10 @@
     ],
 )
 def test_what_crosses_an_end_is_no_second_answer(crossing, answers):
-    """The dispatch here ends last, and is told as of a batch that is over."""
+    """The dispatch ends last, and its end is reported to the decisions as that of an answered batch."""
 
     async def run():
-        told, given, metrics = [], [], Metrics()
+        events, answers_given, metrics = [], [], Metrics()
 
         async def ends(batch):
             await asyncio.sleep(0)
@@ -89,16 +89,16 @@
         dispatcher = SimpleNamespace(
             start=lambda batch, number, order: asyncio.get_running_loop().create_task(ends(batch))
         )
-        decisions = SimpleNamespace(add_event=told.append)
+        decisions = SimpleNamespace(add_event=events.append)
         batch_tasks = BatchTasks(decisions, dispatcher, Batches(), metrics, lambda *a, **f: None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
-        batch_tasks.start(batch, lambda answer: given.append(type(answer)))
-        for word in crossing:
-            batch.inbox.put_nowait(word)
+        batch_tasks.start(batch, lambda answer: answers_given.append(type(answer)))
+        for message in crossing:
+            batch.inbox.put_nowait(message)
         await asyncio.wait(batch_tasks.tasks)
-        assert [e.complete for e in told if isinstance(e, it.DispatchEnded)] in ([], [True])
+        assert [e.complete for e in events if isinstance(e, it.DispatchEnded)] in ([], [True])
         assert not metrics.counts["course failed"]
-        return given
+        return answers_given
 
     assert asyncio.run(run()) == answers
 
@@ -123,10 +123,10 @@
 
 
 def test_a_stop_in_the_moment_a_dispatch_times_out():
-    told = []
+    events = []
 
     async def run():
-        batch_tasks = BatchTasks(SimpleNamespace(add_event=told.append), None, Batches(), Metrics(), None)
+        batch_tasks = BatchTasks(SimpleNamespace(add_event=events.append), None, Batches(), Metrics(), None)
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         batch_tasks.batches.add(batch)
         with pytest.raises(TimeoutError):
@@ -138,11 +138,11 @@
         batch.backstop.cancel()
 
     asyncio.run(run())
-    assert [type(event) for event in told] == [it.FrontStopping]
+    assert [type(event) for event in events] == [it.FrontStopping]
 
 
 def test_a_cancel_whose_connection_comes_up_late_is_not_taken_for_given():
-    # Risk: the next dispatch goes out beside the first, which its engine was never told to give up.
+    # Otherwise the next dispatch would run beside the first, which its engine was never told to cancel.
     calls, tries = [], []
 
     class Up:
@@ -171,7 +171,7 @@
 
 
 def test_a_poll_waits_for_the_link_that_has_just_answered_sooner_than_it_opens_another():
-    # Risk: hundreds of fronts that make a connection more for each batch that is not over at once.
+    # Otherwise hundreds of fronts would each open another connection for every batch that takes a moment.
     made = []
 
     async def run():
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -1,4 +1,4 @@
-"""Whatever else comes on a connection, a request that was read on it gets its answer before the end."""
+"""A request that was read gets its answer before the front ends the connection, whatever follows it."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -8,7 +8,7 @@
 
 from thistlelever.carrier import clients
 
-# What a client may send behind a request, for which the front ends the connection.
+# Input behind a request for which the front ends the connection.
 BAD_LINES = b"no json\n" * clients.MAX_BAD_LINES
 LONG_LINE = b"x" * (clients.MAX_LINE_BYTES + 100_000)
 FLOOD = b"no json\n" + b"x" * 100 + b"\n" + b"{}\n" * clients.READ_AHEAD_BYTES
@@ -16,7 +16,7 @@
 
 @asynccontextmanager
 async def held(*numbers):
-    """A front whose engine has these requests in work, and answers them once it is released."""
+    """A front whose engine runs these requests and answers them once it is released."""
     async with served("engine a\nfront") as stage:
         await stage.do_holds("a")
         for number in numbers:
@@ -35,13 +35,13 @@
     async def whole():
         async with held(*range(1, parts + 1)) as stage:
             stage.writer.write(behind)
-            # Long enough for the front to have read all that it reads of it.
+            # Long enough for the front to read as much of it as it accepts.
             await asyncio.sleep(0.3)
             stage.engines["a"].released.set()
             for number in range(1, parts + 1):
                 await stage.do_answer(str(number), "result", "rows")
             await stage.do_hung_up()
-            # Nothing is taken any more from who has sent that.
+            # Nothing after the bad input is dispatched.
             assert len([call for call, _, _ in stage.engines["a"].calls if call == "POST"]) == parts
 
     asyncio.run(whole())
@@ -99,7 +99,7 @@
             await stage.until(lambda: stage.answers)
             assert "error" in stage.answers[0] and stage.answers[0]["id"] == 1
             assert any(event == "course failed" for event, _ in stage.events)
-            # The stage's own end takes any part that failed for a fault.
+            # The stage fails at its end if any component logged a failure.
             stage.events.clear()
 
     asyncio.run(whole())
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -1,4 +1,4 @@
-"""Moments in which bytes, signals and lists cross, each forced on a whole front with real sockets."""
+"""Races of input, signals, reloads and engine lists, forced on a whole front with real sockets."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def served(script):
-    """A front with this script played so far, one step a line."""
+    """A front after the steps of the script, one a line."""
     lines = [("setup", line.split()) for line in script.strip().splitlines()]
     with brisk():
         async with staged(lines) as stage:
@@ -40,7 +40,7 @@
 
 
 def moment(script):
-    """The test gets the stage on which the script was played."""
+    """Decorate a test that gets a stage on which the script was played."""
 
     def decorated(body):
         def test(monkeypatch):
@@ -57,7 +57,7 @@
 
 
 async def pace_answers(stage, count):
-    """The directory has answered so many further queries."""
+    """Wait until the directory has received `count` further queries."""
     count += stage.directory.asked
     await stage.until(lambda: stage.directory.asked >= count)
 
@@ -67,7 +67,7 @@
 
 @moment("engine a\nengine b\nfront")
 async def test_a_reload_moves_to_a_directory_that_names_drains(stage, monkeypatch):
-    """The first answers at the new address are lost; what it names is heeded within the time for a drain."""
+    """The first answers at the new address are lost; its drain is obeyed within the time for a drain."""
     await stage.do_moves()
     stage.directory.serial = 4
     stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("minutes", (0, 1))
 def test_a_way_that_falls_silent_late_is_left_in_time(minutes, monkeypatch):
-    """Also after minutes of service, and once more on the way that took its place."""
+    """Also after minutes of service, and again on the socket that replaced it."""
 
     async def whole():
         async with served("engine a\nengine b\nfront") as stage:
@@ -101,7 +101,7 @@
 
 @moment("engine a\nengine b\nfront")
 async def test_answers_of_the_directory_that_come_late_are_read(stage, monkeypatch):
-    """Each answer comes long after the next query has gone out, and by then by a way that was left."""
+    """Each answer comes long after the next query was sent, on a socket that was replaced by then."""
     usual, loop = stage.directory.transport, asyncio.get_running_loop()
 
     def late(data, address):
@@ -110,7 +110,7 @@
     stage.directory.transport = SimpleNamespace(sendto=late, close=usual.close)
     stage.directory.serial, stage.directory.entries = 4, {"a": (stage.port("a"), False)}
     await stage.do_listed("a")
-    # The list that is left is older; it must not come back.
+    # The earlier list is older and must not come back.
     stage.directory.serial, stage.directory.entries = 3, {"a": (stage.port("a"), False), "b": (9, False)}
     await pace_answers(stage, 20)
     await stage.do_listed("a")
@@ -118,8 +118,8 @@
 
 @moment("engine a\nengine b\nengine c\nfront\nlist 5 a b\nlisted a b")
 async def test_a_list_under_a_serial_that_is_held_or_passed_opens_and_removes_nothing(stage, monkeypatch):
-    """What differs under an old number is no news: nothing is sent to what it adds, and nothing is forgotten.
-    An engine that it does not name as ready gets nothing while it is said. The next number is news."""
+    """A list that differs under an old serial changes nothing: engines that it adds get nothing, none is
+    removed. An engine that it does not name as ready gets nothing meanwhile. The next serial is applied."""
     for serial in (5, 4):
         await play(stage, f"list {serial} a c\nlisted a")
         await pace_answers(stage, 10)
@@ -131,7 +131,7 @@
 
 @moment("engine a\nengine b\nfront\nlist 5 a b\nlisted a b")
 async def test_one_list_under_an_old_serial_changes_nothing(stage, monkeypatch):
-    """A single answer that differs is one that came late."""
+    """A single answer that differs is taken for a late one."""
     stage.directory.former = 4, {"a": (stage.port("a"), False)}
     await stage.do_directory("former")
     asked = stage.directory.asked
@@ -154,7 +154,7 @@
     ],
 )
 def test_a_whole_list_and_a_change_are_each_taken_for_what_they_are(events, names):
-    """A whole list where a change was due, the reverse, and each of them after the other."""
+    """A whole list in place of a change, the reverse, and each after the other."""
     told = [
         front_config.ConfigNode({"hosts": {"reset": whole, "instances": [instance(name) for name in listed]}})
         for whole, listed in events
@@ -168,11 +168,11 @@
     assert [e.engine.id for e in front_config.read(config, {}).known] == [b"b"]
 
 
-# The end of a front.
+# Shutdown of a front.
 
 
 async def front_process(config):
-    """A front in a process of its own, ready."""
+    """A front in a process of its own, once it is ready."""
     words, environ = (sys.executable, "-m", "thistlelever", "serve"), os.environ | {"BALANCER_CONFIG": config}
     process = await asyncio.create_subprocess_exec(*words, cwd=ROOT, env=environ, stdout=subprocess.PIPE)
     assert b'"ready"' in await process.stdout.readline()
@@ -180,7 +180,7 @@
 
 
 def connect(stage, *lines, address=None):
-    """A further client whose lines lie in the socket before the front has seen it."""
+    """Connect a client whose lines are in the socket before the front accepts it."""
     sock = socket.create_connection(address or stage.writer.get_extra_info("peername"))
     for line in lines:
         sock.sendall(line)
@@ -188,7 +188,7 @@
 
 
 async def answer_on(sock):
-    """The next line on a connection, as its client reads it; None where it has ended."""
+    """Read the next line on a connection; None where it has ended."""
     reader, writer = await asyncio.open_connection(sock=sock)
     with closing(writer):
         line = await asyncio.wait_for(reader.readline(), LONGEST_WAIT)
@@ -197,7 +197,7 @@
 
 @moment("engine a\nfront")
 async def test_sigterm_right_behind_accepts_with_requests_in_the_sockets(stage, monkeypatch):
-    """More connections than are taken in one turn of the loop, none of them seen before the signal."""
+    """More connections than are accepted in one loop iteration, none accepted before the signal."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
     socks = [connect(stage, stage.submission(100 + n, "lookup")) for n in range(clients.ACCEPTS_PER_TURN + 8)]
     os.kill(os.getpid(), signal.SIGTERM)
@@ -207,7 +207,7 @@
 
 @moment("engine a\nfront")
 async def test_a_connection_that_waits_at_the_port_when_it_is_closed_is_answered(stage, monkeypatch):
-    """It comes in the very turn of the loop in which the front takes no more."""
+    """It arrives in the loop iteration in which the front stops accepting."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
     finish, socks = stage.office.client_listener.finish, []
 
@@ -224,7 +224,7 @@
 
 @moment("engine a\nfront")
 async def test_a_request_in_pieces_across_sigterm_is_answered(stage, monkeypatch):
-    """Its last byte comes when all else is answered and nothing new is expected any more."""
+    """Its last byte comes when everything else is answered."""
     monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
     line = stage.submission(1, "lookup")
     stage.writer.write(line[:40])
@@ -245,7 +245,7 @@
 
 @moment("engine a\nfront")
 async def test_a_front_killed_behind_an_accept_leaves_its_port_to_the_next(stage, monkeypatch):
-    """What lay in its sockets gets no answer and is not ours to answer; the next process serves at once."""
+    """Requests in its sockets get no answer; the next process serves at once."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         address = probe.getsockname()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
@@ -253,7 +253,7 @@
         file.flush()
         for killed in (True, False):
             process = await front_process(file.name)
-            # Stopped, it has what its port accepts and reads nothing of it.
+            # While stopped, its port accepts connections and nothing is read.
             process.send_signal(signal.SIGSTOP if killed else signal.SIGCONT)
             sock = connect(stage, stage.submission(100 + killed, "lookup"), address=address)
             answering = asyncio.create_task(answer_on(sock))
@@ -265,12 +265,12 @@
                 assert not killed or await answering is None
 
 
-# Connections that rest.
+# Idle connections.
 
 
 @moment("engine a\nfront\nsubmit 1 lookup\nanswer 1 result rows")
 async def test_a_request_in_pieces_on_a_connection_that_rested(stage, monkeypatch):
-    """Risk: what rested longer than half a line may take is closed over the half line of its next request."""
+    """A connection idle for longer than the partial-line timeout must not be closed over half a request."""
     monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.3)
     await asyncio.sleep(0.4)
     line = stage.submission(2, "lookup")
@@ -284,7 +284,7 @@
 
 @moment("engine a\nfront\nsubmit 1 lookup\nanswer 1 result rows\nplaces 1")
 async def test_a_rested_connection_with_a_request_on_its_way_makes_no_place(stage, monkeypatch):
-    """Risk: who comes new gets the place of one whose request lies in its socket."""
+    """A new client must not replace a connection whose request is already in its socket."""
     monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.1)
     await asyncio.sleep(0.2)
     line = stage.submission(2, "lookup")
@@ -308,7 +308,7 @@
 
 @moment("settings Limits.Keepalive 100000\nengine a\nfront\nsubmit 1 pay\nanswer 1 result rows")
 async def test_an_idle_process_still_answers(stage, monkeypatch):
-    """All its connections to the engine were closed meanwhile, by either side; its client has come back."""
+    """All connections to the engine were closed meanwhile, by either side; then the client comes back."""
     stage.writer.close()
     await asyncio.sleep(2 * run.HOUSEKEEPING)
     await play(stage, "hangs_up a")
@@ -318,11 +318,11 @@
     await play(stage, "calls a POST 2\ncalls a GET0 0")
 
 
-# Answers of engines.
+# Replies of engines.
 
 
 def endless(head, piece, pause=0.002):
-    """What an engine sends that begins an answer and never ends it."""
+    """A fake engine's reply that begins and never ends."""
 
     async def send(writer):
         writer.write(head)
@@ -348,7 +348,7 @@
 
 
 def sends_once(stage, name, call, send):
-    """The engine answers one such call like that, in place of its good answer, and the next ones as usual."""
+    """The engine answers one such call with `send` in place of its proper answer, later ones as usual."""
     engine = stage.engines[name]
     usual, used = engine.act, []
 
@@ -378,7 +378,7 @@
             await stage.until(lambda: stage.answers)
             assert "result" in stage.answers[0], stage.answers
             await play(stage, "calls a POST 1")
-            # The connection on which it goes on is closed.
+            # The connection with the endless reply is closed.
             await stage.look_until(lambda: stage.office.links.count == len(stage.engines["a"].writers))
 
     asyncio.run(whole())
@@ -391,7 +391,7 @@
 
 @pytest.mark.parametrize("late", (0.0, 0.003, 0.008, 0.03))
 def test_a_second_answer_that_comes_late_is_nobodys(late):
-    """A copy of an answer comes so much later on its connection, while the next request goes out."""
+    """A copy of an answer comes `late` seconds later on its connection, while the next request is sent."""
 
     async def whole():
         async with served("engine a\nfront") as stage:
