--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -124,7 +124,7 @@
         await play(stage, f"list {serial} a c\nlisted a")
         await pace_answers(stage, 10)
         await stage.do_listed("a")
-        assert set(stage.office.roll.listing()) == {b"a", b"b"} and stage.office.roll.serial == 5
+        assert set(stage.server.roll.listing()) == {b"a", b"b"} and stage.server.roll.serial == 5
         await play(stage, "list 5 a b\nlisted a b")
     await play(stage, "list 6 b\nlisted b")
 
@@ -198,7 +198,7 @@
 @moment("engine a\nfront")
 async def test_sigterm_right_behind_accepts_with_requests_in_the_sockets(stage, monkeypatch):
     """More connections than are accepted in one loop iteration, none accepted before the signal."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
     socks = [connect(stage, stage.submission(100 + n, "lookup")) for n in range(clients.ACCEPTS_PER_TURN + 8)]
     os.kill(os.getpid(), signal.SIGTERM)
     assert all("result" in (answer or ()) for answer in await asyncio.gather(*map(answer_on, socks)))
@@ -208,14 +208,14 @@
 @moment("engine a\nfront")
 async def test_a_connection_that_waits_at_the_port_when_it_is_closed_is_answered(stage, monkeypatch):
     """It arrives in the loop iteration in which the front stops accepting."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
-    finish, socks = stage.office.client_listener.finish, []
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
+    finish, socks = stage.server.client_listener.finish, []
 
     def crossing(within):
         socks.append(connect(stage, stage.submission(100, "lookup")))
         return finish(within)
 
-    monkeypatch.setattr(stage.office.client_listener, "finish", crossing)
+    monkeypatch.setattr(stage.server.client_listener, "finish", crossing)
     await stage.do_sigterm()
     await stage.look_until(lambda: socks)
     assert "result" in (await answer_on(socks[0]))
@@ -225,11 +225,11 @@
 @moment("engine a\nfront")
 async def test_a_request_in_pieces_across_sigterm_is_answered(stage, monkeypatch):
     """Its last byte comes when everything else is answered."""
-    monkeypatch.setattr(run, "LONGEST_LIMIT", 3.0)
+    monkeypatch.setattr(run, "MAX_DRAIN_S", 3.0)
     line = stage.submission(1, "lookup")
     stage.writer.write(line[:40])
     await stage.do_sigterm()
-    await asyncio.sleep(run.STILL_COMING + 0.1)
+    await asyncio.sleep(run.ACCEPT_AFTER_SIGTERM_S + 0.1)
     stage.writer.write(line[40:])
     await play(stage, "answer 1 result rows\nhung_up_in_order\nstopped")
 
@@ -276,7 +276,7 @@
     line = stage.submission(2, "lookup")
     stage.writer.write(line[:40])
     await asyncio.sleep(0.05)
-    stage.office.client_listener.sweep()
+    stage.server.client_listener.sweep()
     await asyncio.sleep(0.05)
     stage.writer.write(line[40:])
     await stage.do_answer(2, "result", "rows")
@@ -302,7 +302,7 @@
     monkeypatch.setattr(clients, "SILENT_TIMEOUT_S", 0.2)
     stage.writer.write(b'{"jsonrpc":"2.0",')
     await asyncio.sleep(0.3)
-    stage.office.client_listener.sweep()
+    stage.server.client_listener.sweep()
     await stage.do_hung_up_in_order()
 
 
@@ -310,7 +310,7 @@
 async def test_an_idle_process_still_answers(stage, monkeypatch):
     """All connections to the engine were closed meanwhile, by either side; then the client comes back."""
     stage.writer.close()
-    await asyncio.sleep(2 * run.HOUSEKEEPING)
+    await asyncio.sleep(2 * run.HOUSEKEEPING_INTERVAL_S)
     await play(stage, "hangs_up a")
     status = b'{"jsonrpc":"2.0","id":7,"method":"status"}\n'
     assert (await answer_on(connect(stage, status)))["result"] == {"ready": True}
@@ -379,7 +379,7 @@
             assert "result" in stage.answers[0], stage.answers
             await play(stage, "calls a POST 1")
             # The connection with the endless reply is closed.
-            await stage.look_until(lambda: stage.office.links.count == len(stage.engines["a"].writers))
+            await stage.look_until(lambda: stage.server.links.count == len(stage.engines["a"].writers))
 
     asyncio.run(whole())
 
