--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -13,8 +13,8 @@
 from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.store.batches import Batches
-from thistlelever.store.roll import Roll
-from thistlelever.subsetting import FrontPlace
+from thistlelever.store.engine_registry import EngineRegistry
+from thistlelever.subsetting import FrontIdentity
 
 KINDS = ("std", "large")
 KIND_CORES, KIND_MEMORY_MB = (16, 32), (32768.0, 65536.0)
@@ -34,7 +34,7 @@
 class Parts(NamedTuple):
     """What a front without clients consists of before it hears of any engine."""
 
-    roll: Roll
+    registry: EngineRegistry
     decisions: DecisionLoop
     metrics: Metrics
     log: Log
@@ -73,7 +73,7 @@
     read = config_of(place, zones, fronts)
     metrics, log = Metrics(), Log(place.name, LOG_SINK)
     decisions = DecisionLoop(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
-    return Parts(Roll(), decisions, metrics, log, read)
+    return Parts(EngineRegistry(), decisions, metrics, log, read)
 
 
 def control_of(parts, place, terms):
@@ -82,8 +82,8 @@
     subscription_terms = SubscriptionTerms(
         distributors, terms["heartbeat_s"], terms["patience_s"], place.seed
     )
-    front_place = FrontPlace(place.name, place.zone, place.rank, place.zone_rank)
+    front_place = FrontIdentity(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
     names = KnownNames(parts.config.zones, parts.config.kinds)
-    SubscribedList(subscription, parts.roll, lambda engine: None, parts.decisions, names)
+    SubscribedList(subscription, parts.registry, lambda engine: None, parts.decisions, names)
     return subscription
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -1,8 +1,8 @@
-"""A directory whose answers come late: what it tells of drains is heeded soon after it was told.
+"""A directory with late answers: the front learns of a drain soon after the directory sent it.
 
-The story. Under fault injection queries went to engines that drain, 0.4 to 1.1 s after the front counted as
-told. It counts as told when the directory sends the answer. Seen here: once each answer takes 2 s, the front
-knows of a drain a second after that, and where answers take longer than 3.25 s it never hears of one again.
+Guards against queries to draining engines 0.4 to 1.1 s after the front counted as informed, which is the
+moment when the directory sends the answer. Observed under fault injection: with answers delayed by 2 s the
+front learned of a drain a second after that, and with delays over 3.25 s it never learned of another drain.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 
 from thistlelever.carrier import directory
 
-SERVICE_PACE = directory.PACE
+SERVICE_INTERVAL = directory.POLL_INTERVAL
 
 
 @pytest.mark.parametrize("delay", (0.3, 1.0, 2.0, 3.0, 4.0))
-def test_a_drain_is_known_soon_after_a_slow_directory_told_it(delay, monkeypatch):
-    """Answers begin to be slow just before the drain, at the pace of the service."""
+def test_a_drain_is_known_soon_after_a_slow_directory_sent_it(delay, monkeypatch):
+    """Answers become slow just before the drain, at the poll interval used in production."""
 
-    async def whole():
+    async def scenario():
         async with served("engine a\nengine b\nfront") as stage:
-            monkeypatch.setattr(directory, "PACE", SERVICE_PACE)
+            monkeypatch.setattr(directory, "POLL_INTERVAL", SERVICE_INTERVAL)
             loop, server = asyncio.get_running_loop(), stage.server
-            await asyncio.sleep(2 * SERVICE_PACE)
+            await asyncio.sleep(2 * SERVICE_INTERVAL)
             stage.directory.delay = delay
             stage.directory.serial = 4
             stage.directory.entries = {"a": (stage.port("a"), False), "b": (stage.port("b"), True)}
             async with asyncio.timeout(3 * delay + 2.0):
-                while server.roll.open_to(b"b"):
+                while server.registry.accepts_dispatches(b"b"):
                     await asyncio.sleep(0.005)
             assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -66,7 +66,7 @@
         except Exception as why:
             self.metrics.add("course failed")
             self.log("course failed", why=repr(why), trace=traceback.format_exc())
-            for number, task in batch.out.items():
+            for number, task in batch.dispatch_tasks.items():
                 task.cancel()
                 end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
                 self.decisions.add_event(end.event(batch.number, complete=True))
@@ -75,7 +75,7 @@
                 self.decisions.add_event(it.ClientLeft(batch.number))
         finally:
             if self.gate:
-                self.gate.completed(batch, batch.true_work)
+                self.gate.completed(batch, batch.measured_work)
             if batch.lease_guard:
                 batch.lease_guard.close()
             batch.backstop.cancel()
@@ -85,18 +85,18 @@
         """Set the timer that answers the batch if the decisions do not, replacing an earlier one."""
         if batch.backstop:
             batch.backstop.cancel()
-        overdue_at = clock.on_loop(batch.limit_at) + BACKSTOP_DELAY_S
+        overdue_at = clock.on_loop(batch.deadline) + BACKSTOP_DELAY_S
         loop = asyncio.get_running_loop()
         batch.backstop = loop.call_at(overdue_at, batch.inbox.put_nowait, OVERDUE)
 
     def stop(self, at: float) -> None:
         """Shorten the time limits of open batches and of their dispatches to `at`, when the front stops."""
         for batch in self.batches.by_number.values():
-            if batch.limit_at > at:
-                batch.limit_at = at
+            if batch.deadline > at:
+                batch.deadline = at
                 self.arm_backstop(batch)
                 # An expired timeout raises if it is rescheduled, which would end the stop halfway.
-                for limit in (limit for limit in batch.limits.values() if not limit.expired()):
+                for limit in (limit for limit in batch.timeouts.values() if not limit.expired()):
                     limit.reschedule(min(limit.when(), clock.on_loop(at)))
         self.decisions.add_event(it.FrontStopping(at))
         if self.gate:
@@ -111,8 +111,8 @@
             return
         if self.gate and not await self.wait_for_admission(batch, answer):
             return
-        self.decisions.add_event(batch.taken)
-        while batch.out or not batch.answered:
+        self.decisions.add_event(batch.received)
+        while batch.dispatch_tasks or not batch.answered:
             message = await batch.inbox.get()
             match message:
                 case it.Terms():
@@ -123,11 +123,11 @@
                     number, batch.dispatches = batch.dispatches, batch.dispatches + 1
                     if self.remembered:
                         self.remembered.record_dispatch(batch, number, message.engine)
-                    batch.out[number] = self.dispatcher.start(batch, number, message)
+                    batch.dispatch_tasks[number] = self.dispatcher.start(batch, number, message)
                     if self.gate:
                         self.gate.dispatch_started(batch)
                 case it.Cancel():
-                    task = batch.out.get(message.number)
+                    task = batch.dispatch_tasks.get(message.number)
                     if task and not task.cancelling():
                         task.cancel()
                 # Only the first dispatch that asks may stream its result, and only while the batch is not
@@ -142,8 +142,8 @@
                 case Begun():
                     message.result_stream.close_reader()
                 case End():
-                    del batch.out[message.number]
-                    batch.true_work += message.true_work
+                    del batch.dispatch_tasks[message.number]
+                    batch.measured_work += message.true_work
                     if batch.lease_guard:
                         batch.lease_guard.end_dispatch(message)
                     if self.remembered:
@@ -167,10 +167,12 @@
                     batch.answered = True
                     self.decisions.add_event(it.ClientLeft(batch.number))
                 case _ if (
-                    message is CLIENT_LEFT and batch.result_stream and batch.result_stream.number in batch.out
+                    message is CLIENT_LEFT
+                    and batch.result_stream
+                    and batch.result_stream.number in batch.dispatch_tasks
                 ):
                     batch.result_stream.close_reader()
-                    batch.out[batch.result_stream.number].cancel()
+                    batch.dispatch_tasks[batch.result_stream.number].cancel()
                 case _ if message is OVERDUE and not batch.answered:
                     self.metrics.add("left without an answer at the limit")
                     self.send_answer(batch, answer, it.Error(batch.number))
@@ -179,7 +181,7 @@
     async def claim(self, batch: Batch, answer: Answer) -> bool:
         """Acquire the lease of a batch before anything is sent for it; returns whether this front may run the
         batch and its client is still there."""
-        if not batch.asked.reference:
+        if not batch.submission.reference:
             self.leases.register_lazy(batch)
             return True
         loop = asyncio.get_running_loop()
@@ -199,7 +201,7 @@
                 # Nothing was sent from here. A retried batch may run at another front, with an outcome that
                 # is not known here, so its client is not told that nothing ran.
                 answer_early = (
-                    it.Error(batch.number) if batch.asked.is_retry else it.PushBack(batch.number, 0.0)
+                    it.Error(batch.number) if batch.submission.is_retry else it.PushBack(batch.number, 0.0)
                 )
                 self.send_answer(batch, answer, answer_early)
             return False
@@ -211,7 +213,7 @@
             self.send_answer(batch, answer, message)
             return False
         # The time that acquiring took counts against the time limit.
-        batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
+        batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
         return True
 
     async def send_if_owned(self, batch: Batch, answer: Answer, message: it.Action | End) -> None:
@@ -228,7 +230,7 @@
             message = await batch.inbox.get()
             match message:
                 case Release():
-                    batch.taken = batch.taken._replace(time_limit=batch.limit_at - clock.now())
+                    batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
                     return True
                 case Refuse():
                     self.send_answer(batch, answer, it.PushBack(batch.number, message.after))
@@ -247,9 +249,9 @@
     def extend_limit(self, batch: Batch, number: int) -> None:
         """Extend the time limit of a dispatch whose result is streaming to that of the batch, as no other
         dispatch can replace it."""
-        limit = batch.limits.get(number)
+        limit = batch.timeouts.get(number)
         if limit and not limit.expired():
-            limit.reschedule(clock.on_loop(batch.limit_at))
+            limit.reschedule(clock.on_loop(batch.deadline))
 
     def send_answer(self, batch: Batch, answer: Answer, message: it.Action | End | Begun) -> None:
         """Give the final answer; a second one is counted as a broken invariant and not sent."""
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -17,7 +17,7 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.submission import InvalidFieldError
 from thistlelever.store.batches import Batch
-from thistlelever.store.bounds import Bounds
+from thistlelever.store.connection_limits import ConnectionLimits
 from thistlelever.store.stream import Stream
 from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
@@ -53,19 +53,24 @@
 
 
 class ClientListener:
-    """Accepts client connections within the limits of `bounds` and makes batches of their calls.
+    """Accepts client connections within `limits` and makes batches of their calls.
 
-    `unsent_bytes` counts the answers of all sessions that are not written yet; `quota` bounds the growth of
+    `unsent_bytes` counts the answers of all sessions that are not written yet; `quota` limits the growth of
     their read buffers.
     """
 
     def __init__(
-        self, validator: RequestValidator, batch_tasks: BatchTasks, metrics: Metrics, log: Log, bounds: Bounds
+        self,
+        validator: RequestValidator,
+        batch_tasks: BatchTasks,
+        metrics: Metrics,
+        log: Log,
+        limits: ConnectionLimits,
     ) -> None:
         self.validator, self.batch_tasks, self.metrics = validator, batch_tasks, metrics
-        self.log, self.bounds = log, bounds
+        self.log, self.limits = log, limits
         self.ready: Callable[[], bool] = lambda: False
-        self.unsent_bytes, self.quota = 0, BufferQuota(bounds.unfinished)
+        self.unsent_bytes, self.quota = 0, BufferQuota(limits.unfinished_bytes)
         # An accepted connection that waits until a session ends, and since when the limit is reached; further
         # connections wait in the listen queue.
         self.pending_socket: socket.socket | None = None
@@ -113,7 +118,7 @@
                 self.metrics.add("connections that could not be taken")
                 self.pause_accepting()
                 return
-            has_place = len(self.sessions) < self.bounds.sessions or self.close_idle_session()
+            has_place = len(self.sessions) < self.limits.client_connections or self.close_idle_session()
             if not has_place and clock.now() < self.full_since + PLACE_TIMEOUT_S:
                 # Closing it would lose its first request; a session may end soon.
                 self.full_since, self.pending_socket = min(self.full_since, clock.now()), raw
@@ -406,9 +411,13 @@
         """Log an answer without a result, with the batch's id and the number of its dispatches."""
         if type(message) in (it.PushBack, it.Error):
             event = "query refused" if type(message) is it.PushBack else "query errored"
-            left = round(batch.limit_at - clock.now(), 3)
+            left = round(batch.deadline - clock.now(), 3)
             self.listener.log(
-                event, id=batch.asked.txn, group=batch.lane, dispatches=batch.dispatches, left_s=left
+                event,
+                id=batch.submission.txn,
+                group=batch.class_name,
+                dispatches=batch.dispatches,
+                left_s=left,
             )
 
     def withdraw(self, call: jsonrpc.Call) -> None:
@@ -416,7 +425,7 @@
         self.metrics.add("withdrawn")
         named = call.params.get("id", call.number)
         for number, batch in list(self.open_batches.items()):
-            if named in (number, batch.asked.txn):
+            if named in (number, batch.submission.txn):
                 del self.open_batches[number]
                 batch.inbox.put_nowait(CLIENT_LEFT)
         # A withdrawal with its own number gets a reply; with a request's number the reply would be a second
@@ -430,7 +439,7 @@
         unsent answers pass a limit."""
         if self.shutting_down or self.stream.closed():
             return
-        if self.listener.unsent_bytes + len(data) > self.listener.bounds.unread:
+        if self.listener.unsent_bytes + len(data) > self.listener.limits.unread_bytes:
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -17,8 +17,8 @@
 from thistlelever.ground.log import Log
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.batches import Batch, DispatchName
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 class NoResultError(Exception):
@@ -103,16 +103,16 @@
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
-        """Continue a dispatch that another front began, by its name in `batch.under`, starting nothing.
+        """Continue a dispatch that another front began, by its name in `batch.adopted_names`; starts nothing.
 
         Otherwise like `run_dispatch`. The outcome is `ASTRAY` if the engine does not know the dispatch.
         """
 
-    async def query_status(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
         """Poll a batch that no client waits for here, so that its engine keeps it or its result. Returns
         `running`, `over`, `unknown` or `silent`."""
 
-    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
         """Cancel a dispatch that another front started."""
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
@@ -134,7 +134,7 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         protocol: Callable[[Entry], EngineProtocol],
         decisions: DecisionLoop,
         metrics: Metrics,
@@ -143,13 +143,13 @@
         self.allows_cancel, self.allows_copies = settings.cancel, settings.copies
         # Gives the protocol of an engine.
         self.protocol = protocol
-        self.roll, self.decisions, self.metrics, self.log = roll, decisions, metrics, log
+        self.registry, self.decisions, self.metrics, self.log = registry, decisions, metrics, log
         self.background: set[asyncio.Task] = set()
 
     def start(self, batch: Batch, number: int, request: it.Dispatch) -> asyncio.Task:
         """Start a dispatch as a task; its `End` goes to the batch's inbox, also if the task is cancelled."""
         batch.engines[number] = request.engine
-        self.roll.begin(request.engine)
+        self.registry.dispatch_started(request.engine)
         # A task that is cancelled before its first step never runs, so the end is reported by a callback;
         # otherwise the batch would stay open.
         end = End(number, request.engine, it.DispatchOutcome.UNSENT)
@@ -159,7 +159,7 @@
 
     def on_task_done(self, batch: Batch, end: End) -> None:
         """Report the end of a dispatch to its batch, however its task ended."""
-        self.roll.end(end.engine)
+        self.registry.dispatch_ended(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
@@ -173,14 +173,16 @@
         if not why:
             return True
         self.metrics.add(f"dispatches withheld: {why}")
-        self.log("dispatch withheld", id=batch.asked.txn, engine=request.engine.decode("latin-1"), why=why)
+        self.log(
+            "dispatch withheld", id=batch.submission.txn, engine=request.engine.decode("latin-1"), why=why
+        )
         return False
 
     def refusal(self, batch: Batch, request: it.Dispatch) -> str:
         """Return why a dispatch may no longer be sent, or an empty string if it may."""
         if batch.answered:
             return "answered or left"
-        if not self.roll.open_to(request.engine):
+        if not self.registry.accepts_dispatches(request.engine):
             return "engine draining or gone"
         if clock.now() >= request.begin_by:
             return "too late to begin"
@@ -192,15 +194,15 @@
         """Run one dispatch to its end, and cancel it at its engine where it may still run there."""
         started_at, number = clock.now(), end.number
         deadline = (
-            min(started_at + request.time_out, batch.limit_at) if request.time_out > 0 else batch.limit_at
+            min(started_at + request.time_out, batch.deadline) if request.time_out > 0 else batch.deadline
         )
         progress = DispatchProgress(number, lambda: self.may_start(batch, request), ordered_at=started_at)
         try:
-            entry = self.roll.entries.get(request.engine)
+            entry = self.registry.entries.get(request.engine)
             if batch.answered or deadline <= started_at or entry is None:
                 end.outcome = self.never_sent(batch, number)
             else:
-                async with asyncio.timeout_at(clock.on_loop(deadline)) as batch.limits[number]:
+                async with asyncio.timeout_at(clock.on_loop(deadline)) as batch.timeouts[number]:
                     await self.run_protocol(batch, entry, end, progress, deadline)
         except TimeoutError:
             # A wait for a free connection of this front must not be reported as an unreachable engine, which
@@ -218,10 +220,10 @@
         self.log_failure(batch, end, progress)
         if end.result_stream:
             end.result_stream.end(end.outcome)
-        batch.limits.pop(number, None)
+        batch.timeouts.pop(number, None)
         if progress.started and end.outcome in MAY_RUN_ON:
-            may_retry = end.outcome is not it.DispatchOutcome.TIMED_OUT or deadline < batch.limit_at
-            left = max(batch.limit_at - clock.now(), 0.0)
+            may_retry = end.outcome is not it.DispatchOutcome.TIMED_OUT or deadline < batch.deadline
+            left = max(batch.deadline - clock.now(), 0.0)
             # A second cancellation must not prevent the end from being reported; the batch would stay open.
             with suppress(asyncio.CancelledError, TimeoutError):
                 if self.allows_cancel:
@@ -240,7 +242,7 @@
             return
         self.log(
             "dispatch ended",
-            id=batch.asked.txn,
+            id=batch.submission.txn,
             number=end.number,
             engine=end.engine.decode("latin-1"),
             fate=end.outcome.name.lower(),
@@ -254,7 +256,7 @@
         """Run or resume the dispatch by its engine's protocol, once the lease allows it."""
         if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
             raise NoResultError(self.never_sent(batch, end.number))
-        if end.number in batch.under:
+        if end.number in batch.adopted_names:
             await self.protocol(entry).resume(batch, entry, end, progress, deadline)
         else:
             await self.protocol(entry).run_dispatch(batch, entry, end, progress, deadline)
@@ -262,7 +264,7 @@
     def never_sent(self, batch: Batch, number: int) -> it.DispatchOutcome:
         """Return the outcome of a dispatch that was not sent from here. One that another front began may have
         run, and must not be reported as never sent."""
-        return it.DispatchOutcome.ASTRAY if number in batch.under else it.DispatchOutcome.UNSENT
+        return it.DispatchOutcome.ASTRAY if number in batch.adopted_names else it.DispatchOutcome.UNSENT
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
         """Cancel a dispatch at its engine, unless another front may have taken the batch over."""
@@ -271,8 +273,8 @@
 
     def reprioritise(self, batch: Batch) -> None:
         """Send the batch's new priority to the engines of its running dispatches."""
-        for number in batch.out:
-            entry = self.roll.entries.get(batch.engines[number])
+        for number in batch.dispatch_tasks:
+            entry = self.registry.entries.get(batch.engines[number])
             if entry:
                 self.run_in_background(self.protocol(entry).set_priority(batch, entry, number))
 
@@ -286,7 +288,7 @@
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
             (),
-            self.roll.entries.get(engine),
+            self.registry.entries.get(engine),
         )
         if entry:
             outcome, report = await self.protocol(entry).probe(entry)
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -20,8 +20,8 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.batches import Batch, DispatchName
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
@@ -105,7 +105,7 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         decisions: DecisionLoop,
         metrics: Metrics,
         buffer_limit: int,
@@ -113,7 +113,7 @@
         quota: BufferQuota,
     ) -> None:
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
-        self.roll, self.decisions, self.metrics = roll, decisions, metrics
+        self.registry, self.decisions, self.metrics = registry, decisions, metrics
         self.buffer_limit, self.quota = buffer_limit, quota
         self.stream_limit = stream_limit
         self.channels: dict[it.EngineId, aio.Channel] = {}
@@ -135,7 +135,7 @@
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
-        if batch.update:
+        if batch.is_update:
             # The row count was in the answer to the call, which went to another front.
             raise NoResultError(it.DispatchOutcome.ASTRAY)
         try:
@@ -164,7 +164,7 @@
         progress.started, progress.last_call_at = True, clock.now()
         buffer = ResultBuffer(self.buffer_limit if batch.columns else MAX_BYTES_FOR_ROWS, self.quota)
         try:
-            if batch.update:
+            if batch.is_update:
                 await self.update(channel, descriptor, batch, end, progress, deadline)
                 return
             options = self.call_options(batch, end.number, deadline, extra_headers)
@@ -289,7 +289,7 @@
             return it.DispatchOutcome.ERRORED
         # An engine that never got the batch must not count as failing; when connections break, all engines
         # would. The cancel tells whether it got it, and keeps a call still in a buffer from starting it.
-        name = batch.name(progress.number)
+        name = batch.dispatch_name(progress.number)
         if (
             not progress.acknowledged
             and await self.send_cancel(entry, name, batch_descriptor(batch)) is StatusCode.NOT_FOUND
@@ -303,20 +303,20 @@
         The call may last as long as the client waits, as a streamed result may; the dispatch's own limit
         `deadline`, which may be earlier, is sent to the engine in milliseconds.
         """
-        asked, left = batch.asked, max(ceil((deadline - clock.now()) * 1e3), 1)
+        submission, left = batch.submission, max(ceil((deadline - clock.now()) * 1e3), 1)
         fields = [
-            *dispatch_headers(batch.name(number)),
+            *dispatch_headers(batch.dispatch_name(number)),
             *extra_headers,
-            ("x-lane", batch.lane),
+            ("x-lane", batch.class_name),
             ("x-limit-ms", str(left)),
         ]
-        if asked.reference:
-            fields.append(("x-dedupe", asked.reference))
+        if submission.reference:
+            fields.append(("x-dedupe", submission.reference))
         if batch.grant >= 1:
             fields.append(("pool-mb", str(round(batch.grant))))
         if batch.priority is not None:
             fields.append(("pool-rank", str(batch.priority)))
-        return {"timeout": max(batch.limit_at - clock.now(), 0.001), "metadata": tuple(fields)}
+        return {"timeout": max(batch.deadline - clock.now(), 0.001), "metadata": tuple(fields)}
 
     def read_trailer(self, metadata, end: End) -> None:
         """Take load report, work and memory from a call's trailer, as far as it has them."""
@@ -336,7 +336,7 @@
             value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
             self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
-    async def query_status(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
@@ -351,15 +351,15 @@
             return "silent"
         return "over"
 
-    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
         await self.cancel_until_confirmed(entry, name, EMPTY_DESCRIPTOR, clock.now() + DROP_AFTER_S)
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
-        name, deadline = batch.name(progress.number), progress.last_call_at + DROP_AFTER_S
+        name, deadline = batch.dispatch_name(progress.number), progress.last_call_at + DROP_AFTER_S
         await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), deadline)
 
     async def cancel_until_confirmed(
-        self, entry: Entry, name: Name, descriptor: bytes, deadline: float
+        self, entry: Entry, name: DispatchName, descriptor: bytes, deadline: float
     ) -> None:
         """Repeat the cancel until the engine has handled it, does not support it, or `deadline` passes."""
         while clock.now() < deadline:
@@ -371,7 +371,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("flight cancel failed")
 
-    async def send_cancel(self, entry: Entry, name: Name, descriptor: bytes) -> StatusCode | None:
+    async def send_cancel(self, entry: Entry, name: DispatchName, descriptor: bytes) -> StatusCode | None:
         """Send one cancel and return the engine's status, or None if it cannot be reached.
 
         NOT_FOUND: the engine never had this dispatch and will not start it.
@@ -396,7 +396,7 @@
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
             await self.call_action(
-                entry, PRIORITY, b"%d" % batch.priority, dispatch_headers(batch.name(number))
+                entry, PRIORITY, b"%d" % batch.priority, dispatch_headers(batch.dispatch_name(number))
             )
         except (aio.AioRpcError, NoResultError):
             self.metrics.add("flight priority failed")
@@ -479,7 +479,7 @@
             await asyncio.wait(self.closing, timeout=0.2)
 
 
-def dispatch_headers(name: Name) -> Metadata:
+def dispatch_headers(name: DispatchName) -> Metadata:
     """Return the headers that identify a dispatch; the id of the batch alone would not, as an engine that
     cancelled one dispatch may get the next."""
     return ("x-txn", name.txn), ("x-dispatch", str(name.number))
@@ -487,6 +487,6 @@
 
 def batch_descriptor(batch: Batch) -> bytes:
     """Encode the Flight descriptor of a batch's statement; raises `UnicodeDecodeError` if it is not UTF-8."""
-    kind = sql.CommandStatementUpdate if batch.update else sql.CommandStatementQuery
-    command = encode_any(kind(query=batch.asked.statement.decode()))
+    kind = sql.CommandStatementUpdate if batch.is_update else sql.CommandStatementQuery
+    command = encode_any(kind(query=batch.submission.statement.decode()))
     return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=command).SerializeToString()
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -12,9 +12,17 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
-from thistlelever.store.links import Broken, Link, Links, Refused, Short, Silent, Unreached
-from thistlelever.store.roll import Roll
+from thistlelever.store.batches import Batch, DispatchName
+from thistlelever.store.connections import (
+    Broken,
+    Connection,
+    ConnectionPool,
+    Refused,
+    Short,
+    Silent,
+    Unreached,
+)
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire import http
 
 # Time-outs in seconds: of polls and of the call that starts a batch, and of other calls. Engines answer the
@@ -55,7 +63,12 @@
     """The platform's own protocol for engines; implements `EngineProtocol` of `dispatch.py`."""
 
     def __init__(
-        self, settings: it.Settings, roll: Roll, links: Links, decisions: DecisionLoop, metrics: Metrics
+        self,
+        settings: it.Settings,
+        registry: EngineRegistry,
+        connections: ConnectionPool,
+        decisions: DecisionLoop,
+        metrics: Metrics,
     ) -> None:
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
         self.non_idempotent = frozenset(
@@ -68,7 +81,12 @@
             for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
-        self.roll, self.links, self.decisions, self.metrics = roll, links, decisions, metrics
+        self.registry, self.connections, self.decisions, self.metrics = (
+            registry,
+            connections,
+            decisions,
+            metrics,
+        )
 
     async def run_dispatch(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
@@ -83,7 +101,7 @@
             # The engine does not know the batch, so it is sent there again; not if it is not idempotent: the
             # engine may have had it and dropped it meanwhile, and it would run twice.
             if (
-                batch.lane in self.non_idempotent
+                batch.class_name in self.non_idempotent
                 or progress.posts >= MAX_UNUSABLE_REPLIES
                 or not progress.may_start()
             ):
@@ -123,13 +141,13 @@
         Raises `NoResultError` if nothing was sent.
         """
         try:
-            link = await self.urgent_link(entry, batch.lane in self.needs_proof)
+            connection = await self.urgent_connection(entry, batch.class_name in self.needs_proof)
         except (Refused, Unreached, Broken, Short) as why:
             raise NoResultError(
                 proven_unrun(CONNECT_FAILURES.get(type(why), it.DispatchOutcome.UNSENT), progress.posts)
             ) from None
         if not progress.may_start():
-            self.links.give_back(link)
+            self.connections.release(connection)
             raise NoResultError(proven_unrun(it.DispatchOutcome.UNSENT, progress.posts))
         progress.started, progress.last_call_at, progress.posts = True, clock.now(), progress.posts + 1
         self.count_call("POST", entry)
@@ -137,43 +155,43 @@
         if waited > LATE_START_S:
             engine = entry.engine.id.decode("latin-1")
             self.decisions.log(
-                "dispatch begun late", id=batch.asked.txn, engine=engine, waited=round(waited, 4)
+                "dispatch begun late", id=batch.submission.txn, engine=engine, waited=round(waited, 4)
             )
         try:
-            reply = await link.call(self.request(batch, entry.address, deadline), POLL_TIMEOUT_S)
-            self.take_reply(reply, 0, link, end, progress, batch)
+            reply = await connection.call(self.request(batch, entry.address, deadline), POLL_TIMEOUT_S)
+            self.take_reply(reply, 0, connection, end, progress, batch)
             progress.acknowledged = True
             return reply
         except (Broken, Silent, Spoilt, http.Unreadable) as why:
             self.count_unusable(why)
             return None
         finally:
-            self.links.give_back(link)
+            self.connections.release(connection)
 
-    async def urgent_link(self, entry: Entry, unused: bool = False) -> Link:
+    async def urgent_connection(self, entry: Entry, unused: bool = False) -> Connection:
         """Take a connection for a call that must not wait.
 
         A reset while connecting says nothing about the engine, so another attempt is made.
         """
         for _ in range(MAX_UNUSABLE_REPLIES):
             try:
-                return await self.links.take(entry, urgent=True, unused=unused)
+                return await self.connections.acquire(entry, urgent=True, unused=unused)
             except Broken as why:
                 self.count_unusable(why)
         raise Broken("each new connection is reset")
 
     def request(self, batch: Batch, address: tuple[str, int], deadline: float) -> bytes:
         """Encode the call that starts the batch, with the time left until `deadline` in milliseconds."""
-        asked = batch.asked
+        submission = batch.submission
         left = max(ceil((deadline - clock.now()) * 1e3), 1)
-        fields = {"X-Txn": asked.txn, "X-Lane": batch.lane, "X-Limit-Ms": str(left)}
-        if asked.reference:
-            fields["X-Dedupe"] = asked.reference
+        fields = {"X-Txn": submission.txn, "X-Lane": batch.class_name, "X-Limit-Ms": str(left)}
+        if submission.reference:
+            fields["X-Dedupe"] = submission.reference
         if batch.grant >= 1:
             fields["Pool-Mb"] = str(round(batch.grant))
         if batch.priority is not None:
             fields["Pool-Rank"] = str(batch.priority)
-        return http.encode_request("POST", "/fetch", address, fields, asked.statement)
+        return http.encode_request("POST", "/fetch", address, fields, submission.statement)
 
     def outcome(self, reply: http.Reply, progress: DispatchProgress) -> it.DispatchOutcome:
         """Return the outcome that a reply stands for; raises `NoResultError` if that proves nothing."""
@@ -207,7 +225,9 @@
         unusable, unused = 0, False
         while unusable < MAX_UNUSABLE_REPLIES:
             try:
-                link = await self.links.take(entry, urgent=False, patient=not page, unused=unused)
+                connection = await self.connections.acquire(
+                    entry, urgent=False, patient=not page, unused=unused
+                )
             except Refused:
                 progress.engine_dead = True
                 break
@@ -219,13 +239,17 @@
                 progress.last_call_at = clock.now()
                 self.count_call("GET", entry)
                 request = http.encode_request("GET", f"{path}{page}", entry.address, {})
-                reply = await link.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
-                self.take_reply(reply, page, link, end, progress, batch)
-                if reply.status in NEVER_RAN and batch.lane in self.needs_proof and link.calls > 1:
+                reply = await connection.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
+                self.take_reply(reply, page, connection, end, progress, batch)
+                if (
+                    reply.status in NEVER_RAN
+                    and batch.class_name in self.needs_proof
+                    and connection.calls > 1
+                ):
                     # The reply may be a late copy of the answer to an earlier call on this connection. Only
                     # on an unused connection is it proof that this batch never ran.
                     unused = True
-                    link.stream.close()
+                    connection.stream.close()
                     raise Spoilt("no proof on a connection that carried others")
                 return reply
             except Silent as why:
@@ -234,13 +258,13 @@
                 self.count_unusable(why)
                 unusable += 1
             finally:
-                self.links.give_back(link)
+                self.connections.release(connection)
             await asyncio.sleep(RETRY_DELAY_S * (unusable - 1))
         raise NoResultError(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
         """Count a call to an engine that drains or is no longer listed, such as a poll or a cancel."""
-        if not self.roll.open_to(entry.engine.id):
+        if not self.registry.accepts_dispatches(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
     def count_unusable(self, why: Exception) -> None:
@@ -248,7 +272,13 @@
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
     def take_reply(
-        self, reply: http.Reply, page: int, link: Link, end: End, progress: DispatchProgress, batch: Batch
+        self,
+        reply: http.Reply,
+        page: int,
+        connection: Connection,
+        end: End,
+        progress: DispatchProgress,
+        batch: Batch,
     ) -> None:
         """Take what is needed out of a reply before its buffer is reused: load, progress, cost and rows.
 
@@ -257,11 +287,11 @@
         """
         try:
             if reply.status == 200:
-                rows = self.rows(reply, page, link, progress)
+                rows = self.rows(reply, page, connection, progress)
             elif reply.status not in ((202, 500, 503, 504) if not page else (500,)):
                 raise Spoilt(f"status {reply.status}")
         except (Spoilt, http.Unreadable):
-            link.stream.close()
+            connection.stream.close()
             raise
         end.report = http.parse_load_report(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
@@ -276,7 +306,7 @@
             end.true_memory = reply.number(b"high-water") or end.true_memory
             end.pages.append(rows)
 
-    def rows(self, reply: http.Reply, page: int, link: Link, progress: DispatchProgress) -> bytes:
+    def rows(self, reply: http.Reply, page: int, connection: Connection, progress: DispatchProgress) -> bytes:
         """Return the rows of a page; raises `Spoilt` for a reply that cannot be the requested page."""
         page_field = reply.number(b"chunk" if page else b"chunks")
         if (
@@ -286,9 +316,9 @@
         ):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.check_page(reply.body)
-        if link.repeats(reply):
+        if connection.is_repeated(reply):
             raise Spoilt("the same answer twice on one connection")
-        if link.surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
+        if connection.has_surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
             # The surplus may be the rest of these rows, cut off by a length that is too small.
             progress.suspect_replies += 1
             raise Spoilt("more than one answer")
@@ -299,14 +329,14 @@
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
         try:
             async with asyncio.timeout(POLL_TIMEOUT_S):
-                link = await self.links.take(entry, urgent=False)
+                connection = await self.connections.acquire(entry, urgent=False)
                 try:
                     path, priority = dispatch_path(batch, number)[:-1], b"%d" % batch.priority
                     call = http.encode_request("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
-                    await link.call(call, CALL_TIMEOUT_S)
+                    await connection.call(call, CALL_TIMEOUT_S)
                 finally:
-                    self.links.give_back(link)
+                    self.connections.release(connection)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
@@ -328,17 +358,17 @@
         if not progress.engine_dead:
             await asyncio.sleep(progress.last_call_at + POLL_TIMEOUT_S + DROP_AFTER_S - clock.now())
 
-    async def cancel_by_name(self, entry: Entry, name: Name) -> None:
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
         await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROP_AFTER_S, lambda: False)
 
-    async def query_status(self, entry: Entry, name: Name) -> str:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
         try:
-            link = await self.links.take(entry, urgent=False)
+            connection = await self.connections.acquire(entry, urgent=False)
             try:
                 request = http.encode_request("GET", f"/fetch/{name.txn}/0", entry.address, {})
-                reply = await link.call(request, POLL_TIMEOUT_S)
+                reply = await connection.call(request, POLL_TIMEOUT_S)
             finally:
-                self.links.give_back(link)
+                self.connections.release(connection)
         except Refused:
             return "unknown"
         except (Unreached, Short, Broken, Silent, http.Unreadable):
@@ -349,13 +379,15 @@
         """Send DELETE until it is answered, the engine refuses connections, or `deadline` has passed."""
         while clock.now() < deadline:
             try:
-                link = await self.links.take(entry, urgent=urgent())
+                connection = await self.connections.acquire(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await link.call(http.encode_request("DELETE", path, entry.address, {}), CALL_TIMEOUT_S)
+                    await connection.call(
+                        http.encode_request("DELETE", path, entry.address, {}), CALL_TIMEOUT_S
+                    )
                     return
                 finally:
-                    self.links.give_back(link)
+                    self.connections.release(connection)
             except Refused:
                 break
             # A slow connection does not mean that the engine is dead; without the cancel the next dispatch
@@ -366,9 +398,9 @@
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
         try:
-            link = await self.urgent_link(entry)
+            connection = await self.urgent_connection(entry)
             try:
-                reply = await link.call(
+                reply = await connection.call(
                     http.encode_request("GET", "/stats", entry.address, {}), self.probe_limit
                 )
                 report = http.parse_load_report(reply.text(b"x-gauges"), self.fields)
@@ -377,7 +409,7 @@
                     report,
                 )
             finally:
-                self.links.give_back(link)
+                self.connections.release(connection)
         except (Refused, Unreached) as why:
             return CONNECT_FAILURES[type(why)], ()
         except Silent:
@@ -396,4 +428,4 @@
 
 def dispatch_path(batch: Batch, number: int) -> str:
     """Return the path of a dispatch at its engine, under the id with which this or another front began it."""
-    return f"/fetch/{batch.name(number).txn}/"
+    return f"/fetch/{batch.dispatch_name(number).txn}/"
--- a/thistlelever/carrier/remembered_outcomes.py
+++ b/thistlelever/carrier/remembered_outcomes.py
@@ -8,12 +8,17 @@
 from thistlelever.carrier.dispatch import End
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.batches import Batch, DispatchName
+from thistlelever.store.engine_registry import EngineRegistry
 
 
 def resume_from(
-    batch: Batch, query_class: it.QueryClass, roll: Roll, name: Name, engine: it.EngineId, ran_for: float
+    batch: Batch,
+    query_class: it.QueryClass,
+    registry: EngineRegistry,
+    name: DispatchName,
+    engine: it.EngineId,
+    ran_for: float,
 ) -> bool:
     """Make a dispatch that was begun elsewhere the first dispatch of the batch.
 
@@ -21,9 +26,9 @@
     the batch can go on. If the engine is not listed, it is dispatched anew, but only if it is idempotent or
     all engines still drop repeats of it.
     """
-    if roll.listed(engine):
-        batch.under[0] = name
-        batch.taken = batch.taken._replace(running_on=engine, running_for=ran_for)
+    if registry.is_listed(engine):
+        batch.adopted_names[0] = name
+        batch.received = batch.received._replace(running_on=engine, running_for=ran_for)
         return True
     still_dropped = (
         query_class.repeat is it.Idempotency.DEDUPLICATED and query_class.scope is it.DeduplicationScope.ALL
@@ -42,49 +47,49 @@
     def __init__(
         self,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         metrics: Metrics,
-        remember: Callable[[bytes, tuple[it.EngineId, Name, float] | None], None],
-        find: Callable[[bytes], tuple[it.EngineId, Name, float] | None],
+        remember: Callable[[bytes, tuple[it.EngineId, DispatchName, float] | None], None],
+        find: Callable[[bytes], tuple[it.EngineId, DispatchName, float] | None],
     ) -> None:
         self.query_classes = {t.name: t for t in settings.tariffs}
-        self.roll, self.metrics, self.remember, self.find = roll, metrics, remember, find
+        self.registry, self.metrics, self.remember, self.find = registry, metrics, remember, find
 
     def is_deduplicated(self, batch: Batch) -> bool:
         """Whether engines drop repeats of the batch by its idempotency key."""
-        repeat = self.query_classes[batch.lane].repeat
-        return bool(batch.asked.reference) and repeat is it.Idempotency.DEDUPLICATED
+        repeat = self.query_classes[batch.class_name].repeat
+        return bool(batch.submission.reference) and repeat is it.Idempotency.DEDUPLICATED
 
     def look_up(self, batch: Batch) -> it.Error | None:
         """Continue a batch that was begun before a restart; returns an error answer if that is impossible."""
-        if batch.under or not self.is_deduplicated(batch):
+        if batch.adopted_names or not self.is_deduplicated(batch):
             return None
-        found = self.find(bytes.fromhex(batch.asked.reference))
+        found = self.find(bytes.fromhex(batch.submission.reference))
         if found is None:
             return None
         engine, name, ran_for = found
-        query_class = self.query_classes[batch.lane]
+        query_class = self.query_classes[batch.class_name]
         if ran_for >= query_class.window:
             # It may have run, and no engine drops a repeat of it any more.
             resumable = False
         else:
-            resumable = resume_from(batch, query_class, self.roll, name, engine, ran_for)
+            resumable = resume_from(batch, query_class, self.registry, name, engine, ran_for)
         self.metrics.add("state: gone on with" if resumable else "state: told that it is not known")
         return None if resumable else it.Error(batch.number)
 
     def record_dispatch(self, batch: Batch, number: int, engine: it.EngineId) -> None:
         """Store the batch's first dispatch before it is sent, without waiting for the disk."""
-        if not number and 0 not in batch.under and self.is_deduplicated(batch):
-            key = bytes.fromhex(batch.asked.reference)
-            query_class = self.query_classes[batch.lane]
-            self.remember(key, (engine, batch.name(0), query_class.window))
+        if not number and 0 not in batch.adopted_names and self.is_deduplicated(batch):
+            key = bytes.fromhex(batch.submission.reference)
+            query_class = self.query_classes[batch.class_name]
+            self.remember(key, (engine, batch.dispatch_name(0), query_class.window))
 
     def record_end(self, batch: Batch, end: End) -> None:
         """Remove the record if the first dispatch certainly never ran, as no engine would drop a repeat."""
         if (
             end.outcome in NEVER_RAN
             and not end.number
-            and 0 not in batch.under
+            and 0 not in batch.adopted_names
             and self.is_deduplicated(batch)
         ):
-            self.remember(bytes.fromhex(batch.asked.reference), None)
+            self.remember(bytes.fromhex(batch.submission.reference), None)
--- a/thistlelever/carrier/validation.py
+++ b/thistlelever/carrier/validation.py
@@ -50,7 +50,7 @@
         table = sql.find_table(asked.statement)
         if table is None:
             raise InvalidFieldError("bytes", "the statement names no table of a group")
-        number, now = self.batches.number(), clock.now()
+        number, now = self.batches.next_number(), clock.now()
         # A lagging event loop has read the request late and will answer it late; the client does not wait
         # longer for that.
         left = min(asked.wait - 2 * self.loop_lag.current(), self.stop_at - now)
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -47,7 +47,7 @@
             section.threads_a_core,
             config.seed,
             context.batches,
-            context.roll,
+            context.registry,
             context.metrics,
             context.log,
         )
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -28,7 +28,7 @@
 from thistlelever.lifecycle.components import FrontContext
 from thistlelever.recovery.ages import Age, AgeLimits, ClockReading, age
 from thistlelever.recovery.restart import RestartRecovery, Stage
-from thistlelever.store.batches import Name
+from thistlelever.store.batches import DispatchName
 
 # Seconds between two recordings of changed state, and between two rounds of probes where no engine answers.
 RECORD_INTERVAL_S, RETRY_INTERVAL_S = 1.0, 1.0
@@ -106,10 +106,14 @@
         self.fresh_start = len(self.recovery.usable) == len(entries)
         if not self.fresh_start:
             self.use_remembered()
-        self.serial, self.recorded_at = context.roll.serial, 0.0
+        self.serial, self.recorded_at = context.registry.serial, 0.0
         self.tasks: list[asyncio.Task] = []
         context.batch_tasks.remembered = RememberedOutcomes(
-            context.config.settings, context.roll, context.metrics, self.remember_dispatch, self.find_dispatch
+            context.config.settings,
+            context.registry,
+            context.metrics,
+            self.remember_dispatch,
+            self.find_dispatch,
         )
 
     # State of an earlier process.
@@ -146,7 +150,7 @@
         """Put the engines that may be used into the registry. Any answer of the directory replaces them,
         whatever its serial."""
         entries = [self.entries[engine] for engine in sorted(self.recovery.usable)]
-        self.context.roll.remember(entries, clock.now())
+        self.context.registry.restore(entries, clock.now())
 
     def highest_serial(self) -> int:
         """The highest serial among the stored engines; 0 where none is stored."""
@@ -172,7 +176,9 @@
         )
         self.context.decisions.add_event(state)
 
-    def remember_dispatch(self, idempotency_key: bytes, what: tuple[it.EngineId, Name, float] | None) -> None:
+    def remember_dispatch(
+        self, idempotency_key: bytes, what: tuple[it.EngineId, DispatchName, float] | None
+    ) -> None:
         """Store that the batch of an idempotency key may have run: its engine, its dispatch, and for how many
         seconds repeats are dropped. None removes the key: the batch did not run."""
         if what is None:
@@ -185,11 +191,11 @@
             IdempotencyRecord(idempotency_key, engine, name.txn, name.number, window, moment_ago()),
         )
 
-    def find_dispatch(self, idempotency_key: bytes) -> tuple[it.EngineId, Name, float] | None:
+    def find_dispatch(self, idempotency_key: bytes) -> tuple[it.EngineId, DispatchName, float] | None:
         """The engine and the dispatch stored under an idempotency key, and its age in seconds."""
         stored = self.writer.records["mark"].get(idempotency_key)
         # The upper bound of the age: an engine must not be relied on to drop repeats after its window.
-        return stored and (stored.engine, Name(stored.txn, stored.number), age_of(stored.ran).most)
+        return stored and (stored.engine, DispatchName(stored.txn, stored.number), age_of(stored.ran).most)
 
     # Start and recording.
 
@@ -231,11 +237,11 @@
 
     def announce_remembered(self) -> None:
         """Pass the remembered engines to the decisions, unless discovery has answered meanwhile."""
-        if self.recovery.stage is not Stage.LISTED and not self.context.roll.serial:
+        if self.recovery.stage is not Stage.LISTED and not self.context.registry.serial:
             self.use_remembered()
-            roll = self.context.roll
+            registry = self.context.registry
             self.context.decisions.add_event(
-                it.EngineListReceived(it.ListKind.CACHED, roll.serial, roll.told())
+                it.EngineListReceived(it.ListKind.CACHED, registry.serial, registry.engine_list())
             )
             self.context.log("started by what was remembered", **self.recovery.show())
 
@@ -243,7 +249,7 @@
         """Where no engine answered, probe again until one does or discovery answers."""
         while not self.fresh_start:
             await asyncio.sleep(RETRY_INTERVAL_S)
-            if self.context.roll.serial:
+            if self.context.registry.serial:
                 self.recovery.discovery_returned()
                 return
             if self.recovery.retry():
@@ -259,17 +265,17 @@
 
     def record_changes(self) -> None:
         """Pass the engine list, where discovery confirmed it since, and the learned state to the writer."""
-        roll, writer, heard_at = self.context.roll, self.writer, self.context.inquiry.heard_at
+        registry, writer, heard_at = self.context.registry, self.writer, self.context.discovery.heard_at
         if heard_at > self.recorded_at:
             self.recorded_at, at = heard_at, moment_ago(clock.now() - heard_at)
             if self.recovery.stage is not Stage.LISTED:
                 self.recovery.discovery_returned()
-            for engine in [e for e in writer.records["listed"] if e not in roll.entries]:
+            for engine in [e for e in writer.records["listed"] if e not in registry.entries]:
                 writer.drop("listed", engine)
                 writer.drop("learnt", engine)
-            for engine, entry in roll.entries.items():
+            for engine, entry in registry.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
-                    writer.put("listed", engine, listed_record(entry, roll.serial, at))
+                    writer.put("listed", engine, listed_record(entry, registry.serial, at))
         learnt, at = self.context.decisions.front.learned_state(clock.now()), moment_ago()
         for engine, bound, pace, started in learnt.engines:
             if engine in writer.records["listed"]:
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -72,7 +72,7 @@
             self.manager,
             membership.peers,
             config.settings,
-            context.roll,
+            context.registry,
             lambda entry: context.dispatcher.protocol(entry),
             context.metrics,
             context.log,
