--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -41,6 +41,7 @@
     def __init__(
         self, decisions: DecisionLoop, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
     ) -> None:
+        """Share the decision loop, the dispatcher and the open batches of the front."""
         # With budgets on, the gate that batches pass before the decisions see them.
         self.gate: BudgetGate | None = None
         # With takeover on, the leases of batches.
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -67,6 +67,7 @@
         log: Log,
         limits: ConnectionLimits,
     ) -> None:
+        """Accept nothing before `listen`; `ready` answers the status calls of clients."""
         self.validator, self.batch_tasks, self.metrics = validator, batch_tasks, metrics
         self.log, self.limits = log, limits
         self.ready: Callable[[], bool] = lambda: False
@@ -211,6 +212,7 @@
     """One client's connection: reads calls, one a line, and writes each answer as one line."""
 
     def __init__(self, stream: Stream, listener: ClientListener) -> None:
+        """Take over an accepted connection; `run` serves it."""
         self.stream, self.listener = stream, listener
         self.metrics = listener.metrics
         self.buffer = ReadBuffer(READ_BYTES, MAX_LINE_BYTES, listener.quota)
--- a/thistlelever/carrier/decision_loop.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -23,6 +23,7 @@
     """
 
     def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
+        """Pass events to `front`; `on_probe` and `on_ask_list` carry out those two actions."""
         self.front, self.batches, self.metrics, self.log = front, batches, metrics, log
         self.tick, self.next_turn_at = tick, 0.0
         self.events: list[it.Event] = []
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -25,6 +25,7 @@
     """A dispatch has ended without a result."""
 
     def __init__(self, outcome: it.DispatchOutcome) -> None:
+        """Set the outcome that the dispatch ends with."""
         super().__init__(outcome.name)
         self.outcome = outcome
 
@@ -140,6 +141,7 @@
         metrics: Metrics,
         log: Log,
     ) -> None:
+        """Use the protocol that `protocol` returns for an engine."""
         self.allows_cancel, self.allows_copies = settings.cancel, settings.copies
         # Gives the protocol of an engine.
         self.protocol = protocol
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -75,6 +75,7 @@
     """The first messages of a result, while another dispatch can still replace this one."""
 
     def __init__(self, max_bytes: int, quota: BufferQuota) -> None:
+        """Hold up to `max_bytes`, reserved from `quota`."""
         self.max_bytes, self.quota, self.size = max_bytes, quota, 0
         self.messages: list[bytes] = []
         self.schema = None
@@ -112,6 +113,7 @@
         stream_limit: int,
         quota: BufferQuota,
     ) -> None:
+        """Start without channels; they are opened when they are needed."""
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
         self.registry, self.decisions, self.metrics = registry, decisions, metrics
         self.buffer_limit, self.quota = buffer_limit, quota
@@ -122,6 +124,7 @@
     async def run_dispatch(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
+        """Implement `EngineProtocol.run_dispatch`."""
         try:
             descriptor = batch_descriptor(batch)
         except UnicodeDecodeError:
@@ -135,6 +138,7 @@
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
+        """Implement `EngineProtocol.resume`."""
         if batch.is_update:
             # The row count was in the answer to the call, which went to another front.
             raise NoResultError(it.DispatchOutcome.ASTRAY)
@@ -251,6 +255,7 @@
         progress: DispatchProgress,
         deadline: float,
     ) -> None:
+        """Run an update by DoPut; sets the number of changed rows and the outcome."""
         call = channel.stream_stream(SERVICE + "DoPut")(**self.call_options(batch, end.number, deadline))
         try:
             parsed = decode(pb.FlightDescriptor, descriptor)
@@ -337,6 +342,7 @@
             self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
     async def query_status(self, entry: Entry, name: DispatchName) -> str:
+        """Implement `EngineProtocol.query_status`."""
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
@@ -352,9 +358,11 @@
         return "over"
 
     async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
+        """Implement `EngineProtocol.cancel_by_name`."""
         await self.cancel_until_confirmed(entry, name, EMPTY_DESCRIPTOR, clock.now() + DROP_AFTER_S)
 
     async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        """Cancel until the engine must have dropped the dispatch, `DROP_AFTER_S` after the last call."""
         name, deadline = batch.dispatch_name(progress.number), progress.last_call_at + DROP_AFTER_S
         await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), deadline)
 
@@ -394,6 +402,7 @@
         await asyncio.Event().wait()
 
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
+        """Implement `EngineProtocol.set_priority`."""
         try:
             await self.call_action(
                 entry, PRIORITY, b"%d" % batch.priority, dispatch_headers(batch.dispatch_name(number))
@@ -416,6 +425,7 @@
         return first_result
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
+        """Implement `EngineProtocol.probe`."""
         try:
             answer = await self.call_action(entry, STATS, b"")
         except NoResultError:
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -70,6 +70,7 @@
         decisions: DecisionLoop,
         metrics: Metrics,
     ) -> None:
+        """Use connections of the pool for all calls."""
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
         self.non_idempotent = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
@@ -91,6 +92,7 @@
     async def run_dispatch(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
+        """Implement `EngineProtocol.run_dispatch`."""
         path = dispatch_path(batch, end.number)
         end.outcome = it.DispatchOutcome.ASTRAY
         while end.outcome is it.DispatchOutcome.ASTRAY:
@@ -111,6 +113,7 @@
     async def resume(
         self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
     ) -> None:
+        """Implement `EngineProtocol.resume`."""
         path, progress.started = dispatch_path(batch, end.number), True
         reply = await self.poll(path, 0, entry, end, progress, batch)
         while reply.status == 202:
@@ -327,6 +330,7 @@
         return rows
 
     async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
+        """Implement `EngineProtocol.set_priority`."""
         try:
             async with asyncio.timeout(POLL_TIMEOUT_S):
                 connection = await self.connections.acquire(entry, urgent=False)
@@ -359,9 +363,11 @@
             await asyncio.sleep(progress.last_call_at + POLL_TIMEOUT_S + DROP_AFTER_S - clock.now())
 
     async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
+        """Implement `EngineProtocol.cancel_by_name`."""
         await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROP_AFTER_S, lambda: False)
 
     async def query_status(self, entry: Entry, name: DispatchName) -> str:
+        """Implement `EngineProtocol.query_status`."""
         try:
             connection = await self.connections.acquire(entry, urgent=False)
             try:
@@ -397,6 +403,7 @@
         self.metrics.add("DELETE failed")
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
+        """Implement `EngineProtocol.probe`."""
         try:
             connection = await self.urgent_connection(entry)
             try:
--- a/thistlelever/carrier/loop_lag.py
+++ b/thistlelever/carrier/loop_lag.py
@@ -18,6 +18,7 @@
     """The recent lag of the event loop in seconds, and the worst since `worst` was last reset."""
 
     def __init__(self) -> None:
+        """Start with no lag; `run` measures it."""
         self.lag, self.worst, self.due = 0.0, 0.0, float("inf")
 
     def current(self) -> float:
--- a/thistlelever/carrier/remembered_outcomes.py
+++ b/thistlelever/carrier/remembered_outcomes.py
@@ -52,6 +52,7 @@
         remember: Callable[[bytes, tuple[it.EngineId, DispatchName, float] | None], None],
         find: Callable[[bytes], tuple[it.EngineId, DispatchName, float] | None],
     ) -> None:
+        """Use `remember` and `find` for the stored records."""
         self.query_classes = {t.name: t for t in settings.tariffs}
         self.registry, self.metrics, self.remember, self.find = registry, metrics, remember, find
 
--- a/thistlelever/carrier/result_stream.py
+++ b/thistlelever/carrier/result_stream.py
@@ -20,6 +20,7 @@
     """
 
     def __init__(self, number: int, initial: list[bytes], max_bytes: int) -> None:
+        """Start with the messages in `initial`; `max_bytes` bounds the queue."""
         # Past `max_bytes` queued bytes the engine is not read, so that flow control slows it down.
         self.number, self.max_bytes = number, max_bytes
         self.queued, self.queued_bytes = deque(initial), sum(map(len, initial))
--- a/thistlelever/carrier/validation.py
+++ b/thistlelever/carrier/validation.py
@@ -22,6 +22,7 @@
     """
 
     def __init__(self, settings: it.Settings, loop_lag: LoopLagMonitor, batches: Batches) -> None:
+        """Take limits, query classes and tenants from `settings`."""
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.tenants = {c.name: p for p, c in enumerate(settings.consignors)}
         self.max_memory = max(settings.kind_memory, default=float("inf")) * MAX_ENGINE_MEMORIES
