--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where two ends cross, in parts too small for a whole front: each fails without the mend that it names."""
+"""Races between ends of dispatches, connections and time limits, tested on single components."""
 
 import asyncio
 from collections import Counter
@@ -10,10 +10,10 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.carrier import http_engines
-from thistlelever.carrier.dispatch import Dispatcher, End, Ended, Sending
+from thistlelever.carrier.dispatch import Dispatcher, End, NoResultError, DispatchProgress
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.intake import Intake
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.validation import RequestValidator
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
@@ -45,7 +45,7 @@
 
 
 def test_all_that_goes_out_of_a_referenced_batch_begins_within_the_window_of_the_first():
-    # The carrier takes time to send, and the window may end meanwhile (`Front.latest_send_time`).
+    # Sending takes time, and the deduplication window may end meanwhile (`Front.latest_send_time`).
     assert [d.begin_by for d in dispatches(DEDUPLICATED_GROUP)] == [11.5, 11.5]
 
 
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("cancel, cut", [(True, True), (False, False)])
 def test_no_dispatch_is_cut_off_at_its_goal_where_nothing_can_be_called_off(cancel, cut):
-    # The engine would run on, and the next dispatch would be a second copy (`Front.dispatch_timeout`).
+    # The engine would keep running it beside the next dispatch (`Front.dispatch_timeout`).
     front = Front(SETTINGS._replace(tariffs=(GROUP,), cancel=cancel), 7)
     engines = (it.Engine(b"a", 0, 0, 0, it.EngineState.READY, 0.0, 1.0),)
     found = front.handle(
@@ -103,8 +103,8 @@
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
         engines = HttpEngines(terms, None, SimpleNamespace(acquire=take), None, Metrics())
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
-        with pytest.raises(Ended) as ended:
-            await engines.converse(batch, "entry", End(0, b"a"), Sending(0), 0.0)
+        with pytest.raises(NoResultError) as ended:
+            await engines.run_dispatch(batch, "entry", End(0, b"a"), DispatchProgress(0), 0.0)
         assert (await engines.probe("entry"))[0] is ended.value.outcome
         return ended.value.outcome
 
@@ -114,16 +114,16 @@
 
 @pytest.mark.parametrize("outcome", (it.DispatchOutcome.RESET, it.DispatchOutcome.TIMED_OUT))
 def test_where_nothing_can_be_called_off_no_end_is_told_before_the_engine_has_surely_ended(outcome):
-    # Risk: told at once, it lets the next dispatch go beside one that runs on (`Dispatcher.dispatch`).
+    # An end reported at once would let the next dispatch run beside this one (`Dispatcher.dispatch`).
     async def run():
         ended, asked = asyncio.Event(), asyncio.Event()
 
-        class Speech:
-            async def converse(self, batch, entry, end, sent, till):
-                sent.begun = True
-                raise Ended(outcome)
+        class EngineProtocol:
+            async def run_dispatch(self, batch, entry, end, progress, deadline):
+                progress.started = True
+                raise NoResultError(outcome)
 
-            async def run_out(self, sent):
+            async def wait_until_stopped(self, progress):
                 asked.set()
                 await ended.wait()
 
@@ -132,7 +132,7 @@
         )
         terms = SimpleNamespace(cancel=False, copies=False)
         dispatcher = Dispatcher(
-            terms, registry, lambda entry: Speech(), None, Metrics(), lambda *event, **facts: None
+            terms, registry, lambda entry: EngineProtocol(), None, Metrics(), lambda *event, **facts: None
         )
         batch = Batch(1, SimpleNamespace(txn="1"), "taken", "lookup", clock.now() + 60)
         dispatcher.start(batch, 0, it.Dispatch(1, b"a", 5.0))
@@ -146,16 +146,19 @@
 
 
 def test_an_engine_has_surely_ended_what_it_was_not_asked_for_in_its_time(monkeypatch):
-    monkeypatch.setattr(http_engines, "DROPPED_AFTER", 0.05)
+    monkeypatch.setattr(http_engines, "DROP_AFTER_S", 0.05)
 
     async def run():
         terms = SimpleNamespace(report_fields=(), connect_limit=0.25, tariffs=())
         engines = HttpEngines(terms, None, None, None, Metrics())
         asked = clock.now()
-        await engines.run_out(Sending(0, asked=asked))
+        await engines.wait_until_stopped(DispatchProgress(0, last_call_at=asked))
         assert clock.now() >= asked + 0.05
-        # One that was seen to be dead is not waited for.
-        await asyncio.wait_for(engines.run_out(Sending(0, asked=clock.now() + 60, dead=True)), 8)
+        # A dead engine is not waited for.
+        await asyncio.wait_for(
+            engines.wait_until_stopped(DispatchProgress(0, last_call_at=clock.now() + 60, engine_dead=True)),
+            8,
+        )
 
     asyncio.run(run())
 
@@ -182,8 +185,8 @@
 
 
 def test_a_dispatch_called_off_before_its_first_step_has_an_end():
-    # Risk: a loop that is held up orders a dispatch and calls it off in one turn; its task never runs, and
-    # the batch stays open for good (`Dispatcher.finished`).
+    # A delayed decision loop may start and cancel a dispatch in one turn. Its task never runs then, and the
+    # batch would stay open for good (`Dispatcher.on_task_done`).
     assert called_off_before_its_first_step(asyncio.Task.cancel) is it.DispatchOutcome.UNSENT
 
 
@@ -192,19 +195,19 @@
 
 
 def test_what_was_sent_while_the_process_stood_still_is_not_taken_for_just_sent():
-    # Risk: the sockets are read before the beat that tells of the stop (`Pulse.behind`).
+    # After a stop the sockets are read before the next measurement of the lag (`LoopLagMonitor.current`).
     settings = front_config.read(configuration(), {}).settings
-    pulse = Pulse()
-    intake = Intake(settings, pulse, Batches())
+    loop_lag = LoopLagMonitor()
+    validator = RequestValidator(settings, loop_lag, Batches())
     fields = {"id": "00000000000000aa", "wait": 1500, "tenant": "acme", "cost": 50.0}
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").received.time_limit == 1.5
-    pulse.due = clock.now() - 3.0
-    assert intake.batch("lookup", fields, b"select a from sales_17.orders").received.time_limit < 0
+    assert validator.make_batch("lookup", fields, b"select a from sales_17.orders").received.time_limit == 1.5
+    loop_lag.due = clock.now() - 3.0
+    assert validator.make_batch("lookup", fields, b"select a from sales_17.orders").received.time_limit < 0
 
 
 @asynccontextmanager
 async def one_place():
-    """Links that may be one, that one with a call behind it, and the engine's entry."""
+    """A pool limited to one connection, that connection with one call made, and the engine's entry."""
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     entry = SimpleNamespace(engine=SimpleNamespace(id=b"a"), address=server.sockets[0].getsockname())
     connections = ConnectionPool(1, 30.0, 8.0, Metrics())
@@ -217,8 +220,8 @@
 
 @pytest.mark.parametrize("unused", (False, True))
 def test_who_wants_an_unused_link_gets_none_that_carried_a_call(unused):
-    # What arrives late on a used connection is taken for the answer to the next call
-    # (`ConnectionPool.acquire`). With one place only the kept one makes way.
+    # A late reply on a used connection would be taken for the answer to the next call
+    # (`ConnectionPool.acquire`). At the limit of one connection the idle one has to be closed for it.
     async def run():
         async with one_place() as (connections, kept, entry):
             connections.release(kept)
--- /dev/null
+++ b/thistlelever/carrier/batch_tasks.py
@@ -0,0 +1,261 @@
+"""Runs one task per batch, from its submission to the end of its last dispatch."""
+
+from __future__ import annotations
+
+import asyncio
+import traceback
+from collections.abc import Callable
+from contextlib import suppress
+from typing import TYPE_CHECKING
+
+from thistlelever.ground import interface as it
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import Dispatcher, End
+from thistlelever.carrier.result_stream import Begun
+from thistlelever.ground import clock
+from thistlelever.ground.log import Log
+from thistlelever.ground.commands import Preempt, Refuse, Release, TakenOver
+from thistlelever.store.batches import Batch, Batches
+from thistlelever.ground.metrics import Metrics
+
+if TYPE_CHECKING:
+    from thistlelever.carrier.budget_gate import BudgetGate
+    from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
+    from thistlelever.carrier.leases import LeaseService
+
+# Messages to a batch's task, besides actions, commands and ends of dispatches: its client has left, or its
+# backstop timer has fired.
+CLIENT_LEFT, OVERDUE = "left", "overdue"
+# How long after its time limit a batch is answered by the backstop if the decisions have not answered it, in
+# seconds. They answer at the limit itself, and an answer counts for 70 ms more.
+BACKSTOP_DELAY_S = 0.025
+
+# Delivers a batch's final answer; called exactly once, with the end of the dispatch that returned the result,
+# with a result that is still streaming, or with a refusal or an error.
+Answer = Callable[[it.Action | End | Begun], None]
+
+
+class BatchTasks:
+    """Starts the task of each batch and keeps the tasks that run."""
+
+    def __init__(
+        self, decisions: DecisionLoop, dispatcher: Dispatcher, batches: Batches, metrics: Metrics, log: Log
+    ) -> None:
+        """Share the decision loop, the dispatcher and the open batches of the front."""
+        # With budgets on, the gate that batches pass before the decisions see them.
+        self.gate: BudgetGate | None = None
+        # With takeover on, the leases of batches.
+        self.leases: LeaseService | None = None
+        # With state kept on disk, what is known of batches from before a restart.
+        self.remembered: RememberedOutcomes | None = None
+        self.decisions, self.dispatcher, self.batches = decisions, dispatcher, batches
+        self.metrics, self.log = metrics, log
+        self.tasks: set[asyncio.Task] = set()
+
+    def start(self, batch: Batch, answer: Answer) -> None:
+        """Open a batch and start its task; `answer` is called exactly once."""
+        self.batches.add(batch)
+        task = asyncio.get_running_loop().create_task(self.run_guarded(batch, answer))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def run_guarded(self, batch: Batch, answer: Answer) -> None:
+        """Run a batch; if that fails, cancel its dispatches and answer with an error."""
+        self.arm_backstop(batch)
+        try:
+            await self.run(batch, answer)
+        except Exception as why:
+            self.metrics.add("course failed")
+            self.log("course failed", why=repr(why), trace=traceback.format_exc())
+            for number, task in batch.dispatch_tasks.items():
+                task.cancel()
+                end = End(number, batch.engines[number], it.DispatchOutcome.RESET)
+                self.decisions.add_event(end.event(batch.number, complete=True))
+            if not batch.answered:
+                self.send_answer(batch, answer, it.Error(batch.number))
+                self.decisions.add_event(it.ClientLeft(batch.number))
+        finally:
+            if self.gate:
+                self.gate.completed(batch, batch.measured_work)
+            if batch.lease_guard:
+                batch.lease_guard.close()
+            batch.backstop.cancel()
+            self.batches.drop(batch)
+
+    def arm_backstop(self, batch: Batch) -> None:
+        """Set the timer that answers the batch if the decisions do not, replacing an earlier one."""
+        if batch.backstop:
+            batch.backstop.cancel()
+        overdue_at = clock.on_loop(batch.deadline) + BACKSTOP_DELAY_S
+        loop = asyncio.get_running_loop()
+        batch.backstop = loop.call_at(overdue_at, batch.inbox.put_nowait, OVERDUE)
+
+    def stop(self, at: float) -> None:
+        """Shorten the time limits of open batches and of their dispatches to `at`, when the front stops."""
+        for batch in self.batches.by_number.values():
+            if batch.deadline > at:
+                batch.deadline = at
+                self.arm_backstop(batch)
+                # An expired timeout raises if it is rescheduled, which would end the stop halfway.
+                for limit in (limit for limit in batch.timeouts.values() if not limit.expired()):
+                    limit.reschedule(min(limit.when(), clock.on_loop(at)))
+        self.decisions.add_event(it.FrontStopping(at))
+        if self.gate:
+            self.gate.shut_down(at)
+
+    async def run(self, batch: Batch, answer: Answer) -> None:
+        """Handle the messages of a batch until it is answered and its last dispatch has ended."""
+        if self.leases and not await self.claim(batch, answer):
+            return
+        if self.remembered and (message := self.remembered.look_up(batch)):
+            self.send_answer(batch, answer, message)
+            return
+        if self.gate and not await self.wait_for_admission(batch, answer):
+            return
+        self.decisions.add_event(batch.received)
+        while batch.dispatch_tasks or not batch.answered:
+            message = await batch.inbox.get()
+            match message:
+                case it.Terms():
+                    batch.grant, before, batch.priority = message.grant, batch.priority, message.priority
+                    if before not in (None, message.priority):
+                        self.dispatcher.reprioritise(batch)
+                case it.Dispatch():
+                    number, batch.dispatches = batch.dispatches, batch.dispatches + 1
+                    if self.remembered:
+                        self.remembered.record_dispatch(batch, number, message.engine)
+                    batch.dispatch_tasks[number] = self.dispatcher.start(batch, number, message)
+                    if self.gate:
+                        self.gate.dispatch_started(batch)
+                case it.Cancel():
+                    task = batch.dispatch_tasks.get(message.number)
+                    if task and not task.cancelling():
+                        task.cancel()
+                # Only the first dispatch that asks may stream its result, and only while the batch is not
+                # answered; otherwise rows of two dispatches could get into one result.
+                case Begun() if not batch.answered and message.result_stream.is_usable():
+                    batch.result_stream = message.result_stream
+                    self.extend_limit(batch, message.number)
+                    self.send_answer(batch, answer, message)
+                    self.decisions.add_event(
+                        it.ResponseStarted(batch.number, message.number, batch.engines[message.number])
+                    )
+                case Begun():
+                    message.result_stream.close_reader()
+                case End():
+                    del batch.dispatch_tasks[message.number]
+                    batch.measured_work += message.true_work
+                    if batch.lease_guard:
+                        batch.lease_guard.end_dispatch(message)
+                    if self.remembered:
+                        self.remembered.record_end(batch, message)
+                    if message.outcome is it.DispatchOutcome.RETURNED and not batch.answered:
+                        await self.send_if_owned(batch, answer, message)
+                    self.decisions.add_event(message.event(batch.number, batch.answered))
+                # Actions may arrive after the client has left or the backstop has answered; the guards on
+                # `answered` prevent a second answer.
+                case it.PushBack() | it.Error() if not batch.answered:
+                    await self.send_if_owned(batch, answer, message)
+                case TakenOver() if not batch.answered:
+                    self.send_answer(batch, answer, it.Error(batch.number))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
+                case Preempt() if not batch.answered:
+                    await self.send_if_owned(batch, answer, self.gate.preemption_answer(batch, message))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
+                case Preempt():
+                    self.gate.preempted_too_late(batch)
+                case _ if message is CLIENT_LEFT and not batch.answered:
+                    batch.answered = True
+                    self.decisions.add_event(it.ClientLeft(batch.number))
+                case _ if (
+                    message is CLIENT_LEFT
+                    and batch.result_stream
+                    and batch.result_stream.number in batch.dispatch_tasks
+                ):
+                    batch.result_stream.close_reader()
+                    batch.dispatch_tasks[batch.result_stream.number].cancel()
+                case _ if message is OVERDUE and not batch.answered:
+                    self.metrics.add("left without an answer at the limit")
+                    self.send_answer(batch, answer, it.Error(batch.number))
+                    self.decisions.add_event(it.ClientLeft(batch.number))
+
+    async def claim(self, batch: Batch, answer: Answer) -> bool:
+        """Acquire the lease of a batch before anything is sent for it; returns whether this front may run the
+        batch and its client is still there."""
+        if not batch.submission.reference:
+            self.leases.register_lazy(batch)
+            return True
+        loop = asyncio.get_running_loop()
+        claiming, receiving = (
+            loop.create_task(self.leases.acquire(batch)),
+            loop.create_task(batch.inbox.get()),
+        )
+        await asyncio.wait((claiming, receiving), return_when=asyncio.FIRST_COMPLETED)
+        if receiving.done() and not claiming.done():
+            claiming.cancel()
+            with suppress(asyncio.CancelledError):
+                await claiming
+            message = receiving.result()
+            if message is CLIENT_LEFT:
+                batch.answered = True
+            elif message is OVERDUE:
+                # Nothing was sent from here. A retried batch may run at another front, with an outcome that
+                # is not known here, so its client is not told that nothing ran.
+                answer_early = (
+                    it.Error(batch.number) if batch.submission.is_retry else it.PushBack(batch.number, 0.0)
+                )
+                self.send_answer(batch, answer, answer_early)
+            return False
+        receiving.cancel()
+        if receiving.done():
+            batch.inbox.put_nowait(receiving.result())
+        message = claiming.result()
+        if message:
+            self.send_answer(batch, answer, message)
+            return False
+        # The time that acquiring took counts against the time limit.
+        batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
+        return True
+
+    async def send_if_owned(self, batch: Batch, answer: Answer, message: it.Action | End) -> None:
+        """Send the final answer once the lease confirms that this front may still answer the batch."""
+        if batch.lease_guard:
+            message = await batch.lease_guard.confirm_answer(message)
+        self.send_answer(batch, answer, message)
+
+    async def wait_for_admission(self, batch: Batch, answer: Answer) -> bool:
+        """Wait until the budgets release the batch; returns False if it was refused, its client left or its
+        time was up."""
+        self.gate.submit(batch)
+        while True:
+            message = await batch.inbox.get()
+            match message:
+                case Release():
+                    batch.received = batch.received._replace(time_limit=batch.deadline - clock.now())
+                    return True
+                case Refuse():
+                    self.send_answer(batch, answer, it.PushBack(batch.number, message.after))
+                    return False
+                case _ if message is CLIENT_LEFT:
+                    batch.answered = True
+                    self.gate.client_left(batch)
+                    return False
+                case _ if message is OVERDUE:
+                    # Nothing was sent, so a retry is harmless.
+                    self.metrics.add("held past the limit")
+                    self.send_answer(batch, answer, it.PushBack(batch.number, 0.0))
+                    self.gate.client_left(batch)
+                    return False
+
+    def extend_limit(self, batch: Batch, number: int) -> None:
+        """Extend the time limit of a dispatch whose result is streaming to that of the batch, as no other
+        dispatch can replace it."""
+        limit = batch.timeouts.get(number)
+        if limit and not limit.expired():
+            limit.reschedule(clock.on_loop(batch.deadline))
+
+    def send_answer(self, batch: Batch, answer: Answer, message: it.Action | End | Begun) -> None:
+        """Give the final answer; a second one is counted as a broken invariant and not sent."""
+        if self.metrics.check_invariant(not batch.answered, "one final answer"):
+            batch.answered = True
+            answer(message)
--- a/thistlelever/carrier/directory.py
+++ b/thistlelever/carrier/directory.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory_sockets import DirectorySockets
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
@@ -40,7 +40,7 @@
         self,
         registry: EngineRegistry,
         drop_connections: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
         metrics: Metrics,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
@@ -52,7 +52,7 @@
         `kinds` are those of the settings, `seed` seeds the query ids.
         """
         self.registry, self.drop_connections = registry, drop_connections
-        self.desk, self.metrics = desk, metrics
+        self.decisions, self.metrics = decisions, metrics
         self.zones = {name: z for z, name in enumerate(zones)}
         self.kinds = {name: k for k, name in enumerate(kinds)}
         self.seed, self.polls = seed, 0
@@ -100,7 +100,7 @@
             await self.sockets.open(address)
         except OSError as error:
             self.metrics.add("directory: no socket")
-            self.desk.log("directory can't be asked yet", address=address, why=str(error))
+            self.decisions.log("directory can't be asked yet", address=address, why=str(error))
             return False
         self.drop_queries()
         self.retries = 0
@@ -112,7 +112,7 @@
         if await self.sockets.renew():
             sockets = len(self.sockets.transports)
             self.metrics.add("directory asked by a new socket")
-            self.desk.log("directory asked by a new socket", asked=self.polls, sockets=sockets)
+            self.decisions.log("directory asked by a new socket", asked=self.polls, sockets=sockets)
             self.poll(requested=False)
 
     def resume_from(self, serial: int) -> None:
@@ -181,7 +181,7 @@
             self.renewal = loop.create_task(self.renew())
         self.retry_at_once()
         if requested:
-            self.desk.tell(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
+            self.decisions.add_event(it.EngineListReceived(it.ListKind.FAILED, 0, ()))
 
     def receive(self, data: bytes) -> None:
         """Process a datagram: an answer, which may be late, or one without a matching query."""
@@ -198,7 +198,7 @@
             settled = self.apply(data, number, query)
         except (dns.Unreadable, KeyError, ValueError) as error:
             self.metrics.add("directory answers out of form")
-            self.desk.log("directory answer out of form", why=str(error))
+            self.decisions.log("directory answer out of form", why=str(error))
             settled = False
         if in_time and settled:
             self.retries, self.heard_at = 0, clock.now()
@@ -240,7 +240,7 @@
         """Stop new dispatches to these engines, which are not ready in an unconfirmed answer."""
         if closed != self.registry.closed_engines:
             names = sorted(engine.decode("latin-1") for engine in closed)
-            self.desk.log("engines closed for a doubt", engines=names, serial=self.registry.serial)
+            self.decisions.log("engines closed for a doubt", engines=names, serial=self.registry.serial)
             self.registry.closed_engines = closed
             self.notify()
 
@@ -251,7 +251,7 @@
         serial, held = answer.serial, self.registry.serial
         what = "older than the list" if serial < held else "that differ under one serial"
         self.metrics.add(f"directory answers {what}")
-        self.desk.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
+        self.decisions.log(f"directory answers {what}", serial=serial, held=held, differing=differing)
 
     def adopt_configured(self, serial: int, entries: list[Entry]) -> None:
         """Adopt the list of a reloaded configuration if it is newer than the one in force."""
@@ -266,7 +266,7 @@
         last_heard = self.heard_at or None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.drop_connections(engine)
-        self.desk.log(
+        self.decisions.log(
             "list",
             serial=serial,
             engines=len(entries),
@@ -279,7 +279,7 @@
 
     def notify(self) -> None:
         """Pass the current list on to the decisions."""
-        self.desk.tell(
+        self.decisions.add_event(
             it.EngineListReceived(it.ListKind.WHOLE, self.registry.serial, self.registry.engine_list())
         )
 
--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 
 from thistlelever.admission.decide import NEVER_RAN
-from thistlelever.carrier.dispatch import End, Ended, Sending, Speech
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress, EngineProtocol
 from thistlelever.carrier.peers import PeerSocket
-from thistlelever.carrier.recollection import goes_on_from
+from thistlelever.carrier.remembered_outcomes import resume_from
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.commands import TakenOver
@@ -141,12 +141,12 @@
         peers: PeerSocket,
         settings: it.Settings,
         registry: EngineRegistry,
-        speech: Callable[[Entry], Speech],
+        protocol: Callable[[Entry], EngineProtocol],
         metrics: Metrics,
         log: Log,
     ) -> None:
-        """Receives datagrams through `peers`; `speech` gives the protocol of an engine."""
-        self.manager, self.peers, self.registry, self.speech = manager, peers, registry, speech
+        """Receives datagrams through `peers`; `protocol` gives the protocol of an engine."""
+        self.manager, self.peers, self.registry, self.protocol = manager, peers, registry, protocol
         self.metrics, self.log = metrics, log
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
@@ -256,7 +256,7 @@
             value.engine.encode("latin-1"),
             value.ran_ms / 1e3,
         )
-        can_continue = goes_on_from(batch, query_class, self.registry, *begun)
+        can_continue = resume_from(batch, query_class, self.registry, *begun)
         if 0 in batch.adopted_names:
             self.metrics.add("takeover: adopted")
             self.log(
@@ -274,12 +274,12 @@
         entry = self.registry.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
-        end, sent = End(READ_DISPATCH_NUMBER, entry.engine.id), Sending(READ_DISPATCH_NUMBER)
+        end, sent = End(READ_DISPATCH_NUMBER, entry.engine.id), DispatchProgress(READ_DISPATCH_NUMBER)
         batch.adopted_names[READ_DISPATCH_NUMBER] = DispatchName(value.txn.hex(), value.number)
         self.registry.dispatch_started(end.engine)
         try:
-            await self.speech(entry).resume(batch, entry, end, sent, batch.deadline)
-        except Ended:
+            await self.protocol(entry).resume(batch, entry, end, sent, batch.deadline)
+        except NoResultError:
             return None
         finally:
             self.registry.dispatch_ended(end.engine)
@@ -413,7 +413,7 @@
         while True:
             entry = self.registry.entries.get(command.engine.encode("latin-1"))
             name = DispatchName(command.txn.hex(), command.number)
-            status = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
+            status = await self.protocol(entry).query_status(entry, name) if entry else "unknown"
             self.metrics.add(f"takeover: asked on: {status}")
             self.manager.successor.on_engine_status(command.key, status)
             self.schedule_processing()
@@ -422,7 +422,7 @@
     async def cancel_run(self, command: CancelRun) -> None:
         """Cancel a run at its engine, if the engine is still known."""
         if entry := self.registry.entries.get(command.engine.encode("latin-1")):
-            await self.speech(entry).call_off(entry, DispatchName(command.txn.hex(), command.number))
+            await self.protocol(entry).cancel_by_name(entry, DispatchName(command.txn.hex(), command.number))
 
 
 def query_class_policies(
--- a/thistlelever/lifecycle/budgets.py
+++ b/thistlelever/lifecycle/budgets.py
@@ -40,7 +40,7 @@
     def __init__(self, context: FrontContext, section: Budgets) -> None:
         """Install the gate. Raises `ConfigError` where the budget tree is invalid."""
         self.context, config = context, context.config
-        self.gate = context.courses.gate = BudgetGate(
+        self.gate = context.batch_tasks.gate = BudgetGate(
             config.settings,
             build_plan(section),
             self.queue_policy(section),
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -68,12 +68,12 @@
         successor = self.manager.successor
         successor.liveness, successor.is_alive = self.liveness, self.is_alive
         successor.is_isolated = self.is_isolated
-        self.leases = context.courses.leases = LeaseService(
+        self.leases = context.batch_tasks.leases = LeaseService(
             self.manager,
             membership.peers,
             config.settings,
             context.registry,
-            lambda entry: context.dispatcher.speech(entry),
+            lambda entry: context.dispatcher.protocol(entry),
             context.metrics,
             context.log,
         )
@@ -122,7 +122,7 @@
 
     def begin_shutdown(self) -> None:
         """Schedule the hand-over of open batches shortly before the front stops."""
-        hand_over_at = clock.on_loop(self.context.intake.stop_at) - HAND_OVER_BEFORE_STOP_S
+        hand_over_at = clock.on_loop(self.context.validator.stop_at) - HAND_OVER_BEFORE_STOP_S
         asyncio.get_running_loop().call_at(hand_over_at, self.leases.hand_over)
 
     async def close(self, grace: float) -> None:
--- a/thistlelever/store/batches.py
+++ b/thistlelever/store/batches.py
@@ -48,8 +48,8 @@
     # `is_update`: the statement only changes rows, so that its result is a row count.
     columns: bool = False
     is_update: bool = False
-    # The result that is being streamed to the client, of type `carrier.flow.Flow`.
-    flow: Any = None
+    # The result that is being streamed to the client, of type `carrier.result_stream.ResultStream`.
+    result_stream: Any = None
     # With takeover on: the check on the batch's lease, of type `carrier.leases.LeaseGuard`; and the ids at
     # their engines of dispatches that another front has begun.
     lease_guard: Any = None
--- a/thistlelever/takeover/lease_manager.py
+++ b/thistlelever/takeover/lease_manager.py
@@ -42,8 +42,8 @@
 
 # How often a claim is repeated with a higher epoch when its epoch was too low.
 MAX_CLAIM_ATTEMPTS = 4
-# The longest that a batch may wait, in time limits of its query class (`carrier.intake`); its record lives
-# as long.
+# The longest that a batch may wait, in time limits of its query class (`carrier.validation`); its record
+# lives as long.
 MAX_TIME_LIMITS = 2
 # How long a request that no batch waits for is sent again, in seconds.
 UNAWAITED_TIMEOUT_S = 0.5
