--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -166,7 +166,7 @@
         begun = asyncio.get_running_loop().time()
         while self.section:
             await asyncio.sleep(0.1)
-            fair_queue = self.server.courses.gate.fair_queue
+            fair_queue = self.server.batch_tasks.gate.fair_queue
             threads = Counter()
             for batch in fair_queue.running.values():
                 threads[batch.spec.team] += batch.spec.width
@@ -261,7 +261,7 @@
         for name, column in (("", 1), ("naive_", 3))
         for share in (50, 90, 99)
     }
-    fair_queue = flooded.server.courses.gate.fair_queue
+    fair_queue = flooded.server.batch_tasks.gate.fair_queue
     shares = {
         "alone": alone.in_time(VICTIM),
         "with_budgets": flooded.in_time(VICTIM),
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -37,7 +37,7 @@
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     parts = empty_front(place, zones, fronts)
     client = DirectoryClient(
-        parts.registry, lambda engine: None, parts.desk, parts.metrics, zones, parts.config.kinds, 1
+        parts.registry, lambda engine: None, parts.decisions, parts.metrics, zones, parts.config.kinds, 1
     )
     spent = []
     for serial in range(1, 1 + TIMES):
@@ -45,7 +45,7 @@
         listing = dns.decode_list(answer, 1, SERVICE_NAME)
         listed = [client.entry(found) for found in listing.engines]
         parts.registry.replace(serial, listed, float(serial))
-        parts.desk.front.handle(
+        parts.decisions.front.handle(
             float(serial), [it.EngineListReceived(it.ListKind.WHOLE, serial, parts.registry.engine_list())]
         )
         spent.append(perf_counter() - began)
--- a/thistlelever/carrier/subscribed_list.py
+++ b/thistlelever/carrier/subscribed_list.py
@@ -7,7 +7,7 @@
 from math import isfinite
 from typing import NamedTuple
 
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.subscription import Listing, Subscription
 from thistlelever.distribution.records import EngineRecord, engines_of
 from thistlelever.ground import clock
@@ -39,15 +39,15 @@
         subscription: Subscription,
         registry: EngineRegistry,
         drop_connections: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
         names: KnownNames,
     ) -> None:
         """Listen to `subscription`; `drop_connections` closes the connections to an engine."""
-        self.subscription, self.registry, self.drop_connections, self.desk = (
+        self.subscription, self.registry, self.drop_connections, self.decisions = (
             subscription,
             registry,
             drop_connections,
-            desk,
+            decisions,
         )
         self.zones = {name: index for index, name in enumerate(names.zones)}
         self.kinds = {name: index for index, name in enumerate(names.kinds)}
@@ -110,13 +110,13 @@
         last_heard = self.heard_at if isfinite(self.heard_at) else None
         for engine in self.registry.update(serial, entries, clock.now(), last_heard, clock.wall_ahead()):
             self.drop_connections(engine)
-        self.desk.log(
+        self.decisions.log(
             "list",
             version=str(self.subscription.replica.version),
             engines=len(entries),
             changed=transitions(before, self.registry.states()),
         )
-        self.desk.tell(
+        self.decisions.add_event(
             it.EngineListReceived(
                 it.ListKind.WHOLE, serial, self.registry.engine_list(), self.registry.sharing_fronts
             )
@@ -139,8 +139,8 @@
         try:
             return record, self.build_entry(record)
         except (UnknownNameError, ValueError) as error:
-            self.desk.metrics.add("engines of the list that can't be used")
-            self.desk.log("engine not usable", engine=record.id, why=str(error))
+            self.decisions.metrics.add("engines of the list that can't be used")
+            self.decisions.log("engine not usable", engine=record.id, why=str(error))
             return None
 
     def build_entry(self, record: EngineRecord) -> Entry:
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from math import isfinite
 
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.subscribed_list import KnownNames, SubscribedList
 from thistlelever.carrier.subscription import Subscription, SubscriptionTerms
 from thistlelever.distribution.records import engines_of
@@ -31,10 +31,10 @@
         section: Distribution,
         registry: EngineRegistry,
         forget: Callable[[it.EngineId], None],
-        desk: Desk,
+        decisions: DecisionLoop,
     ) -> None:
         """Nothing is sent before `open`."""
-        self.registry, self.desk, self.first_list_timeout = registry, desk, section.start_within_s
+        self.registry, self.decisions, self.first_list_timeout = registry, decisions, section.start_within_s
         terms = SubscriptionTerms(
             tuple(parse_address(text) for text in section.distributors),
             section.heartbeat_s,
@@ -49,12 +49,12 @@
             self.on_list_change,
         )
         names = KnownNames(config.zones, config.kinds)
-        self.list = SubscribedList(self.subscription, registry, forget, desk, names)
+        self.list = SubscribedList(self.subscription, registry, forget, decisions, names)
         self.configuration = DistributedConfiguration(self.subscription.replica)
         # Called when the operator document has changed: the front reloads.
         self.on_new_configuration: Callable[[], None] = lambda: None
         self.first_list = asyncio.Event()
-        self.subscription.listener, self.subscription.log = self.on_list_change, desk.log
+        self.subscription.listener, self.subscription.log = self.on_list_change, decisions.log
         self.task: asyncio.Task[None] | None = None
 
     @property
@@ -80,7 +80,7 @@
         previous = self.configuration.in_force
         overlaid = self.configuration.overlay(operator)
         if self.configuration.in_force != previous:
-            self.desk.log("configuration in force", version=str(self.configuration.in_force_since))
+            self.decisions.log("configuration in force", version=str(self.configuration.in_force_since))
         return overlaid
 
     def resume_from(self, serial: int) -> None:
