--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,5 @@
-"""Stand-ins on loopback for what a front talks to, and the stage that a scenario plays them on."""
+"""Runs a front in this process with fakes on loopback for everything that it talks to, driven by scenario
+steps."""
 
 import asyncio
 import json
@@ -21,14 +22,16 @@
 TXN = "0000000000000000"
 LONGEST_WAIT = 8.0
 ROOT = Path(__file__).parents[1]
-# Seconds within which sends to an engine must cease once it is told to drain: 0.25 by the settings, and 0.05.
+# Seconds within which dispatches to a draining engine must cease: 0.25 by the settings and 0.05 of tolerance.
 DRAIN_GRACE = 0.3
 LONGEST_START = 30.0
 
 
 async def front_process(environ, module="thistlelever"):
-    """A front in a process of its own, started as operators start it; its log is its standard output.
-    `module` stands in the program's place, for a front under a shim."""
+    """Start a front in a process of its own, as operators start it; its log is its standard output.
+
+    `module` replaces the program, for a front with injected faults.
+    """
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     run = run.replace("-m thistlelever", f"-m {module}")
     return await asyncio.create_subprocess_shell(
@@ -40,7 +43,7 @@
 
 
 async def ready_line(process):
-    """The line by which a front's process says that it is ready."""
+    """Return the log line that reports that a front's process is ready."""
     async with asyncio.timeout(LONGEST_START):
         line = {}
         while line.get("event") != "ready":
@@ -50,7 +53,7 @@
 
 @asynccontextmanager
 async def ready_front(environ, module="thistlelever"):
-    """A front in a process of its own once it is ready: the address where it listens. Killed at the end."""
+    """Run a front in a process of its own; yield its listen address once it is ready. Kill it at the end."""
     process = await front_process(environ, module)
     try:
         yield (await ready_line(process))["listen"]
@@ -60,7 +63,10 @@
 
 
 class Stage:
-    """One front, run in this process, with its stand-ins."""
+    """One front, run in this process, with its fake engines, directory and clients.
+
+    Each `do_` method is a step of the scenario notation (`docs/scenarios.md`).
+    """
 
     def __init__(self):
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
@@ -71,20 +77,23 @@
         self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
     async def until(self, holds):
-        """Looks again whenever something happens; what never comes fails."""
+        """Wait for a condition, checked on each event; raise TimeoutError after LONGEST_WAIT seconds."""
         async with asyncio.timeout(LONGEST_WAIT):
             while not holds():
                 self.stir.clear()
                 await self.stir.wait()
 
     def log(self, event, **facts):
+        """Record a log event of the front."""
         self.events.append((event, facts))
         self.stir.set()
 
     async def line(self, verb, *words):
+        """Run one step."""
         await getattr(self, "do_" + verb)(*words)
 
     async def do_settings(self, path, value):
+        """Set one of the site's settings by its path, to a JSON value."""
         part, *rest = path.split(".")
         place = self.settings
         for step in rest:
@@ -92,19 +101,24 @@
         place[int(part) if part.isdigit() else part] = json.loads(value)
 
     async def do_engine(self, name):
+        """Start an HTTP engine."""
         self.engines[name] = Engine(self.stir)
         await self.engines[name].start()
 
     async def do_holds(self, name):
+        """Make the engine hold its answers until it is released."""
         self.engines[name].holds = True
 
     async def do_dead(self, name):
+        """Stop an engine."""
         await self.engines[name].stop()
 
     async def do_on(self, name, call, *step):
+        """Queue the engine's answer to its next call of that kind."""
         self.engines[name].steps[call].append(step)
 
     async def open_directory(self):
+        """Start a directory that lists all engines, and put its address into the configuration."""
         _, self.directory = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: Directory(self.stir), local_addr=("127.0.0.1", 0)
         )
@@ -112,6 +126,7 @@
         self.config["dns"] = f"127.0.0.1:{self.directory.port}"
 
     async def do_front(self, sockets="1024"):
+        """Start the front with that many sockets and connect a client to it."""
         entries = [(name, f"127.0.0.1:{self.port(name)}") for name in self.engines]
         self.config = configuration(entries, settings=self.settings)
         await self.open_directory()
@@ -130,6 +145,7 @@
         self.hearing = asyncio.create_task(self.hear())
 
     async def hear(self):
+        """Record answers until the connection ends."""
         try:
             while line := await self.reader.readline():
                 self.answers.append(json.loads(line))
@@ -138,9 +154,11 @@
             self.reset = True
 
     async def do_submit(self, number, group, *words):
+        """Submit a batch; `name=value` sets a parameter, `name=none` omits it."""
         self.writer.write(self.submission(number, group, *words))
 
     def submission(self, number, group, *words):
+        """Return the request line of a batch."""
         facts = dict(word.split("=", 1) for word in words)
         table = facts.pop("table", "sales_17.orders")
         facts.setdefault("bytes", b64encode(f"select a from {table}".encode()).decode())
@@ -153,13 +171,16 @@
         return json.dumps(call).encode() + b"\n"
 
     async def do_send(self, *words):
+        """Send a line as it is."""
         self.writer.write(" ".join(words).replace("\\n", "\n").encode() + b"\n")
         await self.writer.drain()
 
     async def do_send_long(self, size):
+        """Send that many bytes without a newline."""
         self.writer.write(b"x" * int(size))
 
     async def do_answer(self, number, kind, *words):
+        """Wait for the answer under that number and check it: rows, a JSON value or an error."""
         number = None if number == "null" else int(number)
         await self.until(lambda: any(a.get("id") == number for a in self.answers))
         answer = next(a for a in self.answers if a.get("id") == number)
@@ -173,17 +194,20 @@
             assert " ".join(words[1:]) in answer["error"]["message"], answer
 
     async def do_no_answer(self, number):
+        """Check that there is no answer under that number so far."""
         assert not any(a.get("id") == int(number) for a in self.answers), self.answers
 
     async def do_hung_up(self):
+        """Wait until the front closes the client's connection."""
         async with asyncio.timeout(LONGEST_WAIT):
             await self.hearing
 
     async def do_client_leaves(self):
+        """Close the client's connection."""
         self.writer.close()
 
     async def do_saw(self, name, call, *words):
-        """The engine gets that call, with those fields."""
+        """Wait until the engine has received that call with those header fields."""
         fields = dict(word.lower().split("=", 1) for word in words)
 
         def found():
@@ -192,28 +216,30 @@
         await self.until(found)
 
     async def do_connections(self, name, most):
+        """Check that the engine has at most that many connections."""
         assert self.engines[name].connections <= int(most), self.engines[name].connections
 
     async def do_limited(self, name, most):
-        """The last dispatch was to wait so many milliseconds at most."""
+        """Check that the time limit of the last dispatch is at most that many milliseconds."""
         fields = [fields for call, fields, _ in self.engines[name].calls if call == "POST"][-1]
         assert int(fields["x-limit-ms"]) <= int(most), fields
 
     async def do_calls(self, name, call, count):
+        """Check how many calls of that kind the engine has received."""
         calls = [c for c, _, _ in self.engines[name].calls]
         assert calls.count(call) == int(count), calls
 
     async def do_order(self, name, *calls):
-        """The last calls that the engine got, as often as each came."""
+        """Check the last calls that the engine received, in order and with repeats."""
         assert [c for c, _, _ in self.engines[name].calls][-len(calls) :] == list(calls)
 
     async def do_one_got(self, *calls):
-        """One engine got all calls, these in this order, and any other none."""
+        """Check that one engine received exactly these calls in this order, and the others none."""
         made = [[c for c, _, _ in engine.calls] for engine in self.engines.values()]
         assert sorted(filter(None, made)) == [list(calls)], made
 
     async def do_volunteers(self, name, *words):
-        """The engine sends what nobody asked for on its newest connection; the front has seen it."""
+        """Send unrequested data on the engine's newest connection and wait until the front has noticed."""
         kept = self.server.connections.idle[name.encode()]
         seen = kept[-1].pending_read
         self.engines[name].writers[-1].write(unescaped(words))
@@ -221,21 +247,25 @@
             await asyncio.wait((seen,))
 
     async def do_at_ease(self, name):
+        """Check that the front has no back-off for the engine."""
         front = self.server.decisions.front
         assert not front.backoffs[front.engine_index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
+        """Wait until the engine has received at least that many calls of that kind."""
         await self.until(lambda: [c for c, _, _ in self.engines[name].calls].count(call) >= int(count))
 
     async def do_release(self, name):
+        """Let the engine send the answers that it holds."""
         self.engines[name].released.set()
 
     async def do_hangs_up(self, name):
+        """Close the engine's connections from its side."""
         self.engines[name].hang_up()
 
     async def do_list(self, serial, *names):
-        """The directory's list from now on, and three queries more: a newer list is in force once two answers
-        say so, and the third query shows that the front has read both."""
+        """Set the directory's list and wait for three more queries: a newer list is in force once two answers
+        carry it, and the third query shows that the front has read both."""
         self.directory.serial = int(serial)
         self.directory.entries = {
             name.strip("-"): (self.port(name.strip("-")), name.endswith("-")) for name in names
@@ -244,9 +274,11 @@
         await self.until(lambda: self.directory.asked >= asked + 3)
 
     async def do_directory(self, *steps):
+        """Queue the directory's behaviour for its next queries."""
         self.directory.steps.extend(steps)
 
     async def do_listed(self, *names):
+        """Wait until exactly these engines accept dispatches."""
         registry = self.server.registry
         await self.until(
             lambda: sorted(names)
@@ -254,61 +286,67 @@
         )
 
     async def do_lags(self, seconds):
-        """As if the loop had just come so late; remembered for as long as the scenario lasts."""
+        """Set the measured lag of the event loop for the rest of the scenario."""
         self.server.loop_lag.record = lambda late: None
         self.server.loop_lag.lag = float(seconds)
 
     async def do_up(self, name):
+        """Check that the front does not take the engine for down."""
         front = self.server.decisions.front
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
+        """Check how many idle connections to the engine the front keeps."""
         assert len(self.server.connections.idle.get(name.encode(), ())) == int(count)
 
     async def do_waiting(self, count):
-        """So many calls wait for a connection."""
+        """Wait until that many calls wait for a connection."""
         await self.until(lambda: sum(map(len, self.server.connections.waiters)) >= int(count))
 
     async def do_counted(self, *words):
+        """Wait until that counter has been incremented."""
         name = " ".join(words)
         await self.until(lambda: self.server.metrics.counts[name] > 0)
 
     async def do_sighup(self, event, *words):
-        """The configuration is read again; the log says so, with these words in what it says."""
+        """Reload the configuration by SIGHUP and wait for that log event, with these words among its
+        fields."""
         event = event.replace("_", " ")
         self.events.clear()
         os.kill(os.getpid(), signal.SIGHUP)
         await self.until(lambda: any(e == event and all(w in str(f) for w in words) for e, f in self.events))
 
     async def do_moves(self):
-        """The directory is at another address from now on; the old one is still there and must not count."""
+        """Move the directory to another address; the old one still runs and must be ignored."""
         self.old = self.directory
         await self.open_directory()
 
     async def do_old_says(self, serial):
-        """The address that was left answers every query it ever got, with an empty list."""
+        """Answer every query that the old address ever received, with an empty list."""
         for number in self.old.numbers:
             self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.asker)
         asked = self.directory.asked
         await self.until(lambda: self.directory.asked >= asked + 2)
 
     async def do_config(self, path, value):
+        """Change a field of the front's configuration; it takes effect with the next reload."""
         place, *rest = path.split(".")
         self.config[place] = self.config[place] | {rest[0]: json.loads(value)} if rest else json.loads(value)
 
     async def do_crowd(self, count):
-        """So many further clients connect and say nothing."""
+        """Open that many further client connections that send nothing."""
         address = self.writer.get_extra_info("peername")
         self.crowd += [await asyncio.open_connection(*address) for _ in range(int(count))]
 
     async def do_places(self, count):
-        """So many clients at once, whatever the descriptors allow."""
+        """Limit the number of client connections, whatever the descriptors allow."""
         self.server.client_listener.limits = self.server.client_listener.limits._replace(
             client_connections=int(count)
         )
 
     async def do_rush(self, count, silent):
-        """In one moment so many clients connect with a batch each, behind them others that say nothing."""
+        """Connect clients with one batch each and right behind them silent ones, all before the front's next
+        step."""
         address = self.writer.get_extra_info("peername")
         socks = [socket.create_connection(address) for _ in range(int(count) + int(silent))]
         for n, sock in enumerate(socks[: int(count)], 500 + len(self.crowd)):
@@ -316,28 +354,32 @@
         self.crowd += [await asyncio.open_connection(sock=sock) for sock in socks]
 
     async def do_answered(self, count):
-        """The first of the crowd get their rows."""
+        """Check that the first of the further clients get a result."""
         async with asyncio.timeout(LONGEST_WAIT):
             for reader, _ in self.crowd[: int(count)]:
                 assert "result" in json.loads(await reader.readline())
 
     async def do_crowd_closed(self, count):
-        """The front closes so many of them, those that came first before others."""
+        """Wait until the front has closed that many of the further clients, in the order in which they
+        connected."""
         async with asyncio.timeout(LONGEST_WAIT):
             for reader, _ in self.crowd[: int(count)]:
                 with suppress(ConnectionError):
                     assert not await reader.read()
 
     async def do_sigterm(self):
+        """Send SIGTERM and wait until the front reports that it is stopping."""
         os.kill(os.getpid(), signal.SIGTERM)
         await self.until(lambda: any(event == "stopping" for event, _ in self.events))
 
     async def do_stopped(self):
+        """Wait until the front has ended, and check that no invariant was broken."""
         async with asyncio.timeout(LONGEST_WAIT):
             await self.running
         assert not [name for name in self.server.metrics.counts if name.startswith("broken")]
 
     async def end(self):
+        """Stop everything, and check that no part of the front failed."""
         clients.BAD_LINE_DELAY_S = self.was_slower
         for call in self.calls.values():
             call.cancel()
@@ -357,10 +399,10 @@
             failures = [e for e in self.events if e[0].endswith("failed")]
             assert not failures, failures
 
-    # Crossings: one side is held at a known place.
+    # Races: one side is held at a known point.
 
     async def do_dials_held(self):
-        """No connection to an engine comes up from now on until `dials_go`."""
+        """Hold all new connections to engines until `dials_go`."""
         connections, self.dials, self.go = self.server.connections, 0, asyncio.Event()
         connect = connections.connect
 
@@ -373,36 +415,38 @@
         connections.connect = held
 
     async def do_dialling(self, count):
+        """Wait until that many connections to engines are held."""
         await self.until(lambda: self.dials >= int(count))
 
     async def do_dials_go(self):
+        """Let the held connections proceed."""
         self.go.set()
 
     async def do_passes(self, seconds):
-        """The clock has moved on by that."""
+        """Let that many seconds pass."""
         await asyncio.sleep(float(seconds))
 
     async def look_until(self, holds):
-        """As `until`, for what stirs nobody."""
+        """Wait for a condition that sets no event, by polling."""
         async with asyncio.timeout(LONGEST_WAIT):
             while not holds():
                 await asyncio.sleep(0.001)
 
     async def do_given_up(self, number):
-        """The front knows that nobody waits for the batch any more."""
+        """Wait until the front knows that no client waits for the batch any more."""
         batches = self.server.batches.by_txn
         await self.look_until(lambda: batches[f"{int(number):016x}"].answered)
 
     async def do_over(self):
-        """Nothing is open at the front."""
+        """Wait until no batch is open at the front."""
         await self.look_until(lambda: not self.server.batches.by_number)
 
     async def do_floods_and_goes(self, count):
-        """In one moment a client connects, submits so many batches and closes; the front is done with it."""
+        """Connect, submit that many batches and close before the front reads; wait until it has finished."""
         address = self.writer.get_extra_info("peername")
         with socket.create_connection(address) as sock:
             sock.sendall(b"".join(self.submission(900 + n, "lookup") for n in range(int(count))))
-        # Who comes behind it and is answered has let it be looked at first.
+        # A client that connects behind it and is answered shows that the front has read from it before.
         self.crowd.append(await asyncio.open_connection(*address))
         self.crowd[-1][1].write(self.submission(990, "lookup"))
         async with asyncio.timeout(LONGEST_WAIT):
@@ -410,39 +454,40 @@
         await self.do_over()
 
     async def do_paced(self, seconds):
-        """After a line out of form the next is taken so much later."""
+        """Set the delay in seconds after each malformed line."""
         self.was_slower, clients.BAD_LINE_DELAY_S = clients.BAD_LINE_DELAY_S, float(seconds)
 
     async def do_echoes(self, name):
-        """On a connection that carried a call before, each POST runs and is answered by what looks like the
-        late copy of another batch's refusal."""
+        """On a connection that carried a call before, run each POST and answer it with what looks like a late
+        copy of another batch's refusal."""
         self.engines[name].echoes = True
 
     async def do_hung_up_in_order(self):
-        """The front closes the connection, and not by a reset."""
+        """Wait until the front closes the connection, and check that it does so without a reset."""
         async with asyncio.timeout(LONGEST_WAIT):
             await self.hearing
         assert not self.reset
 
     async def do_deaf_to_asker(self):
-        """The directory gets nothing any more by the way by which it was last asked."""
+        """Make the directory ignore queries from the address of the last one."""
         await self.until(lambda: self.directory.asked)
         self.directory.deaf_to = self.directory.asker
 
     # Budgets.
 
     async def do_held_back(self, count):
-        """So many batches are held by their budgets by now."""
+        """Wait until that many batches are held back by their budgets."""
         await self.look_until(lambda: self.server.batch_tasks.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
-        """Just one of them has an answer, and it says that it may have run."""
+        """Check that exactly one of them has an answer, the error that says that it may have run."""
         wanted = set(map(int, numbers))
         await self.until(lambda: any(a.get("id") in wanted for a in self.answers))
         codes = [a["error"]["code"] for a in self.answers if a.get("id") in wanted]
         assert codes == [-32000], self.answers
 
     async def do_each_answered_once(self, *numbers):
+        """Wait until these batches are answered, and check that each has one answer."""
         wanted = sorted(map(int, numbers))
         await self.until(lambda: len([a for a in self.answers if a.get("id") in wanted]) >= len(wanted))
         assert sorted(a["id"] for a in self.answers) == wanted, self.answers
@@ -450,10 +495,11 @@
     # Arrow Flight SQL.
 
     def port(self, name):
+        """Return the port of an engine, or of the relay in front of it."""
         return (self.relays.get(name) or self.engines[name]).port
 
     def operator(self):
-        """The operator file as it stands, or none where no scenario line asked for one."""
+        """Return the current operator file, or None if no step set a part of it."""
         from thistlelever.ground import operator
 
         if self.door is None:
@@ -463,11 +509,11 @@
         return operator.read(json.dumps(self.sections | {"flight": section}).encode())
 
     async def do_section(self, name, text):
-        """A section of the operator file from now on."""
+        """Set a section of the operator file."""
         self.sections[name] = json.loads(text)
 
     async def do_flight_engine(self, name, *again):
-        """An engine that speaks Flight SQL; `at OTHER`: at the address of one that is no more."""
+        """Start an engine that speaks Flight SQL; with `at OTHER` at the address of a stopped one."""
         from thistlelever.standins.flight_engine import Engine as FlightEngine
 
         self.door = {} if self.door is None else self.door
@@ -475,11 +521,12 @@
         await self.engines[name].start(self.engines[again[1]].port if again else 0)
 
     async def do_door(self, *words):
-        """Terms of the section `flight`."""
+        """Set fields of the operator file's section `flight`."""
         self.door = (self.door or {}) | {k: json.loads(v) for k, v in (w.split("=", 1) for w in words)}
 
     async def do_relay(self, name, *cuts):
-        """A relay before an engine; each connection in its turn is cut after so many bytes of answers."""
+        """Start a relay in front of an engine that cuts each connection in turn after that many bytes of
+        answers."""
         from thistlelever.standins.relay import Relay
 
         self.relays[name] = Relay(self.engines[name].port)
@@ -487,7 +534,7 @@
         await self.relays[name].start()
 
     async def do_big(self, name, messages, size):
-        """The engine's result from now on: so many messages of so many bytes of one column."""
+        """Set the engine's result: that many messages, each of one column of that many bytes."""
         import pyarrow as pa
 
         from thistlelever.wire.flight import columns
@@ -496,25 +543,30 @@
         self.engines[name].result = lambda statement: [whole[0], *whole[1:] * int(messages)]
 
     async def do_one_drains(self, serial):
-        """The engine that has the one dispatch drains, and the front has heard of it."""
+        """Drain the engine that has the only dispatch, and wait until the front has the new list."""
         busy = next(name for name, e in self.engines.items() if e.book.count("arrived"))
         rest = [name for name in self.engines if name != busy]
         await self.do_list(serial, busy + "-", *rest)
         await self.do_listed(*rest)
 
     async def do_one_each(self):
+        """Check that each engine has received one dispatch."""
         assert [e.book.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
 
     async def do_comes_back(self, name):
+        """Start a stopped engine again on its old port."""
         await self.engines[name].start(self.engines[name].port)
 
     async def do_breaks(self, name):
+        """Break all connections through a relay."""
         self.relays[name].break_all()
 
     async def do_stops_serving(self, name, grace="0"):
+        """Stop an engine, with a grace period in seconds."""
         await self.engines[name].stop(float(grace))
 
     def channel(self, client="usual"):
+        """Return the gRPC channel of a client, created on first use."""
         from grpc import aio
 
         if client not in self.channels:
@@ -529,16 +581,18 @@
         return self.channels[client]
 
     def words(self, words):
-        """Of a call: its table, its client, and its headers."""
+        """Parse the words of a call: return its statement, client and headers."""
         facts = dict(word.split("=", 1) for word in words)
         table, client = facts.pop("table", "sales_17.orders"), facts.pop("client", "usual")
         return f"select a from {table}", client, tuple(facts.items())
 
     def begin(self, number, work):
+        """Start a call in the background."""
         self.calls[number] = asyncio.create_task(work)
         self.calls[number].add_done_callback(lambda task: self.stir.set())
 
     async def do_query(self, number, group, *words):
+        """Start a query: get its ticket, then its result."""
         from thistlelever.standins import flight_client as client
 
         statement, name, said = self.words(words)
@@ -552,10 +606,12 @@
         self.begin(number, whole())
 
     def seen(self, number):
+        """Return a list that collects the messages of a call."""
         self.events.append((f"messages of {number}", []))
         return self.events[-1][1]
 
     async def do_ticket(self, number, group, *words):
+        """Get a ticket and keep it."""
         from thistlelever.standins import flight_client as client
 
         statement, name, said = self.words(words)
@@ -563,16 +619,18 @@
         self.infos[number] = await client.info(self.channel(name), statement, said)
 
     async def do_redeem(self, number, ticket, *forged):
+        """Start to get the result for a kept ticket; with a further word the ticket is forged."""
         from thistlelever.standins import flight_client as client
         from thistlelever.wire.flight import flight_pb2 as pb
 
         raw = self.infos[ticket].endpoint[0].ticket.ticket
         if forged:
-            # One bit of the seal, which is the last in it.
+            # Flip one bit of the signature at the end of the ticket.
             raw = raw[:-2] + bytes((raw[-2] ^ 1, raw[-1]))
         self.begin(number, client.get(self.channel(), pb.Ticket(ticket=raw)))
 
     async def do_update(self, number, group, *words):
+        """Start an update."""
         from thistlelever.standins import flight_client as client
 
         statement, name, said = self.words(words)
@@ -581,35 +639,39 @@
         self.begin(number, client.update(self.channel(name), statement, said))
 
     async def ended(self, number):
+        """Wait until a call has ended, and return its task."""
         async with asyncio.timeout(LONGEST_WAIT):
             await asyncio.wait((self.calls[number],))
         return self.calls[number]
 
     async def do_rows(self, number, *words):
-        """The call ends well, with just these rows."""
+        """Check that the call succeeds with exactly these rows."""
         table = (await self.ended(number)).result()
         got = "".join("\t".join(map(str, row.values())) + "\n" for row in table.to_pylist())
         assert got == rows(*words), got
 
     async def do_whole(self, number, count):
+        """Check that the call succeeds with that many rows."""
         table = (await self.ended(number)).result()
         assert table.num_rows == int(count), table.num_rows
 
     async def do_changed(self, number, count):
+        """Check that the update succeeds and reports that many rows."""
         assert (await self.ended(number)).result() == int(count)
 
     async def do_fails(self, number, code, *words):
-        """The call ends with that status."""
+        """Check that the call fails with that status and message."""
         why = (await self.ended(number)).exception()
         assert why is not None and why.code == code, (self.calls[number], why)
         assert " ".join(words) in why.details, why.details
 
     async def do_trailer(self, number, name, word):
+        """Check a trailer of a failed call; `any` accepts each value."""
         trailers = (await self.ended(number)).exception().trailers
         assert name in trailers and (word == "any" or trailers[name] == word), trailers
 
     async def do_got(self, number, least):
-        """So many messages of the call's result have come."""
+        """Wait until at least that many messages of the call's result have arrived."""
 
         def enough():
             return any(e == f"messages of {number}" and len(f) >= int(least) for e, f in self.events)
@@ -617,17 +679,20 @@
         await self.look_until(enough)
 
     async def do_open_call(self, number):
+        """Check that the call has not ended."""
         assert not self.calls[number].done(), self.calls[number]
 
     async def do_cancel_call(self, number):
+        """Cancel a call and wait for its end."""
         self.calls[number].cancel()
         await self.ended(number)
 
     async def do_client_gone(self, client):
-        """Its connection ends, with all that is open on it."""
+        """Close the client's connection with all calls open on it."""
         await self.channels.pop(client).close()
 
     async def do_cancel_info(self, number, status):
+        """Send CancelFlightInfo for a kept ticket and check the status in its reply."""
         from thistlelever.standins import flight_client as client
         from thistlelever.wire.flight import flight_pb2 as pb
 
@@ -636,33 +701,37 @@
         assert pb.CancelFlightInfoResult.FromString(said).status == int(status), said
 
     async def do_arrived(self, count, *names):
-        """So many dispatches have come to these engines in all, repeats by whatever cause included."""
+        """Check how many dispatches these engines have received in all, including repeats for any reason."""
         books = [self.engines[name].book for name in names or self.engines]
         assert sum(book.count("arrived") for book in books) == int(count), [b.lines for b in books]
 
     async def do_begun(self, count):
-        """So many dispatches have come to the engines by now."""
+        """Wait until the engines have received that many dispatches."""
         await self.until(lambda: sum(e.book.count("arrived") for e in self.engines.values()) >= int(count))
 
     async def do_cancels(self, count):
+        """Wait until the engines have received that many CancelFlightInfo actions."""
+
         def heard():
             return sum(c == "CancelFlightInfo" for e in self.engines.values() for c, _, _ in e.calls)
 
         await self.until(lambda: heard() >= int(count))
 
     async def do_cancel_heard(self, name):
+        """Wait until that engine has received a CancelFlightInfo action."""
         await self.until(lambda: any(c == "CancelFlightInfo" for c, _, _ in self.engines[name].calls))
 
     async def do_no_cancel(self, *names):
+        """Make these engines not support CancelFlightInfo."""
         for name in names:
             self.engines[name].cancels = False
 
     async def do_fronts_out(self, count):
-        """So many batches are open at the front by now."""
+        """Wait until that many batches are open at the front."""
         await self.look_until(lambda: len(self.server.batches.by_number) == int(count))
 
     async def do_sent_at_most(self, name, size):
-        """The engine has sent no more than so many bytes of its result, as its reader is slow."""
+        """Check that the engine stops after at most that many bytes of its result, as its reader is slow."""
         before = -1
         async with asyncio.timeout(LONGEST_WAIT):
             while self.engines[name].sent != before:
@@ -671,7 +740,7 @@
         assert before <= int(size), before
 
     async def do_stalls(self, number, group, *words):
-        """A query whose client takes one message and then no more until it is cancelled."""
+        """Start a query whose client reads one message and then nothing until it is cancelled."""
         from thistlelever.standins import flight_client as client
 
         statement, name, said = self.words(words)
@@ -688,7 +757,7 @@
 
 @contextmanager
 def brisk():
-    """A stop and a directory's pace shorter than in service, so that tests wait less."""
+    """Shorten the stop and the directory's poll interval, so that tests wait less."""
     was = run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL
     run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL = 0.05, 0.3, 0.05
     try:
@@ -699,7 +768,7 @@
 
 @asynccontextmanager
 async def staged(lines):
-    """A stage on which these lines were played; the name of one that failed goes with the failure."""
+    """Run these steps and yield the stage; an error names the step that failed."""
     stage = Stage()
     try:
         for line, words in lines:
@@ -716,7 +785,7 @@
 
 
 async def played(lines):
-    """Plays one scenario."""
+    """Run one scenario, given as (`file:line`, words) pairs."""
     with brisk():
         async with staged(lines):
             pass
