--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -62,6 +62,7 @@
 
 
 def settings(engines):
+    """Return the site's settings with this rig's engines, classes and teams."""
     config = json.loads(json.dumps(SETTINGS))
     limit = {"Deadline": int(TIME_LIMIT_S * 1e6), "Slo": int(OBJECTIVE_S * 1e6), "AimStretch": 0.0}
     config["Classes"] = [
@@ -127,6 +128,7 @@
         self.shares, self.waits = [], []
 
     async def open(self):
+        """Start the engines, the directory and the front; wait until the front is ready."""
         for name in ("a", "b"):
             engine = self.engines[name] = Engine(self.changed)
             engine.works = EngineCores(engine, self.chance).work
@@ -149,6 +151,7 @@
         self.listen = await ready
 
     async def play(self):
+        """Run the teams' clients to their end, then stop everything; return this phase."""
         await self.open()
         clients = [asyncio.create_task(self.run_team(name)) for name in self.teams]
         sampling = asyncio.create_task(self.sample_threads())
@@ -243,6 +246,7 @@
 
 
 async def run(seed, seconds, plot):
+    """Run the three phases; return the broken rules and the figures."""
     chance = Chance(seed)
     recorded, record = [], WaitEstimator.record
 
--- a/rigs/restart.py
+++ b/rigs/restart.py
@@ -58,10 +58,12 @@
         self.posts = []
 
     async def start(self):
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader, writer):
+        """Read a connection to its end and record when a POST arrives."""
         with suppress(ConnectionError):
             while data := await reader.read(65_536):
                 if b"POST " in data:
@@ -69,6 +71,7 @@
         writer.close()
 
     async def stop(self):
+        """Stop listening."""
         self.server.close()
 
 
@@ -127,6 +130,7 @@
         return figures
 
     async def start(self, folder, known, port):
+        """Write the configuration and the kept state, start the front and wait until it is ready."""
         config, operator = folder / "config.json", folder / "operator.json"
         entries = [(name, f"127.0.0.1:{at}") for name, at in known.items()]
         contents = configuration(entries, f"127.0.0.1:{port}", settings())
@@ -185,6 +189,7 @@
         return process
 
     async def read(self, process):
+        """Record the front's log; the ready line gives the port and the time."""
         while line := await process.stdout.readline():
             entry = json.loads(line)
             self.lines.append(entry)
--- a/rigs/system_calls.py
+++ b/rigs/system_calls.py
@@ -67,6 +67,7 @@
         self.submitted, self.answers, self.aborted, self.stopped = [], defaultdict(list), set(), False
 
     async def run(self):
+        """Submit until `stopped`; then wait for the answers still due."""
         sent = 0
         while not self.stopped:
             try:
@@ -128,6 +129,7 @@
         self.ready_s, self.refused = None, 0
 
     async def run(self):
+        """Start the fakes and the front, drive it to its exit and check the rules; return this run."""
         changed = asyncio.Event()
         self.engines = {name: Engine(changed) for name in ("alder", "birch")}
         for engine in self.engines.values():
@@ -175,6 +177,7 @@
         )
 
     async def read(self, stdout):
+        """Record the front's log with the time at which each line arrived."""
         while line := await stdout.readline():
             self.lines.append(json.loads(line) | {"heard": time.monotonic()})
 
