--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -348,7 +348,7 @@
         left = counts["taken"] - told
         if not 0 <= left <= sum(a.manner in LEAVERS for a in self.asked):
             broken.append("the front's own book")
-        if self.office.flight.engines.purse.spent or self.office.flight.door.open:
+        if self.office.flight.engines.purse.spent or self.office.flight.server.open_batches:
             broken.append("something is still held")
         by_engine = Counter()
         for name, engine in self.engines.items():
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -66,9 +66,9 @@
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.office, self.running = json.loads(json.dumps(SETTINGS)), None, None
         self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.SLOWER
-        # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
+        # Arrow Flight SQL: the section, calls under way and done, relays before engines.
         self.sections = {}
-        self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
+        self.flight_section, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
     async def until(self, holds):
         """Looks again whenever something happens; what never comes fails."""
@@ -121,7 +121,7 @@
             self.log,
             lambda: front_config.read(self.config, {}),
             self.operator(),
-            self.operator if self.door is not None or self.sections else None,
+            self.operator if self.flight_section is not None or self.sections else None,
         )
         self.running = asyncio.create_task(self.office.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
@@ -453,10 +453,15 @@
         """The operator file as it stands, or none where no scenario line asked for one."""
         from thistlelever.ground import operator
 
-        if self.door is None:
+        if self.flight_section is None:
             return operator.read(json.dumps(self.sections).encode()) if self.sections else None
         speak = [name for name, engine in self.engines.items() if not isinstance(engine, Engine)]
-        section = {"listen": "127.0.0.1:0", "engines": speak, "tenant": "acme", "wait_ms": 3000} | self.door
+        section = {
+            "listen": "127.0.0.1:0",
+            "engines": speak,
+            "tenant": "acme",
+            "wait_ms": 3000,
+        } | self.flight_section
         return operator.read(json.dumps(self.sections | {"flight": section}).encode())
 
     async def do_section(self, name, text):
@@ -467,13 +472,15 @@
         """An engine that speaks Flight SQL; `at OTHER`: at the address of one that is no more."""
         from thistlelever.standins.flight_engine import Engine as FlightEngine
 
-        self.door = {} if self.door is None else self.door
+        self.flight_section = {} if self.flight_section is None else self.flight_section
         self.engines[name] = FlightEngine(self.stir)
         await self.engines[name].start(self.engines[again[1]].port if again else 0)
 
-    async def do_door(self, *words):
+    async def do_flight_section(self, *words):
         """Terms of the section `flight`."""
-        self.door = (self.door or {}) | {k: json.loads(v) for k, v in (w.split("=", 1) for w in words)}
+        self.flight_section = (self.flight_section or {}) | {
+            k: json.loads(v) for k, v in (w.split("=", 1) for w in words)
+        }
 
     async def do_relay(self, name, *cuts):
         """A relay before an engine; each connection in its turn is cut after so many bytes of answers."""
@@ -515,7 +522,7 @@
         from grpc import aio
 
         if client not in self.channels:
-            port = self.office.flight.door.port
+            port = self.office.flight.server.port
             options = (
                 ("grpc.use_local_subchannel_pool", 1),
                 ("grpc.http2.lookahead_bytes", 65_536),
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def front(*lines):
-    lines = lines or ("flight_engine f", 'door group="lookup"', "front")
+    lines = lines or ("flight_engine f", 'flight_section group="lookup"', "front")
     async with staged([(line, line.split()) for line in lines]) as stage:
         for engine in stage.engines.values():
             engine.text = "".join("\t".join(row) + "\n" for row in ROWS)
@@ -40,7 +40,7 @@
 
     async def run():
         async with front(*lines) as stage:
-            return await work(stage, f"grpc://127.0.0.1:{stage.office.flight.door.port}")
+            return await work(stage, f"grpc://127.0.0.1:{stage.office.flight.server.port}")
 
     return asyncio.run(run())
 
@@ -106,7 +106,7 @@
     async def work(stage, address):
         return await asyncio.to_thread(use, address), stage.engines["f"].calls
 
-    tables = 'door group="lookup" tables=[{"schema":"sales_17","name":"orders"}]'
+    tables = 'flight_section group="lookup" tables=[{"schema":"sales_17","name":"orders"}]'
     (rows, bound, changed, objects, kinds, vendor), calls = played(work, "flight_engine f", tables, "front")
     assert rows == bound == ROWS
     assert changed == 1
@@ -247,7 +247,7 @@
 def test_tickets_of_another_front_and_of_before_a_restart():
     async def other(name):
         async with front() as stage:
-            stage.office.flight.door.seal.front = stage.office.flight.door.tickets.front = name
+            stage.office.flight.server.signer.front = stage.office.flight.server.tickets.front = name
             return (await client.info(stage.channel(), STATEMENT)).endpoint[0].ticket
 
     async def run():
@@ -288,7 +288,7 @@
             "ClosePreparedStatement",
             parcels.wrapped(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
-        statements = stage.office.flight.door.prepared_statements
+        statements = stage.office.flight.server.prepared_statements
         assert not statements.by_handle and not statements.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
 
@@ -390,7 +390,7 @@
                 literal(b"content-type", b"application/grpc"),
             )
         )
-        port, socks = stage.office.flight.door.port, []
+        port, socks = stage.office.flight.server.port, []
         for _ in range(20):
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(
@@ -425,10 +425,10 @@
         found = await asyncio.gather(*calls, usual, return_exceptions=True)
         return [f.num_rows if type(f) is pa.Table else f.code for f in found], stage
 
-    found, stage = played(work, "flight_engine f", 'door group="lookup" streams=40', "front")
+    found, stage = played(work, "flight_engine f", 'flight_section group="lookup" streams=40', "front")
     assert set(found) <= {len(ROWS), "RESOURCE_EXHAUSTED", "INTERNAL", "DEADLINE_EXCEEDED"}
     assert len(found) == 301 and found.count(len(ROWS)) >= 40
-    assert not stage.office.batches.by_number and not stage.office.flight.door.open
+    assert not stage.office.batches.by_number and not stage.office.flight.server.open_batches
     assert stage.office.flight.engines.purse.spent == 0
 
 
@@ -453,7 +453,8 @@
         )
 
     tables = (
-        'door group="lookup" tables=[{"schema":"sales_17","name":"orders"},{"schema":"hr","name":"staff"}]'
+        'flight_section group="lookup" '
+        'tables=[{"schema":"sales_17","name":"orders"},{"schema":"hr","name":"staff"}]'
     )
     catalogs, schemas, found, none, facts, types, long = played(work, "flight_engine f", tables, "front")
     assert catalogs == [{"catalog_name": "thistlelever"}]
--- a/thistlelever/flight/catalog.py
+++ b/thistlelever/flight/catalog.py
@@ -17,7 +17,7 @@
 TEXT = pa.string()
 
 
-def schema(*fields: tuple) -> pa.Schema:
+def make_schema(*fields: tuple) -> pa.Schema:
     """Fields as (name, type), those named with `!` not null."""
     return pa.schema(
         [pa.field(name.rstrip("!"), kind, nullable=not name.endswith("!")) for name, kind in fields]
@@ -34,15 +34,15 @@
         pa.field("int32_to_int32_list_map", pa.map_(pa.int32(), pa.list_(pa.int32()))),
     ]
 )
-SQL_INFO = schema(("info_name!", pa.uint32()), ("value!", VALUE))
-CATALOGS = schema(("catalog_name!", TEXT))
-SCHEMAS = schema(("catalog_name", TEXT), ("db_schema_name!", TEXT))
-TABLES = schema(
+SQL_INFO = make_schema(("info_name!", pa.uint32()), ("value!", VALUE))
+CATALOGS = make_schema(("catalog_name!", TEXT))
+SCHEMAS = make_schema(("catalog_name", TEXT), ("db_schema_name!", TEXT))
+TABLES = make_schema(
     ("catalog_name", TEXT), ("db_schema_name", TEXT), ("table_name!", TEXT), ("table_type!", TEXT)
 )
 TABLES_WITH_SCHEMA = TABLES.append(pa.field("table_schema", pa.binary(), nullable=False))
-TABLE_TYPES = schema(("table_type!", TEXT))
-XDBC = schema(
+TABLE_TYPES = make_schema(("table_type!", TEXT))
+XDBC_TYPE_INFO = make_schema(
     ("type_name!", TEXT),
     ("data_type!", pa.int32()),
     ("column_size", pa.int32()),
@@ -65,7 +65,7 @@
 )
 # By Flight SQL's numbers: name, version, Arrow's version, read-only, SQL, Substrait, transactions (none),
 # cancel, bulk ingestion. The place is that of the value's kind in `VALUE`.
-FACTS = {
+SQL_INFO_VALUES = {
     0: (0, "thistlelever"),
     1: (0, thistlelever.__version__),
     2: (0, pa.__version__),
@@ -80,42 +80,49 @@
 VARCHAR = 12
 
 
-def answer(asked: Message, terms: Flight) -> pa.Table | None:
+def metadata_table(command: Message, options: Flight) -> pa.Table | None:
     """The table that answers a command about the front itself; None where it is no such command."""
-    match asked:
+    match command:
         case sql.CommandGetSqlInfo():
-            return sql_info(tuple(asked.info))
+            return sql_info(tuple(command.info))
         case sql.CommandGetCatalogs():
-            return table(CATALOGS, [(terms.catalog,)])
+            return make_table(CATALOGS, [(options.catalog,)])
         case sql.CommandGetDbSchemas():
-            named = {t.schema for t in terms.tables if like(asked, "db_schema_filter_pattern", t.schema)}
-            return table(SCHEMAS, [(terms.catalog, name) for name in sorted(named) if ours(asked, terms)])
+            named = {
+                t.schema
+                for t in options.tables
+                if matches_like(command, "db_schema_filter_pattern", t.schema)
+            }
+            return make_table(
+                SCHEMAS,
+                [(options.catalog, name) for name in sorted(named) if catalog_matches(command, options)],
+            )
         case sql.CommandGetTables():
-            return tables(asked, terms)
+            return table_list(command, options)
         case sql.CommandGetTableTypes():
-            return table(TABLE_TYPES, [("TABLE",)])
+            return make_table(TABLE_TYPES, [("TABLE",)])
         case sql.CommandGetXdbcTypeInfo():
-            return types(asked.data_type if asked.HasField("data_type") else None)
+            return xdbc_type_info(command.data_type if command.HasField("data_type") else None)
     return None
 
 
-def table(form: pa.Schema, rows: list[tuple]) -> pa.Table:
-    made = [pa.array([row[place] for row in rows], field.type) for place, field in enumerate(form)]
-    return pa.Table.from_arrays(made, schema=form)
+def make_table(arrow_schema: pa.Schema, rows: list[tuple]) -> pa.Table:
+    made = [pa.array([row[place] for row in rows], field.type) for place, field in enumerate(arrow_schema)]
+    return pa.Table.from_arrays(made, schema=arrow_schema)
 
 
-def ours(asked: Message, terms: Flight) -> bool:
-    return not asked.HasField("catalog") or asked.catalog == terms.catalog
+def catalog_matches(command: Message, options: Flight) -> bool:
+    return not command.HasField("catalog") or command.catalog == options.catalog
 
 
-def like(asked: Message, field: str, word: str) -> bool:
+def matches_like(command: Message, field: str, word: str) -> bool:
     """SQL's LIKE: `%` any run, `_` any one. Absent, it fits all."""
-    if not asked.HasField(field):
+    if not command.HasField(field):
         return True
-    return bool(pattern(getattr(asked, field)[:256]).fullmatch(word))
+    return bool(like_pattern(getattr(command, field)[:256]).fullmatch(word))
 
 
-def pattern(text: str) -> re.Pattern:
+def like_pattern(text: str) -> re.Pattern:
     """Risk: runs of `%` make a pattern that takes years; a run says no more than one."""
     parts = {"%": ".*", "_": "."}
     squeezed = re.sub("%+", "%", text)
@@ -125,29 +132,29 @@
     return re.compile("".join(parts.get(letter) or re.escape(letter) for letter in squeezed), re.DOTALL)
 
 
-def tables(asked: sql.CommandGetTables, terms: Flight) -> pa.Table:
-    wanted = not asked.table_types or "TABLE" in asked.table_types
+def table_list(command: sql.CommandGetTables, options: Flight) -> pa.Table:
+    wanted = not command.table_types or "TABLE" in command.table_types
     found = [
-        (terms.catalog, t.schema, t.name, "TABLE")
-        for t in terms.tables
+        (options.catalog, t.schema, t.name, "TABLE")
+        for t in options.tables
         if wanted
-        and ours(asked, terms)
-        and like(asked, "db_schema_filter_pattern", t.schema)
-        and like(asked, "table_name_filter_pattern", t.name)
+        and catalog_matches(command, options)
+        and matches_like(command, "db_schema_filter_pattern", t.schema)
+        and matches_like(command, "table_name_filter_pattern", t.name)
     ]
     found.sort()
-    if not asked.include_schema:
-        return table(TABLES, found)
+    if not command.include_schema:
+        return make_table(TABLES, found)
     # Engines of rows give three columns of text and name none.
-    form = bytes(columns.SCHEMA.serialize())
-    return table(TABLES_WITH_SCHEMA, [(*row, form) for row in found])
+    arrow_schema = bytes(columns.SCHEMA.serialize())
+    return make_table(TABLES_WITH_SCHEMA, [(*row, arrow_schema) for row in found])
 
 
 def sql_info(wanted: tuple[int, ...]) -> pa.Table:
-    names = [name for name in (wanted or FACTS) if name in FACTS]
+    names = [name for name in (wanted or SQL_INFO_VALUES) if name in SQL_INFO_VALUES]
     kinds, offsets, children = [], [], [[] for _ in range(VALUE.num_fields)]
     for name in names:
-        kind, value = FACTS[name]
+        kind, value = SQL_INFO_VALUES[name]
         kinds.append(kind)
         offsets.append(len(children[kind]))
         children[kind].append(value)
@@ -161,7 +168,7 @@
     return pa.Table.from_arrays([pa.array(names, pa.uint32()), values], schema=SQL_INFO)
 
 
-def types(wanted: int | None) -> pa.Table:
+def xdbc_type_info(wanted: int | None) -> pa.Table:
     row = (
         "varchar",
         VARCHAR,
@@ -183,4 +190,4 @@
         None,
         None,
     )
-    return table(XDBC, [row] if wanted in (None, VARCHAR) else [])
+    return make_table(XDBC_TYPE_INFO, [row] if wanted in (None, VARCHAR) else [])
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/server.py
@@ -18,14 +18,14 @@
 from thistlelever.carrier.dispatch import End
 from thistlelever.carrier.flow import Begun
 from thistlelever.carrier.intake import Intake
-from thistlelever.flight import answers, catalog
-from thistlelever.flight.answers import Refusal, bad, unserved
-from thistlelever.flight.prepared_calls import PreparedCalls
-from thistlelever.flight.requests import expected, headers, query_text
-from thistlelever.flight.seal import Forged, Order, Seal
+from thistlelever.flight import catalog, status_errors
+from thistlelever.flight.status_errors import StatusError, invalid_argument, unimplemented
+from thistlelever.flight.prepared_statement_actions import PreparedStatementActions
+from thistlelever.flight.requests import read_command, text_headers, query_text
+from thistlelever.flight.ticket_signer import InvalidTicketError, TicketPayload, TicketSigner
 from thistlelever.flight.server_options import SERVER_OPTIONS
-from thistlelever.flight.session_calls import SessionCalls
-from thistlelever.flight.taking import CALLED_OFF, Open, Taking
+from thistlelever.flight.session_actions import SessionActions
+from thistlelever.flight.batch_call import CANCELLED_BY_CLIENT, OpenBatch, BatchCall
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
@@ -43,24 +43,24 @@
 from thistlelever.wire.flight.parcels import Unreadable, Unserved, command, parcel, read, wrapped
 
 # Bytes and rows that the parameters of one stream may have.
-MOST_PARAMETERS, MOST_ROWS = 1 << 20, 10_000
+MAX_PARAMETER_BYTES, MAX_PARAMETER_ROWS = 1 << 20, 10_000
 # Parameters and commands of a stream that has begun come within this, or it is half open and ends.
-STREAM_WITHIN = 5.0
+PARAMETER_STREAM_TIMEOUT = 5.0
 # An answer given at the limit still has this long to leave.
-LAST_BYTES = 0.05
+RESPONSE_MARGIN = 0.05
 # An error so near the limit is the limit's: the decisions come to it by whole ticks.
-LIMIT_EARLY = 0.01
+TIME_LIMIT_TOLERANCE = 0.01
 # Headers beside those for group and tenant, by the field that they fill; and session options likewise.
-HEADERS = {
+FIELD_HEADERS = {
     "wait": "x-wait-ms",
     "cost": "x-cost-ms",
     "need_mb": "x-need-mb",
     "once": "x-once",
     "retry": "x-retry",
 }
-OPTIONS = {"wait": "wait_ms", "cost": "cost_ms", "need_mb": "need_mb", "retry": "retry"}
-FIGURES = ("wait", "cost", "need_mb")
-ACTIONS = {
+FIELD_OPTIONS = {"wait": "wait_ms", "cost": "cost_ms", "need_mb": "need_mb", "retry": "retry"}
+NUMERIC_FIELDS = ("wait", "cost", "need_mb")
+ACTION_DESCRIPTIONS = {
     "CreatePreparedStatement": "sets a statement down to be run later",
     "ClosePreparedStatement": "forgets a prepared statement",
     "CancelFlightInfo": "calls off the batch of a FlightInfo",
@@ -76,81 +76,81 @@
 )
 
 
-class Door(grpc.GenericRpcHandler):
+class FlightServer(grpc.GenericRpcHandler):
     """Serves on one port. Each call is one task, from its request to its status."""
 
     def __init__(
-        self, terms: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
+        self, options: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
     ) -> None:
-        self.terms, self.intake, self.courses = terms, intake, courses
+        self.options, self.intake, self.courses = options, intake, courses
         self.metrics, self.log = metrics, log
-        self.seal = Seal(name)
-        self.tickets = Tickets(name, self.seal.life, terms.tickets)
-        self.prepared_statements = PreparedStatements(terms.prepared, terms.idle_s)
-        self.sessions = Sessions(terms.sessions, terms.idle_s)
-        self.prepared = PreparedCalls(self.prepared_statements)
-        self.session_calls = SessionCalls(self.sessions)
-        self.open: dict[str, Open] = {}
+        self.signer = TicketSigner(name)
+        self.tickets = Tickets(name, self.signer.life, options.tickets)
+        self.prepared_statements = PreparedStatements(options.prepared, options.idle_s)
+        self.sessions = Sessions(options.sessions, options.idle_s)
+        self.prepared_actions = PreparedStatementActions(self.prepared_statements)
+        self.session_actions = SessionActions(self.sessions)
+        self.open_batches: dict[str, OpenBatch] = {}
         self.stopping = False
-        self.server: aio.Server | None = None
+        self.grpc_server: aio.Server | None = None
         self.port = 0
         self.handlers = {
-            "GetFlightInfo": UNARY(self.guarded(self.get_flight_info)),
-            "PollFlightInfo": UNARY(self.guarded(self.poll_flight_info)),
-            "GetSchema": UNARY(self.guarded(self.get_schema)),
-            "DoGet": STREAM(self.guarded(self.do_get)),
-            "DoPut": DUPLEX(self.guarded(self.do_put)),
-            "DoAction": STREAM(self.guarded(self.do_action)),
-            "ListActions": STREAM(self.guarded(self.list_actions)),
-            "ListFlights": STREAM(self.guarded(self.refused("ListFlights"))),
-            "DoExchange": DUPLEX(self.guarded(self.refused("DoExchange"))),
-            "Handshake": DUPLEX(self.guarded(self.refused("Handshake"))),
+            "GetFlightInfo": UNARY(self.with_status(self.get_flight_info)),
+            "PollFlightInfo": UNARY(self.with_status(self.poll_flight_info)),
+            "GetSchema": UNARY(self.with_status(self.get_schema)),
+            "DoGet": STREAM(self.with_status(self.do_get)),
+            "DoPut": DUPLEX(self.with_status(self.do_put)),
+            "DoAction": STREAM(self.with_status(self.do_action)),
+            "ListActions": STREAM(self.with_status(self.list_actions)),
+            "ListFlights": STREAM(self.with_status(self.unimplemented_method("ListFlights"))),
+            "DoExchange": DUPLEX(self.with_status(self.unimplemented_method("DoExchange"))),
+            "Handshake": DUPLEX(self.with_status(self.unimplemented_method("Handshake"))),
         }
         self.actions: dict[str, Callable[[bytes, aio.ServicerContext], Awaitable[bytes | None]]] = {
-            "CreatePreparedStatement": self.prepared.create,
-            "ClosePreparedStatement": self.prepared.close,
+            "CreatePreparedStatement": self.prepared_actions.create,
+            "ClosePreparedStatement": self.prepared_actions.close,
             "CancelFlightInfo": self.cancel_flight_info,
             "CancelQuery": self.cancel_query,
-            "SetSessionOptions": self.session_calls.set_options,
-            "GetSessionOptions": self.session_calls.get_options,
-            "CloseSession": self.session_calls.close_session,
+            "SetSessionOptions": self.session_actions.set_options,
+            "GetSessionOptions": self.session_actions.get_options,
+            "CloseSession": self.session_actions.close_session,
         }
 
     async def listen(self, address: tuple[str, int]) -> None:
         """`OSError` where the port can't be had."""
-        connections = ("grpc.max_allowed_incoming_connections", self.terms.descriptors)
-        self.server = aio.server(
-            options=(*SERVER_OPTIONS, connections), maximum_concurrent_rpcs=self.terms.streams
+        connections = ("grpc.max_allowed_incoming_connections", self.options.descriptors)
+        self.grpc_server = aio.server(
+            options=(*SERVER_OPTIONS, connections), maximum_concurrent_rpcs=self.options.streams
         )
-        self.server.add_generic_rpc_handlers((self,))
+        self.grpc_server.add_generic_rpc_handlers((self,))
         try:
-            self.port = self.server.add_insecure_port(f"{address[0]}:{address[1]}")
+            self.port = self.grpc_server.add_insecure_port(f"{address[0]}:{address[1]}")
         except RuntimeError as why:
             raise OSError(f"flight.listen: {address[0]}:{address[1]}: {why}") from None
-        await self.server.start()
+        await self.grpc_server.start()
 
     async def stop(self, grace: float) -> None:
         """What has been answered still leaves within the grace; what is open by then is called off."""
-        if self.server:
-            await self.server.stop(grace)
+        if self.grpc_server:
+            await self.grpc_server.stop(grace)
 
     def service(self, details: grpc.HandlerCallDetails) -> grpc.RpcMethodHandler | None:
         service, _, method = details.method.strip("/").partition("/")
         return self.handlers.get(method) if service == "arrow.flight.protocol.FlightService" else None
 
-    def guarded(self, serve: Callable) -> Callable:
+    def with_status(self, serve: Callable) -> Callable:
         """A call's whole course: whatever goes wrong in it ends it with a status that says what."""
 
-        async def whole(request, context: aio.ServicerContext):
+        async def run(request, context: aio.ServicerContext):
             self.metrics.add("flight calls")
             try:
                 return await serve(request, context)
-            except Refusal as why:
-                refusal = why
+            except StatusError as why:
+                error = why
             except Unserved as why:
-                refusal = unserved(str(why))
-            except (Unreadable, InvalidFieldError, Forged, binding.Unbindable) as why:
-                refusal = bad(f"ticket: {why}" if type(why) is Forged else str(why))
+                error = unimplemented(str(why))
+            except (Unreadable, InvalidFieldError, InvalidTicketError, binding.Unbindable) as why:
+                error = invalid_argument(f"ticket: {why}" if type(why) is InvalidTicketError else str(why))
             except aio.AbortError:
                 raise
             except aio.InternalError:
@@ -160,38 +160,40 @@
             except Exception as why:
                 self.metrics.add("flight call failed")
                 self.log("flight call failed", why=repr(why), trace=traceback.format_exc())
-                refusal = Refusal(StatusCode.INTERNAL, "a fault of the front")
-            self.metrics.add(f"flight calls ended {refusal.code.name}")
-            return await context.abort(refusal.code, refusal.why, refusal.metadata)
+                error = StatusError(StatusCode.INTERNAL, "a fault of the front")
+            self.metrics.add(f"flight calls ended {error.code.name}")
+            return await context.abort(error.code, error.message, error.metadata)
 
-        return whole
+        return run
 
-    def refused(self, name: str) -> Callable:
+    def unimplemented_method(self, name: str) -> Callable:
         async def serve(request, context):
-            raise unserved(name)
+            raise unimplemented(name)
 
         return serve
 
     # What is asked for: commands, tickets and fields.
 
     async def get_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
-        return self.info(read(pb.FlightDescriptor, request), context).SerializeToString()
+        return self.flight_info(read(pb.FlightDescriptor, request), context).SerializeToString()
 
     async def poll_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
         """A batch is taken when its ticket is redeemed, so that there is nothing to poll for: the first
         answer is the last, and says so by naming no descriptor."""
-        return pb.PollInfo(info=self.info(read(pb.FlightDescriptor, request), context)).SerializeToString()
+        return pb.PollInfo(
+            info=self.flight_info(read(pb.FlightDescriptor, request), context)
+        ).SerializeToString()
 
-    def info(self, descriptor: pb.FlightDescriptor, context: aio.ServicerContext) -> pb.FlightInfo:
+    def flight_info(self, descriptor: pb.FlightDescriptor, context: aio.ServicerContext) -> pb.FlightInfo:
         if descriptor.type != pb.FlightDescriptor.CMD:
-            raise bad("descriptor: a command expected")
+            raise invalid_argument("descriptor: a command expected")
         asked = command(descriptor.cmd)
         form, records, ticket = b"", -1, descriptor.cmd
-        table = catalog.answer(asked, self.terms)
+        table = catalog.metadata_table(asked, self.options)
         if table is not None:
             form, records = bytes(table.schema.serialize()), table.num_rows
         else:
-            handle, _ = self.ticket(self.statement(asked, query=True), context)
+            handle, _ = self.issue_ticket(self.statement_of(asked, query=True), context)
             ticket = wrapped(sql.TicketStatementQuery(statement_handle=handle))
         return pb.FlightInfo(
             schema=form,
@@ -201,15 +203,15 @@
             endpoint=[pb.FlightEndpoint(ticket=pb.Ticket(ticket=ticket))],
         )
 
-    def ticket(self, statement: bytes, context: aio.ServicerContext) -> tuple[bytes, Order]:
-        """A ticket for the statement on the call's terms. What would be refused when it is redeemed is
+    def issue_ticket(self, statement: bytes, context: aio.ServicerContext) -> tuple[bytes, TicketPayload]:
+        """A ticket for the statement on the call's options. What would be refused when it is redeemed is
         refused now; nothing is taken."""
-        group, fields = self.fields(context)
-        handle, order = self.seal.close(clock.now() + self.terms.ticket_s, group, fields, statement)
-        self.batch(order, context)
-        return handle, order
+        group, fields = self.submission_fields(context)
+        handle, payload = self.signer.issue(clock.now() + self.options.ticket_s, group, fields, statement)
+        self.make_batch(payload, context)
+        return handle, payload
 
-    def statement(self, asked, query: bool) -> bytes:
+    def statement_of(self, asked, query: bool) -> bytes:
         """The statement of a command, with what is bound to it."""
         match asked:
             case sql.CommandStatementQuery() if query:
@@ -217,32 +219,34 @@
             case sql.CommandStatementUpdate() if not query:
                 return query_text(asked)
             case sql.CommandPreparedStatementQuery() if query:
-                found = self.prepared.find(asked.prepared_statement_handle)
+                found = self.prepared_actions.find(asked.prepared_statement_handle)
                 return binding.bound(found.statement, found.rows)
-        raise unserved(asked.DESCRIPTOR.name + (" as a query" if query else " as an update"))
+        raise unimplemented(asked.DESCRIPTOR.name + (" as a query" if query else " as an update"))
 
-    def fields(self, context: aio.ServicerContext) -> tuple[str, dict]:
+    def submission_fields(self, context: aio.ServicerContext) -> tuple[str, dict]:
         """Service group and fields of a submission, by the call's headers, else the session's options, else
         the operator's file."""
-        said = headers(context)
-        session, terms = self.session_calls.session(said), self.terms
-        options = session.options if session else {}
-        group = said.get(terms.group_header) or options.get("group") or terms.group
+        said = text_headers(context)
+        session, options = self.session_actions.session(said), self.options
+        session_options = session.options if session else {}
+        group = said.get(options.group_header) or session_options.get("group") or options.group
         if not group:
-            raise bad(f"{terms.group_header}: missing; no option or default names a service group")
+            raise invalid_argument(
+                f"{options.group_header}: missing; no option or default names a service group"
+            )
         if group not in self.intake.groups:
-            raise bad(f"{terms.group_header}: {group[:60]!r} is no service group")
+            raise invalid_argument(f"{options.group_header}: {group[:60]!r} is no service group")
         fields: dict[str, str | float | bool] = {}
-        tenant = said.get(terms.tenant_header) or options.get("tenant") or terms.tenant
+        tenant = said.get(options.tenant_header) or session_options.get("tenant") or options.tenant
         if tenant:
             fields["tenant"] = tenant
-        for name, header in HEADERS.items():
-            value = said.get(header, options.get(OPTIONS.get(name, "")))
+        for name, header in FIELD_HEADERS.items():
+            value = said.get(header, session_options.get(FIELD_OPTIONS.get(name, "")))
             if value is None and name == "wait":
-                value = terms.wait_ms
+                value = options.wait_ms
             if value is None:
                 continue
-            if name in FIGURES and type(value) is str:
+            if name in NUMERIC_FIELDS and type(value) is str:
                 number = parse_number(value)
                 if number is None:
                     raise InvalidFieldError(header, "a number from 0 up expected")
@@ -252,19 +256,19 @@
             fields[name] = value
         return group, fields
 
-    def batch(self, order: Order, context: aio.ServicerContext) -> Batch:
-        """The batch that an order is for, under the same checks as on the other door. It waits as long as the
-        order says, else its group's time limit, and no longer than the call itself."""
-        limit = self.intake.groups[order.group][1].time_limit
-        wait = float(order.fields.get("wait", limit * 1e3))
+    def make_batch(self, payload: TicketPayload, context: aio.ServicerContext) -> Batch:
+        """The batch that a payload is for, under the same checks as on the other door. It waits as long
+        as the payload says, else its group's time limit, and no longer than the call itself."""
+        limit = self.intake.groups[payload.group][1].time_limit
+        wait = float(payload.fields.get("wait", limit * 1e3))
         remaining = context.time_remaining()
         if remaining is not None:
             # The call's own end must find the answer on its way.
-            if remaining <= LAST_BYTES:
-                raise Refusal(StatusCode.DEADLINE_EXCEEDED, "no time left")
-            wait = min(wait, (remaining - LAST_BYTES) * 1e3)
+            if remaining <= RESPONSE_MARGIN:
+                raise StatusError(StatusCode.DEADLINE_EXCEEDED, "no time left")
+            wait = min(wait, (remaining - RESPONSE_MARGIN) * 1e3)
         batch = self.intake.batch(
-            order.group, order.fields | {"id": order.number, "wait": wait}, order.statement
+            payload.group, payload.fields | {"id": payload.number, "wait": wait}, payload.statement
         )
         batch.columns = True
         return batch
@@ -273,112 +277,112 @@
 
     async def do_get(self, request: bytes, context: aio.ServicerContext) -> None:
         asked = command(read(pb.Ticket, request).ticket)
-        table = catalog.answer(asked, self.terms)
+        table = catalog.metadata_table(asked, self.options)
         if table is not None:
             for raw in columns.of_table(table):
                 await context.write(raw)
             return
         if type(asked) is not sql.TicketStatementQuery:
-            raise unserved(f"DoGet of {asked.DESCRIPTOR.name}: ask GetFlightInfo for a ticket")
-        order = self.seal.open(asked.statement_handle)
-        status = self.tickets.redeem(order.claims(), clock.now())
+            raise unimplemented(f"DoGet of {asked.DESCRIPTOR.name}: ask GetFlightInfo for a ticket")
+        payload = self.signer.verify(asked.statement_handle)
+        status = self.tickets.redeem(payload.claims(), clock.now())
         if status is not TicketStatus.VALID:
-            raise self.ticket_refused(status)
-        batch = self.batch(order, context)
+            raise self.ticket_error(status)
+        batch = self.make_batch(payload, context)
         try:
-            async with asyncio.timeout_at(clock.on_loop(batch.limit_at + LAST_BYTES)):
-                await self.deliver(batch, context)
+            async with asyncio.timeout_at(clock.on_loop(batch.limit_at + RESPONSE_MARGIN)):
+                await self.send_result(batch, context)
         except TimeoutError:
             # Its reader is slow: what it has is not the whole, and its status says so.
             self.metrics.add("flight readers too slow")
-            raise answers.broken_off(it.DispatchOutcome.TIMED_OUT) from None
+            raise status_errors.incomplete_result(it.DispatchOutcome.TIMED_OUT) from None
 
-    def ticket_refused(self, status: TicketStatus) -> Refusal:
-        code = answers.TICKETS[status]
+    def ticket_error(self, status: TicketStatus) -> StatusError:
+        code = status_errors.TICKET_STATUS_CODES[status]
         final = status in (TicketStatus.REDEEMED, TicketStatus.CANCELLED)
         again = "" if final else "; ask GetFlightInfo again"
-        return Refusal(code, f"ticket: {status.value}{again}")
+        return StatusError(code, f"ticket: {status.value}{again}")
 
-    async def deliver(self, batch: Batch, context: aio.ServicerContext) -> None:
+    async def send_result(self, batch: Batch, context: aio.ServicerContext) -> None:
         """Take the batch and pass its result on; the call ends well only after the last of a whole result."""
-        async with Taking(self, batch) as told:
-            match told:
+        async with BatchCall(self, batch) as answer:
+            match answer:
                 case End():
-                    parcels = told.parcels if told.parcels is not None else columns.of_rows(told.pages)
+                    parcels = answer.parcels if answer.parcels is not None else columns.of_rows(answer.pages)
                     for raw in parcels:
                         await context.write(raw)
                 case Begun():
-                    while (raw := await told.flow.take()) is not None:
+                    while (raw := await answer.flow.take()) is not None:
                         await context.write(raw)
-                    if told.flow.outcome is not it.DispatchOutcome.RETURNED:
-                        raise answers.broken_off(told.flow.outcome)
+                    if answer.flow.outcome is not it.DispatchOutcome.RETURNED:
+                        raise status_errors.incomplete_result(answer.flow.outcome)
 
-    def meaning(self, told, batch: Batch) -> Refusal:
+    def no_result_error(self, answer, batch: Batch) -> StatusError:
         """Why there is no result."""
-        if told is CALLED_OFF:
-            return Refusal(StatusCode.CANCELLED, CALLED_OFF)
-        if type(told) is it.PushBack:
-            return answers.pushed_back(told.return_in, self.stopping)
-        return answers.errored(clock.now() >= batch.limit_at - LIMIT_EARLY)
+        if answer is CANCELLED_BY_CLIENT:
+            return StatusError(StatusCode.CANCELLED, CANCELLED_BY_CLIENT)
+        if type(answer) is it.PushBack:
+            return status_errors.push_back_error(answer.return_in, self.stopping)
+        return status_errors.execution_error(clock.now() >= batch.limit_at - TIME_LIMIT_TOLERANCE)
 
     async def do_put(self, requests: AsyncIterator[bytes], context: aio.ServicerContext) -> None:
         stream = aiter(requests)
         try:
-            async with asyncio.timeout(STREAM_WITHIN):
+            async with asyncio.timeout(PARAMETER_STREAM_TIMEOUT):
                 first = await anext(stream, None)
                 if first is None:
-                    raise bad("a stream without a message")
+                    raise invalid_argument("a stream without a message")
                 asked = command(parcel(first).command)
                 bound = type(asked) in (sql.CommandPreparedStatementQuery, sql.CommandPreparedStatementUpdate)
-                rows, size = await self.parameters(first, stream) if bound else ([], 0)
+                rows, size = await self.read_parameters(first, stream) if bound else ([], 0)
         except TimeoutError:
-            raise Refusal(StatusCode.DEADLINE_EXCEEDED, "a stream that does not go on") from None
+            raise StatusError(StatusCode.DEADLINE_EXCEEDED, "a stream that does not go on") from None
         match asked:
             case sql.CommandPreparedStatementQuery():
                 handle = asked.prepared_statement_handle
-                self.prepared.find(handle)
+                self.prepared_actions.find(handle)
                 if not self.prepared_statements.bind(handle.decode("latin-1"), rows, size, clock.now()):
-                    raise Refusal(StatusCode.RESOURCE_EXHAUSTED, "no room for more parameters")
+                    raise StatusError(StatusCode.RESOURCE_EXHAUSTED, "no room for more parameters")
                 said = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
                 await context.write(pb.PutResult(app_metadata=said.SerializeToString()).SerializeToString())
                 return
             case sql.CommandPreparedStatementUpdate():
-                found = self.prepared.find(asked.prepared_statement_handle)
+                found = self.prepared_actions.find(asked.prepared_statement_handle)
                 statement = binding.bound(found.statement, rows or found.rows)
             case _:
-                statement = self.statement(asked, query=False)
-        changed = await self.update(statement, context)
+                statement = self.statement_of(asked, query=False)
+        changed = await self.run_update(statement, context)
         count = sql.DoPutUpdateResult(record_count=changed)
         await context.write(pb.PutResult(app_metadata=count.SerializeToString()).SerializeToString())
 
-    async def update(self, statement: bytes, context: aio.ServicerContext) -> int:
+    async def run_update(self, statement: bytes, context: aio.ServicerContext) -> int:
         """Take an update at once: the rows changed, -1 where its engine does not say."""
-        _, order = self.ticket(statement, context)
-        batch = self.batch(order, context)
+        _, payload = self.issue_ticket(statement, context)
+        batch = self.make_batch(payload, context)
         batch.update = True
-        async with Taking(self, batch) as told:
-            return told.changed
+        async with BatchCall(self, batch) as answer:
+            return answer.changed
 
-    async def parameters(self, first: bytes, stream: AsyncIterator[bytes]) -> tuple[list[tuple], int]:
+    async def read_parameters(self, first: bytes, stream: AsyncIterator[bytes]) -> tuple[list[tuple], int]:
         """The rows of parameters that a client sends, and their bytes."""
         messages = [first] if parcel(first).header else []
         size = len(first)
         async for raw in stream:
             size += len(raw)
-            if size > MOST_PARAMETERS:
-                raise bad(f"more than {MOST_PARAMETERS} bytes of parameters")
+            if size > MAX_PARAMETER_BYTES:
+                raise invalid_argument(f"more than {MAX_PARAMETER_BYTES} bytes of parameters")
             if parcel(raw).header:
                 messages.append(raw)
         if not messages:
             return [], 0
-        return columns.parameters(messages, MOST_ROWS), size
+        return columns.parameters(messages, MAX_PARAMETER_ROWS), size
 
     async def get_schema(self, request: bytes, context: aio.ServicerContext) -> bytes:
         asked = command(read(pb.FlightDescriptor, request).cmd)
-        table = catalog.answer(asked, self.terms)
+        table = catalog.metadata_table(asked, self.options)
         if table is None:
             # Only an engine knows it, and only by running the statement.
-            raise unserved(f"GetSchema of {asked.DESCRIPTOR.name}")
+            raise unimplemented(f"GetSchema of {asked.DESCRIPTOR.name}")
         return pb.SchemaResult(schema=bytes(table.schema.serialize())).SerializeToString()
 
     # Actions.
@@ -387,45 +391,45 @@
         action = read(pb.Action, request)
         serve = self.actions.get(action.type)
         if serve is None:
-            raise unserved(f"action {action.type[:60]!r}")
+            raise unimplemented(f"action {action.type[:60]!r}")
         body = await serve(action.body, context)
         if body is not None:
             await context.write(pb.Result(body=body).SerializeToString())
 
     async def list_actions(self, request: bytes, context: aio.ServicerContext) -> None:
-        for kind, what in ACTIONS.items():
+        for kind, what in ACTION_DESCRIPTIONS.items():
             await context.write(pb.ActionType(type=kind, description=what).SerializeToString())
 
     async def cancel_flight_info(self, body: bytes, context: aio.ServicerContext) -> bytes:
-        status = self.call_off(read(pb.CancelFlightInfoRequest, body).info)
+        status = self.cancel(read(pb.CancelFlightInfoRequest, body).info)
         return pb.CancelFlightInfoResult(status=status).SerializeToString()
 
     async def cancel_query(self, body: bytes, context: aio.ServicerContext) -> bytes:
-        asked = expected(body, sql.ActionCancelQueryRequest)
+        asked = read_command(body, sql.ActionCancelQueryRequest)
         # Both count from 1 in the same order: cancelled, cancelling, not to be cancelled.
-        status = self.call_off(read(pb.FlightInfo, asked.info))
+        status = self.cancel(read(pb.FlightInfo, asked.info))
         return wrapped(sql.ActionCancelQueryResult(result=status))
 
-    def call_off(self, info: pb.FlightInfo) -> int:
+    def cancel(self, info: pb.FlightInfo) -> int:
         """Call off the batch of a FlightInfo, whether it is open or not yet taken: then its ticket is used
         up."""
         if len(info.endpoint) != 1:
-            raise bad("info: the one endpoint that GetFlightInfo gave expected")
+            raise invalid_argument("info: the one endpoint that GetFlightInfo gave expected")
         asked = command(info.endpoint[0].ticket.ticket)
         if type(asked) is not sql.TicketStatementQuery:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
-        order = self.seal.open(asked.statement_handle)
-        if order.number in self.open:
-            batch, told = self.open[order.number]
-            if told.done() and not batch.flow:
+        payload = self.signer.verify(asked.statement_handle)
+        if payload.number in self.open_batches:
+            batch, answer = self.open_batches[payload.number]
+            if answer.done() and not batch.flow:
                 return pb.CANCEL_STATUS_NOT_CANCELLABLE
             batch.inbox.put_nowait(LEFT)
-            if not told.done():
-                told.set_result(CALLED_OFF)
+            if not answer.done():
+                answer.set_result(CANCELLED_BY_CLIENT)
             return pb.CANCEL_STATUS_CANCELLED
-        status = self.tickets.cancel(order.claims(), clock.now())
+        status = self.tickets.cancel(payload.claims(), clock.now())
         if status in (TicketStatus.VALID, TicketStatus.CANCELLED):
             return pb.CANCEL_STATUS_CANCELLED
         if status is TicketStatus.REDEEMED:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
-        raise self.ticket_refused(status)
+        raise self.ticket_error(status)
--- a/thistlelever/flight/server_options.py
+++ b/thistlelever/flight/server_options.py
@@ -1,13 +1,13 @@
 """What the gRPC server of a front allows its clients."""
 
 # Bytes of one message. A statement has 190 KB, parameters a little more; what is longer is refused unread.
-LONGEST_MESSAGE = 1 << 20
+MAX_MESSAGE_BYTES = 1 << 20
 # Streams one connection may have open; connections that say nothing end.
-STREAMS_A_CONNECTION = 32
+MAX_STREAMS_PER_CONNECTION = 32
 SERVER_OPTIONS = (
     ("grpc.so_reuseport", 0),
-    ("grpc.max_receive_message_length", LONGEST_MESSAGE),
-    ("grpc.max_concurrent_streams", STREAMS_A_CONNECTION),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_concurrent_streams", MAX_STREAMS_PER_CONNECTION),
     ("grpc.max_metadata_size", 8_192),
     ("grpc.absolute_max_metadata_size", 16_384),
     ("grpc.server_handshake_timeout_ms", 3_000),
--- a/thistlelever/flight/answers.py
+++ b/thistlelever/flight/status_errors.py
@@ -13,7 +13,7 @@
 
 Metadata = tuple[tuple[str, str | bytes], ...]
 # What becomes of a ticket that makes no batch run.
-TICKETS = {
+TICKET_STATUS_CODES = {
     TicketStatus.REDEEMED: StatusCode.ALREADY_EXISTS,
     TicketStatus.CANCELLED: StatusCode.CANCELLED,
     TicketStatus.EXPIRED: StatusCode.NOT_FOUND,
@@ -22,38 +22,38 @@
     TicketStatus.TOO_MANY: StatusCode.RESOURCE_EXHAUSTED,
 }
 # What a client hears of a result that broke off on its way.
-BROKEN_OFF = {
+INCOMPLETE_RESULT = {
     DispatchOutcome.TIMED_OUT: (StatusCode.DEADLINE_EXCEEDED, "time limit: the result is not whole"),
     DispatchOutcome.CANCELLED: (StatusCode.CANCELLED, "cancelled: the result is not whole"),
 }
 
 
-class Refusal(Exception):
+class StatusError(Exception):
     """The call ends with this status."""
 
-    def __init__(self, code: StatusCode, why: str, metadata: Metadata = ()) -> None:
-        super().__init__(why)
-        self.code, self.why, self.metadata = code, why, metadata
+    def __init__(self, code: StatusCode, message: str, metadata: Metadata = ()) -> None:
+        super().__init__(message)
+        self.code, self.message, self.metadata = code, message, metadata
 
 
-def bad(why: str) -> Refusal:
-    return Refusal(StatusCode.INVALID_ARGUMENT, why)
+def invalid_argument(message: str) -> StatusError:
+    return StatusError(StatusCode.INVALID_ARGUMENT, message)
 
 
-def unserved(what: str) -> Refusal:
-    return Refusal(StatusCode.UNIMPLEMENTED, f"{what} is not served")
+def unimplemented(what: str) -> StatusError:
+    return StatusError(StatusCode.UNIMPLEMENTED, f"{what} is not served")
 
 
-def pushed_back(after: float, stopping: bool) -> Refusal:
+def push_back_error(after: float, stopping: bool) -> StatusError:
     """Trying again is harmless, and elsewhere if this front stops. The time to come back is said both ways
     that gRPC clients know: the pushback of gRFC A6, and RetryInfo of google.rpc in the status details."""
     code = StatusCode.UNAVAILABLE if stopping else StatusCode.RESOURCE_EXHAUSTED
     if after <= 0:
-        return Refusal(code, "pushed back")
+        return StatusError(code, "pushed back")
     info = Any()
     info.Pack(RetryInfo(retry_delay=Duration(seconds=int(after), nanos=int(after % 1 * 1e9))))
     status = Status(code=code.value[0], message="pushed back", details=[info])
-    return Refusal(
+    return StatusError(
         code,
         "pushed back",
         (
@@ -63,13 +63,15 @@
     )
 
 
-def errored(past_limit: bool) -> Refusal:
+def execution_error(past_limit: bool) -> StatusError:
     """The batch may have run; an error at the limit is the limit's."""
     if past_limit:
-        return Refusal(StatusCode.DEADLINE_EXCEEDED, "time limit")
-    return Refusal(StatusCode.INTERNAL, "errored")
+        return StatusError(StatusCode.DEADLINE_EXCEEDED, "time limit")
+    return StatusError(StatusCode.INTERNAL, "errored")
 
 
-def broken_off(outcome: DispatchOutcome) -> Refusal:
-    code, why = BROKEN_OFF.get(outcome, (StatusCode.DATA_LOSS, "the result broke off and is not whole"))
-    return Refusal(code, why)
+def incomplete_result(outcome: DispatchOutcome) -> StatusError:
+    code, message = INCOMPLETE_RESULT.get(
+        outcome, (StatusCode.DATA_LOSS, "the result broke off and is not whole")
+    )
+    return StatusError(code, message)
--- a/thistlelever/flight/seal.py
+++ b/thistlelever/flight/ticket_signer.py
@@ -11,10 +11,10 @@
 from thistlelever.state.tickets import TicketClaims
 
 # A ticket holds a statement and a few words.
-LONGEST = 262_144
+MAX_TICKET_BYTES = 262_144
 
 
-class Order(msgspec.Struct, frozen=True, array_like=True):
+class TicketPayload(msgspec.Struct, frozen=True, array_like=True):
     """What a ticket is for: a service group, the fields of a submission, and the statement."""
 
     front: str
@@ -29,11 +29,11 @@
         return TicketClaims(self.front, self.life, self.number, self.expires)
 
 
-class Forged(Exception):
+class InvalidTicketError(Exception):
     """The bytes are no ticket, or not one that this front has made so."""
 
 
-class Seal:
+class TicketSigner:
     """Makes tickets and opens them. The key is new with each start and never leaves the process, so a ticket
     is good at one front in one of its lives."""
 
@@ -43,22 +43,24 @@
             os.urandom(32), salt=b"ticket", key_derivation="hmac", digest_method=hashlib.sha256
         )
 
-    def close(self, expires: float, group: str, fields: dict, statement: bytes) -> tuple[bytes, Order]:
-        order = Order(self.front, self.life, os.urandom(8).hex(), expires, group, fields, statement)
-        return self.signer.sign(msgspec.msgpack.encode(order)), order
+    def issue(
+        self, expires: float, group: str, fields: dict, statement: bytes
+    ) -> tuple[bytes, TicketPayload]:
+        payload = TicketPayload(self.front, self.life, os.urandom(8).hex(), expires, group, fields, statement)
+        return self.signer.sign(msgspec.msgpack.encode(payload)), payload
 
-    def open(self, ticket: bytes) -> Order:
+    def verify(self, ticket: bytes) -> TicketPayload:
         """What it is for. Of another front's, or of one from before a restart, the claims alone are to be
         believed, and only as far as that it can't be redeemed here."""
-        if len(ticket) > LONGEST:
-            raise Forged("longer than any ticket")
+        if len(ticket) > MAX_TICKET_BYTES:
+            raise InvalidTicketError("longer than any ticket")
         try:
-            order = msgspec.msgpack.decode(ticket.rpartition(b".")[0], type=Order)
+            payload = msgspec.msgpack.decode(ticket.rpartition(b".")[0], type=TicketPayload)
         except msgspec.MsgspecError:
-            raise Forged("not of a ticket's form") from None
-        if (order.front, order.life) == (self.front, self.life):
+            raise InvalidTicketError("not of a ticket's form") from None
+        if (payload.front, payload.life) == (self.front, self.life):
             try:
                 self.signer.unsign(ticket)
             except BadSignature:
-                raise Forged("not as it was issued") from None
-        return order
+                raise InvalidTicketError("not as it was issued") from None
+        return payload
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from thistlelever.carrier.flight_engines import FlightEngines
-from thistlelever.flight.door import Door
+from thistlelever.flight.server import FlightServer
 from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.parts import Parts
@@ -31,7 +31,7 @@
             Purse(terms.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
+        self.server = FlightServer(terms, config.name, parts.intake, parts.courses, parts.metrics, parts.log)
 
     def speaks(self, entry: Entry) -> bool:
         """Whether an engine speaks Flight SQL, by its kind or its own id."""
@@ -42,19 +42,19 @@
         """Listen, where the section says so; what the log says of it."""
         if not self.terms.listen:
             return {}
-        await self.door.listen(parse_address(self.terms.listen))
-        return {"flight": (parse_address(self.terms.listen)[0], self.door.port)}
+        await self.server.listen(parse_address(self.terms.listen))
+        return {"flight": (parse_address(self.terms.listen)[0], self.server.port)}
 
     def renew(self, operator: Operator, config: Config) -> None:
         if operator.flight:
-            self.terms = self.door.terms = operator.flight
+            self.terms = self.server.options = operator.flight
 
     def questions(self) -> dict[str, Callable[..., dict]]:
         return {}
 
     def stopping(self) -> None:
-        self.door.stopping = True
+        self.server.stopping = True
 
     async def close(self, grace: float) -> None:
-        await self.door.stop(grace)
+        await self.server.stop(grace)
         await self.engines.close()
