--- a/thistlelever/flight/batch_call.py
+++ b/thistlelever/flight/batch_call.py
@@ -1,4 +1,4 @@
-"""A batch from its taking to the end of its Flight call."""
+"""The link between a Flight call and the task of its batch."""
 
 from __future__ import annotations
 
@@ -17,33 +17,38 @@
 
 
 class OpenBatch(NamedTuple):
-    """A batch that is open at this server, and where its answer is awaited."""
+    """A batch whose Flight call is open, and the future of its final answer."""
 
     batch: Batch
-    answered: asyncio.Future
+    answer: asyncio.Future
 
 
 class BatchCall:
-    """A batch from its taking to the end of its call: the result, or `StatusError`. Whoever leaves early, by
-    a cancel, a lost connection or a fault, leaves the batch: no further dispatch, and what is out is called
-    off."""
+    """Context manager that runs a batch for the duration of its Flight call.
+
+    Entering it starts the batch and returns its result, whole or begun; raises `StatusError` where there is
+    none. A call that ends early, by a cancel, a lost connection or an error, abandons the batch: it is not
+    dispatched again, and its open dispatches are cancelled.
+    """
 
     def __init__(self, server: FlightServer, batch: Batch) -> None:
+        """Nothing starts before the context is entered."""
         self.server, self.batch = server, batch
 
     async def __aenter__(self) -> End | Begun:
+        """Start the batch and wait for its result; raises `StatusError`."""
         server, batch = self.server, self.batch
-        answered = asyncio.get_running_loop().create_future()
+        answer = asyncio.get_running_loop().create_future()
 
         def set_answer(value) -> None:
-            if not answered.done():
-                answered.set_result(value)
+            if not answer.done():
+                answer.set_result(value)
 
-        server.open_batches[batch.asked.txn] = OpenBatch(batch, answered)
+        server.open_batches[batch.asked.txn] = OpenBatch(batch, answer)
         server.metrics.add("taken")
         server.courses.start(batch, set_answer)
         try:
-            value = await answered
+            value = await answer
             server.metrics.add(type(value).__name__)
             if type(value) not in (End, Begun):
                 raise server.no_result_error(value, batch)
@@ -53,11 +58,13 @@
         return value
 
     async def __aexit__(self, kind, why, trace) -> None:
+        """Close the batch, or abandon it if the call has failed."""
         if kind:
             self.abandon()
         else:
             self.server.open_batches.pop(self.batch.asked.txn, None)
 
     def abandon(self) -> None:
+        """Tell the batch's task that its client has left."""
         self.server.open_batches.pop(self.batch.asked.txn, None)
         self.batch.inbox.put_nowait(LEFT)
--- a/thistlelever/flight/catalog.py
+++ b/thistlelever/flight/catalog.py
@@ -1,11 +1,12 @@
-"""What the front answers of itself, without any engine: SqlInfo, catalogue, types. Schemas are Flight
-SQL's."""
+"""Metadata commands that a front answers itself, without an engine: SqlInfo, catalogue, tables and types.
+
+The schemas of the results are those of the Flight SQL specification.
+"""
 
 from __future__ import annotations
 
 import re
 
-
 import pyarrow as pa
 from google.protobuf.message import Message
 
@@ -18,7 +19,7 @@
 
 
 def make_schema(*fields: tuple) -> pa.Schema:
-    """Fields as (name, type), those named with `!` not null."""
+    """Return a schema of fields given as (name, type); a `!` after the name means not null."""
     return pa.schema(
         [pa.field(name.rstrip("!"), kind, nullable=not name.endswith("!")) for name, kind in fields]
     )
@@ -63,8 +64,9 @@
     ("num_prec_radix", pa.int32()),
     ("interval_precision", pa.int32()),
 )
-# By Flight SQL's numbers: name, version, Arrow's version, read-only, SQL, Substrait, transactions (none),
-# cancel, bulk ingestion. The place is that of the value's kind in `VALUE`.
+# By the SqlInfo codes of Flight SQL: server name, version, Arrow version, read-only, SQL, Substrait,
+# transactions (none), cancel, bulk ingestion. Each value is preceded by its type code, the index of its field
+# in `VALUE`.
 SQL_INFO_VALUES = {
     0: (0, "thistlelever"),
     1: (0, thistlelever.__version__),
@@ -76,12 +78,12 @@
     9: (1, True),
     10: (1, False),
 }
-# XDBC's number of VARCHAR, which is all that engines of rows give.
+# The XDBC type code of VARCHAR, the only type in the results of engines that return rows of text.
 VARCHAR = 12
 
 
 def metadata_table(command: Message, options: Flight) -> pa.Table | None:
-    """The table that answers a command about the front itself; None where it is no such command."""
+    """Return the result of a metadata command; None for any other command."""
     match command:
         case sql.CommandGetSqlInfo():
             return sql_info(tuple(command.info))
@@ -107,32 +109,42 @@
 
 
 def make_table(arrow_schema: pa.Schema, rows: list[tuple]) -> pa.Table:
-    made = [pa.array([row[place] for row in rows], field.type) for place, field in enumerate(arrow_schema)]
-    return pa.Table.from_arrays(made, schema=arrow_schema)
+    """Return a table of the rows, whose values are in the order of the schema's fields."""
+    arrays = [pa.array([row[index] for row in rows], field.type) for index, field in enumerate(arrow_schema)]
+    return pa.Table.from_arrays(arrays, schema=arrow_schema)
 
 
 def catalog_matches(command: Message, options: Flight) -> bool:
+    """Whether a command names this front's catalog, or none."""
     return not command.HasField("catalog") or command.catalog == options.catalog
 
 
-def matches_like(command: Message, field: str, word: str) -> bool:
-    """SQL's LIKE: `%` any run, `_` any one. Absent, it fits all."""
+def matches_like(command: Message, field: str, name: str) -> bool:
+    """Whether a name matches the LIKE pattern in a command's field; a missing field matches every name.
+
+    Only the first 256 characters of the pattern are used.
+    """
     if not command.HasField(field):
         return True
-    return bool(like_pattern(getattr(command, field)[:256]).fullmatch(word))
+    return bool(like_pattern(getattr(command, field)[:256]).fullmatch(name))
 
 
 def like_pattern(text: str) -> re.Pattern:
-    """Risk: runs of `%` make a pattern that takes years; a run says no more than one."""
+    """Return the regular expression of a LIKE pattern: `%` is any text, `_` any one character.
+
+    Each `%` adds a level of backtracking, and with many of them a match would take years. Adjacent ones,
+    which mean the same as one, are merged.
+    """
     parts = {"%": ".*", "_": "."}
-    squeezed = re.sub("%+", "%", text)
-    # Possessive classes can't be had here, so that at most eight runs are looked for.
-    if squeezed.count("%") > 8:
+    merged = re.sub("%+", "%", text)
+    # Possessive quantifiers, which do not backtrack, cannot be used here: more than eight `%` match nothing.
+    if merged.count("%") > 8:
         return re.compile(r"(?!)")
-    return re.compile("".join(parts.get(letter) or re.escape(letter) for letter in squeezed), re.DOTALL)
+    return re.compile("".join(parts.get(letter) or re.escape(letter) for letter in merged), re.DOTALL)
 
 
 def table_list(command: sql.CommandGetTables, options: Flight) -> pa.Table:
+    """Return the tables of the operator file that match a command's filters, sorted by schema and name."""
     wanted = not command.table_types or "TABLE" in command.table_types
     found = [
         (options.catalog, t.schema, t.name, "TABLE")
@@ -145,30 +157,32 @@
     found.sort()
     if not command.include_schema:
         return make_table(TABLES, found)
-    # Engines of rows give three columns of text and name none.
+    # Engines that return rows give three unnamed columns of text.
     arrow_schema = bytes(columns.SCHEMA.serialize())
     return make_table(TABLES_WITH_SCHEMA, [(*row, arrow_schema) for row in found])
 
 
 def sql_info(wanted: tuple[int, ...]) -> pa.Table:
-    names = [name for name in (wanted or SQL_INFO_VALUES) if name in SQL_INFO_VALUES]
-    kinds, offsets, children = [], [], [[] for _ in range(VALUE.num_fields)]
-    for name in names:
-        kind, value = SQL_INFO_VALUES[name]
-        kinds.append(kind)
-        offsets.append(len(children[kind]))
-        children[kind].append(value)
-    arrays = [pa.array(child, VALUE.field(place).type) for place, child in enumerate(children)]
+    """Return the values of the SqlInfo codes asked for, or of all if none is; others are left out."""
+    codes = [code for code in (wanted or SQL_INFO_VALUES) if code in SQL_INFO_VALUES]
+    type_codes, offsets, children = [], [], [[] for _ in range(VALUE.num_fields)]
+    for code in codes:
+        type_code, value = SQL_INFO_VALUES[code]
+        type_codes.append(type_code)
+        offsets.append(len(children[type_code]))
+        children[type_code].append(value)
+    arrays = [pa.array(child, VALUE.field(index).type) for index, child in enumerate(children)]
     values = pa.UnionArray.from_dense(
-        pa.array(kinds, pa.int8()),
+        pa.array(type_codes, pa.int8()),
         pa.array(offsets, pa.int32()),
         arrays,
-        [VALUE.field(place).name for place in range(VALUE.num_fields)],
+        [VALUE.field(index).name for index in range(VALUE.num_fields)],
     )
-    return pa.Table.from_arrays([pa.array(names, pa.uint32()), values], schema=SQL_INFO)
+    return pa.Table.from_arrays([pa.array(codes, pa.uint32()), values], schema=SQL_INFO)
 
 
 def xdbc_type_info(wanted: int | None) -> pa.Table:
+    """Return the row of VARCHAR, or none where another XDBC type code is asked for."""
     row = (
         "varchar",
         VARCHAR,
--- a/thistlelever/flight/prepared_statement_actions.py
+++ b/thistlelever/flight/prepared_statement_actions.py
@@ -1,4 +1,4 @@
-"""The Flight actions on prepared statements."""
+"""The Flight SQL actions on prepared statements."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from grpc import StatusCode, aio
 
+from thistlelever.flight.requests import query_text, read_command
 from thistlelever.flight.status_errors import StatusError, invalid_argument
-from thistlelever.flight.requests import read_command, query_text
 from thistlelever.ground import clock
 from thistlelever.state.prepared import PreparedStatement, PreparedStatements
 from thistlelever.wire import binding
@@ -16,13 +16,14 @@
 
 
 class PreparedStatementActions:
-    """Serves CreatePreparedStatement and ClosePreparedStatement, and finds what they set down."""
+    """Serves CreatePreparedStatement and ClosePreparedStatement, and finds the statements by handle."""
 
     def __init__(self, statements: PreparedStatements) -> None:
+        """Serve the statements of one front."""
         self.statements = statements
 
     def find(self, handle: bytes) -> PreparedStatement:
-        """The statement under a handle; raises `StatusError` where there is none."""
+        """Return the statement with that handle; raises `StatusError` where there is none."""
         found = self.statements.find(handle.decode("latin-1"), clock.now())
         if found is None:
             why = "closed, unused for too long, or of another front"
@@ -30,9 +31,9 @@
         return found
 
     async def create(self, body: bytes, context: aio.ServicerContext) -> bytes:
-        """Set a statement down under a handle of its own; raises `StatusError` where there is no room."""
-        asked = read_command(body, sql.ActionCreatePreparedStatementRequest)
-        statement = query_text(asked)
+        """Keep a statement under a new handle; raises `StatusError` if it is too long or there is no room."""
+        message = read_command(body, sql.ActionCreatePreparedStatementRequest)
+        statement = query_text(message)
         if len(statement) > binding.LONGEST:
             raise invalid_argument(f"a statement of {len(statement)} bytes; {binding.LONGEST} at most")
         handle = os.urandom(16).hex()
@@ -43,6 +44,6 @@
         return wrapped(sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle.encode()))
 
     async def close(self, body: bytes, context: aio.ServicerContext) -> None:
-        """Forget a statement; one that is not there is no fault."""
-        asked = read_command(body, sql.ActionClosePreparedStatementRequest)
-        self.statements.drop(asked.prepared_statement_handle.decode("latin-1"))
+        """Remove a statement; a handle without one is not an error."""
+        message = read_command(body, sql.ActionClosePreparedStatementRequest)
+        self.statements.drop(message.prepared_statement_handle.decode("latin-1"))
--- a/thistlelever/flight/requests.py
+++ b/thistlelever/flight/requests.py
@@ -1,4 +1,4 @@
-"""What Flight SQL calls bring, read in one way by all of their handlers."""
+"""Parsing of Flight SQL requests that several call handlers share: headers, cookies, commands."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from thistlelever.wire.flight.parcels import command
 
 SESSION_COOKIE = "arrow_flight_session_id"
-# Bytes of a cookie header that are looked at.
+# Characters of a cookie header that are parsed; the rest is ignored.
 MAX_COOKIE_LENGTH = 2_048
 
 
 def text_headers(context: aio.ServicerContext) -> dict[str, str]:
-    """The headers of a call that are text."""
+    """Return the headers of a call whose values are text, by name."""
     return {key: value for key, value in context.invocation_metadata() or () if type(value) is str}
 
 
-def session_id(call_headers: dict[str, str]) -> str | None:
-    """The number of the session that a call's headers name."""
+def read_session_id(call_headers: dict[str, str]) -> str | None:
+    """Return the session id from a call's cookie header; None where it is missing or malformed."""
     try:
         cookies = SimpleCookie(call_headers.get("cookie", "")[:MAX_COOKIE_LENGTH])
     except CookieError:
@@ -28,16 +28,16 @@
     return cookies[SESSION_COOKIE].value if SESSION_COOKIE in cookies else None
 
 
-def read_command(body: bytes, kind: type):
-    """The command in a body, which must be of that kind; raises `StatusError`."""
+def read_command(body: bytes, message_type: type):
+    """Return the command in a body; raises `StatusError` where it is not of `message_type`."""
     message = command(body)
-    if type(message) is not kind:
-        raise invalid_argument(f"{kind.DESCRIPTOR.name} expected, found {message.DESCRIPTOR.name}")
+    if type(message) is not message_type:
+        raise invalid_argument(f"{message_type.DESCRIPTOR.name} expected, found {message.DESCRIPTOR.name}")
     return message
 
 
 def query_text(message) -> bytes:
-    """The statement of a command that carries one; raises `StatusError` for one within a transaction."""
+    """Return the statement of a command that has one; raises `StatusError` if it names a transaction."""
     if message.transaction_id:
         raise unimplemented("transactions")
     return message.query.encode()
--- a/thistlelever/flight/server.py
+++ b/thistlelever/flight/server.py
@@ -1,8 +1,8 @@
-"""The Flight SQL service of a front: calls become batches, and their one final answer the end of a call.
+"""The Flight SQL service of a front: each call that runs a statement is one batch.
 
-A batch is taken when its ticket is redeemed (DoGet) or its update arrives (DoPut), not when GetFlightInfo
-gives the ticket out: what is never redeemed costs nothing, and its time limit runs from when it could be
-answered.
+A batch starts when its ticket is redeemed (DoGet) or its update arrives (DoPut), not when GetFlightInfo
+issues the ticket: a ticket that is never redeemed costs nothing, and the time limit runs from the moment at
+which the batch can be answered.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from thistlelever.carrier.flow import Begun
 from thistlelever.carrier.intake import Intake
 from thistlelever.flight import catalog, status_errors
-from thistlelever.flight.status_errors import StatusError, invalid_argument, unimplemented
+from thistlelever.flight.batch_call import CANCELLED_BY_CLIENT, BatchCall, OpenBatch
 from thistlelever.flight.prepared_statement_actions import PreparedStatementActions
-from thistlelever.flight.requests import read_command, text_headers, query_text
-from thistlelever.flight.ticket_signer import InvalidTicketError, TicketPayload, TicketSigner
+from thistlelever.flight.requests import query_text, read_command, text_headers
 from thistlelever.flight.server_options import SERVER_OPTIONS
 from thistlelever.flight.session_actions import SessionActions
-from thistlelever.flight.batch_call import CANCELLED_BY_CLIENT, OpenBatch, BatchCall
+from thistlelever.flight.status_errors import StatusError, invalid_argument, unimplemented
+from thistlelever.flight.ticket_signer import InvalidTicketError, TicketPayload, TicketSigner
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
+from thistlelever.ground.metrics import Metrics
 from thistlelever.ground.operator import Flight
 from thistlelever.ground.submission import InvalidFieldError
-from thistlelever.ground.metrics import Metrics
 from thistlelever.state.prepared import PreparedStatements
 from thistlelever.state.sessions import Sessions, parse_number
 from thistlelever.state.tickets import Tickets, TicketStatus
@@ -42,15 +42,17 @@
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 from thistlelever.wire.flight.parcels import Unreadable, Unserved, command, parcel, read, wrapped
 
-# Bytes and rows that the parameters of one stream may have.
+# Limits on the parameters of one DoPut stream.
 MAX_PARAMETER_BYTES, MAX_PARAMETER_ROWS = 1 << 20, 10_000
-# Parameters and commands of a stream that has begun come within this, or it is half open and ends.
-PARAMETER_STREAM_TIMEOUT = 5.0
-# An answer given at the limit still has this long to leave.
+# Seconds in which a DoPut stream must deliver its command and parameters; a half-open stream ends after it.
+DO_PUT_READ_TIMEOUT = 5.0
+# Seconds that an answer given at the time limit has to reach the client.
 RESPONSE_MARGIN = 0.05
-# An error so near the limit is the limit's: the decisions come to it by whole ticks.
+# Seconds before the time limit from which an error counts as the limit's, as decisions are made at whole
+# ticks.
 TIME_LIMIT_TOLERANCE = 0.01
-# Headers beside those for group and tenant, by the field that they fill; and session options likewise.
+# Headers and session options by the submission field that they set; those of group and tenant are apart, as
+# the operator names their headers.
 FIELD_HEADERS = {
     "wait": "x-wait-ms",
     "cost": "x-cost-ms",
@@ -77,11 +79,12 @@
 
 
 class FlightServer(grpc.GenericRpcHandler):
-    """Serves on one port. Each call is one task, from its request to its status."""
+    """The Flight SQL server of a front, on one port. Each call is one asyncio task."""
 
     def __init__(
         self, options: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
     ) -> None:
+        """Take the operator file's section `flight` and the front's name; listens only after `listen`."""
         self.options, self.intake, self.courses = options, intake, courses
         self.metrics, self.log = metrics, log
         self.signer = TicketSigner(name)
@@ -117,7 +120,7 @@
         }
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """`OSError` where the port can't be had."""
+        """Serve on a host and port, of which 0 picks a free one; raises `OSError` if it can't be bound."""
         connections = ("grpc.max_allowed_incoming_connections", self.options.descriptors)
         self.grpc_server = aio.server(
             options=(*SERVER_OPTIONS, connections), maximum_concurrent_rpcs=self.options.streams
@@ -130,16 +133,17 @@
         await self.grpc_server.start()
 
     async def stop(self, grace: float) -> None:
-        """What has been answered still leaves within the grace; what is open by then is called off."""
+        """Accept no more calls; those still open after `grace` seconds are cancelled."""
         if self.grpc_server:
             await self.grpc_server.stop(grace)
 
     def service(self, details: grpc.HandlerCallDetails) -> grpc.RpcMethodHandler | None:
+        """Return the handler of a Flight method; None for a method of another service or an unknown one."""
         service, _, method = details.method.strip("/").partition("/")
         return self.handlers.get(method) if service == "arrow.flight.protocol.FlightService" else None
 
     def with_status(self, serve: Callable) -> Callable:
-        """A call's whole course: whatever goes wrong in it ends it with a status that says what."""
+        """Wrap a call handler: counts the call, and ends it with a status for any error that it raises."""
 
         async def run(request, context: aio.ServicerContext):
             self.metrics.add("flight calls")
@@ -154,7 +158,7 @@
             except aio.AbortError:
                 raise
             except aio.InternalError:
-                # The call is over on the client's side: there is nobody left to write to.
+                # The client has ended the call, so that nothing can be written to it.
                 self.metrics.add("flight clients gone")
                 return None
             except Exception as why:
@@ -167,36 +171,47 @@
         return run
 
     def unimplemented_method(self, name: str) -> Callable:
+        """Return a handler that ends each call with UNIMPLEMENTED."""
+
         async def serve(request, context):
             raise unimplemented(name)
 
         return serve
 
-    # What is asked for: commands, tickets and fields.
+    # Commands, tickets and submission fields.
 
     async def get_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
+        """Serve GetFlightInfo."""
         return self.flight_info(read(pb.FlightDescriptor, request), context).SerializeToString()
 
     async def poll_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
-        """A batch is taken when its ticket is redeemed, so that there is nothing to poll for: the first
-        answer is the last, and says so by naming no descriptor."""
+        """Serve PollFlightInfo.
+
+        A batch starts only when its ticket is redeemed, so that there is nothing to poll for: the first
+        response is also the last, and has no descriptor to say so.
+        """
         return pb.PollInfo(
             info=self.flight_info(read(pb.FlightDescriptor, request), context)
         ).SerializeToString()
 
     def flight_info(self, descriptor: pb.FlightDescriptor, context: aio.ServicerContext) -> pb.FlightInfo:
+        """Return the FlightInfo of a command, with one endpoint; raises `StatusError`.
+
+        A metadata command is its own ticket. For a statement the schema is empty and the size -1, as they
+        are not known before it runs.
+        """
         if descriptor.type != pb.FlightDescriptor.CMD:
             raise invalid_argument("descriptor: a command expected")
-        asked = command(descriptor.cmd)
-        form, records, ticket = b"", -1, descriptor.cmd
-        table = catalog.metadata_table(asked, self.options)
+        message = command(descriptor.cmd)
+        schema, records, ticket = b"", -1, descriptor.cmd
+        table = catalog.metadata_table(message, self.options)
         if table is not None:
-            form, records = bytes(table.schema.serialize()), table.num_rows
+            schema, records = bytes(table.schema.serialize()), table.num_rows
         else:
-            handle, _ = self.issue_ticket(self.statement_of(asked, query=True), context)
+            handle, _ = self.issue_ticket(self.statement_of(message, query=True), context)
             ticket = wrapped(sql.TicketStatementQuery(statement_handle=handle))
         return pb.FlightInfo(
-            schema=form,
+            schema=schema,
             flight_descriptor=descriptor,
             total_records=records,
             total_bytes=-1,
@@ -204,32 +219,41 @@
         )
 
     def issue_ticket(self, statement: bytes, context: aio.ServicerContext) -> tuple[bytes, TicketPayload]:
-        """A ticket for the statement on the call's options. What would be refused when it is redeemed is
-        refused now; nothing is taken."""
+        """Return a signed ticket for a statement with the call's fields, and its payload.
+
+        The batch is built once to check it, but not started: what would be rejected when the ticket is
+        redeemed is rejected now.
+        """
         group, fields = self.submission_fields(context)
         handle, payload = self.signer.issue(clock.now() + self.options.ticket_s, group, fields, statement)
         self.make_batch(payload, context)
         return handle, payload
 
-    def statement_of(self, asked, query: bool) -> bytes:
-        """The statement of a command, with what is bound to it."""
-        match asked:
+    def statement_of(self, message, query: bool) -> bytes:
+        """Return the statement of a command with its bound parameters written into it.
+
+        Raises `StatusError` where the command cannot run as a query or as an update.
+        """
+        match message:
             case sql.CommandStatementQuery() if query:
-                return query_text(asked)
+                return query_text(message)
             case sql.CommandStatementUpdate() if not query:
-                return query_text(asked)
+                return query_text(message)
             case sql.CommandPreparedStatementQuery() if query:
-                found = self.prepared_actions.find(asked.prepared_statement_handle)
-                return binding.bound(found.statement, found.rows)
-        raise unimplemented(asked.DESCRIPTOR.name + (" as a query" if query else " as an update"))
+                prepared = self.prepared_actions.find(message.prepared_statement_handle)
+                return binding.bound(prepared.statement, prepared.rows)
+        raise unimplemented(message.DESCRIPTOR.name + (" as a query" if query else " as an update"))
 
     def submission_fields(self, context: aio.ServicerContext) -> tuple[str, dict]:
-        """Service group and fields of a submission, by the call's headers, else the session's options, else
-        the operator's file."""
-        said = text_headers(context)
-        session, options = self.session_actions.session(said), self.options
+        """Return the service group and the submission fields of a call.
+
+        Each is taken from the call's headers, else from the session's options, else from the operator file.
+        Raises `StatusError` for the group, `InvalidFieldError` for a number that is none.
+        """
+        call_headers = text_headers(context)
+        session, options = self.session_actions.find_session(call_headers), self.options
         session_options = session.options if session else {}
-        group = said.get(options.group_header) or session_options.get("group") or options.group
+        group = call_headers.get(options.group_header) or session_options.get("group") or options.group
         if not group:
             raise invalid_argument(
                 f"{options.group_header}: missing; no option or default names a service group"
@@ -237,11 +261,11 @@
         if group not in self.intake.groups:
             raise invalid_argument(f"{options.group_header}: {group[:60]!r} is no service group")
         fields: dict[str, str | float | bool] = {}
-        tenant = said.get(options.tenant_header) or session_options.get("tenant") or options.tenant
+        tenant = call_headers.get(options.tenant_header) or session_options.get("tenant") or options.tenant
         if tenant:
             fields["tenant"] = tenant
         for name, header in FIELD_HEADERS.items():
-            value = said.get(header, session_options.get(FIELD_OPTIONS.get(name, "")))
+            value = call_headers.get(header, session_options.get(FIELD_OPTIONS.get(name, "")))
             if value is None and name == "wait":
                 value = options.wait_ms
             if value is None:
@@ -257,13 +281,16 @@
         return group, fields
 
     def make_batch(self, payload: TicketPayload, context: aio.ServicerContext) -> Batch:
-        """The batch that a payload is for, under the same checks as on the other door. It waits as long
-        as the payload says, else its group's time limit, and no longer than the call itself."""
+        """Return the batch of a ticket, checked as on the JSON-RPC endpoint; it is not started.
+
+        Its time limit is the ticket's `wait`, else that of its service group, and ends before the deadline
+        of the call. Raises `StatusError`, or `InvalidFieldError` for a field.
+        """
         limit = self.intake.groups[payload.group][1].time_limit
         wait = float(payload.fields.get("wait", limit * 1e3))
         remaining = context.time_remaining()
         if remaining is not None:
-            # The call's own end must find the answer on its way.
+            # The answer must be on its way before the call's deadline.
             if remaining <= RESPONSE_MARGIN:
                 raise StatusError(StatusCode.DEADLINE_EXCEEDED, "no time left")
             wait = min(wait, (remaining - RESPONSE_MARGIN) * 1e3)
@@ -276,15 +303,16 @@
     # Results.
 
     async def do_get(self, request: bytes, context: aio.ServicerContext) -> None:
-        asked = command(read(pb.Ticket, request).ticket)
-        table = catalog.metadata_table(asked, self.options)
+        """Serve DoGet: redeem a ticket and stream its result, or that of a metadata command."""
+        message = command(read(pb.Ticket, request).ticket)
+        table = catalog.metadata_table(message, self.options)
         if table is not None:
             for raw in columns.of_table(table):
                 await context.write(raw)
             return
-        if type(asked) is not sql.TicketStatementQuery:
-            raise unimplemented(f"DoGet of {asked.DESCRIPTOR.name}: ask GetFlightInfo for a ticket")
-        payload = self.signer.verify(asked.statement_handle)
+        if type(message) is not sql.TicketStatementQuery:
+            raise unimplemented(f"DoGet of {message.DESCRIPTOR.name}: ask GetFlightInfo for a ticket")
+        payload = self.signer.verify(message.statement_handle)
         status = self.tickets.redeem(payload.claims(), clock.now())
         if status is not TicketStatus.VALID:
             raise self.ticket_error(status)
@@ -293,18 +321,22 @@
             async with asyncio.timeout_at(clock.on_loop(batch.limit_at + RESPONSE_MARGIN)):
                 await self.send_result(batch, context)
         except TimeoutError:
-            # Its reader is slow: what it has is not the whole, and its status says so.
+            # The client reads too slowly: it has only part of the result, and the status says so.
             self.metrics.add("flight readers too slow")
             raise status_errors.incomplete_result(it.DispatchOutcome.TIMED_OUT) from None
 
     def ticket_error(self, status: TicketStatus) -> StatusError:
+        """Return the error for a ticket that cannot be redeemed or cancelled."""
         code = status_errors.TICKET_STATUS_CODES[status]
         final = status in (TicketStatus.REDEEMED, TicketStatus.CANCELLED)
         again = "" if final else "; ask GetFlightInfo again"
         return StatusError(code, f"ticket: {status.value}{again}")
 
     async def send_result(self, batch: Batch, context: aio.ServicerContext) -> None:
-        """Take the batch and pass its result on; the call ends well only after the last of a whole result."""
+        """Run a batch and stream its result; the call succeeds only if the result was sent whole.
+
+        Raises `StatusError` where there is no result or it was cut off.
+        """
         async with BatchCall(self, batch) as answer:
             match answer:
                 case End():
@@ -318,7 +350,7 @@
                         raise status_errors.incomplete_result(answer.flow.outcome)
 
     def no_result_error(self, answer, batch: Batch) -> StatusError:
-        """Why there is no result."""
+        """Return the error for a batch whose answer is not a result."""
         if answer is CANCELLED_BY_CLIENT:
             return StatusError(StatusCode.CANCELLED, CANCELLED_BY_CLIENT)
         if type(answer) is it.PushBack:
@@ -326,37 +358,41 @@
         return status_errors.execution_error(clock.now() >= batch.limit_at - TIME_LIMIT_TOLERANCE)
 
     async def do_put(self, requests: AsyncIterator[bytes], context: aio.ServicerContext) -> None:
+        """Serve DoPut: run an update, or bind parameters to a prepared query."""
         stream = aiter(requests)
         try:
-            async with asyncio.timeout(PARAMETER_STREAM_TIMEOUT):
+            async with asyncio.timeout(DO_PUT_READ_TIMEOUT):
                 first = await anext(stream, None)
                 if first is None:
                     raise invalid_argument("a stream without a message")
-                asked = command(parcel(first).command)
-                bound = type(asked) in (sql.CommandPreparedStatementQuery, sql.CommandPreparedStatementUpdate)
-                rows, size = await self.read_parameters(first, stream) if bound else ([], 0)
+                message = command(parcel(first).command)
+                takes_parameters = type(message) in (
+                    sql.CommandPreparedStatementQuery,
+                    sql.CommandPreparedStatementUpdate,
+                )
+                rows, size = await self.read_parameters(first, stream) if takes_parameters else ([], 0)
         except TimeoutError:
             raise StatusError(StatusCode.DEADLINE_EXCEEDED, "a stream that does not go on") from None
-        match asked:
+        match message:
             case sql.CommandPreparedStatementQuery():
-                handle = asked.prepared_statement_handle
+                handle = message.prepared_statement_handle
                 self.prepared_actions.find(handle)
                 if not self.prepared_statements.bind(handle.decode("latin-1"), rows, size, clock.now()):
                     raise StatusError(StatusCode.RESOURCE_EXHAUSTED, "no room for more parameters")
-                said = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
-                await context.write(pb.PutResult(app_metadata=said.SerializeToString()).SerializeToString())
+                result = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
+                await context.write(pb.PutResult(app_metadata=result.SerializeToString()).SerializeToString())
                 return
             case sql.CommandPreparedStatementUpdate():
-                found = self.prepared_actions.find(asked.prepared_statement_handle)
-                statement = binding.bound(found.statement, rows or found.rows)
+                prepared = self.prepared_actions.find(message.prepared_statement_handle)
+                statement = binding.bound(prepared.statement, rows or prepared.rows)
             case _:
-                statement = self.statement_of(asked, query=False)
+                statement = self.statement_of(message, query=False)
         changed = await self.run_update(statement, context)
         count = sql.DoPutUpdateResult(record_count=changed)
         await context.write(pb.PutResult(app_metadata=count.SerializeToString()).SerializeToString())
 
     async def run_update(self, statement: bytes, context: aio.ServicerContext) -> int:
-        """Take an update at once: the rows changed, -1 where its engine does not say."""
+        """Run an update without a ticket; returns the rows changed, -1 if its engine does not report them."""
         _, payload = self.issue_ticket(statement, context)
         batch = self.make_batch(payload, context)
         batch.update = True
@@ -364,7 +400,7 @@
             return answer.changed
 
     async def read_parameters(self, first: bytes, stream: AsyncIterator[bytes]) -> tuple[list[tuple], int]:
-        """The rows of parameters that a client sends, and their bytes."""
+        """Read the rows of parameters of a stream, and their size in bytes; raises `StatusError`."""
         messages = [first] if parcel(first).header else []
         size = len(first)
         async for raw in stream:
@@ -378,16 +414,18 @@
         return columns.parameters(messages, MAX_PARAMETER_ROWS), size
 
     async def get_schema(self, request: bytes, context: aio.ServicerContext) -> bytes:
-        asked = command(read(pb.FlightDescriptor, request).cmd)
-        table = catalog.metadata_table(asked, self.options)
+        """Serve GetSchema, for metadata commands only."""
+        message = command(read(pb.FlightDescriptor, request).cmd)
+        table = catalog.metadata_table(message, self.options)
         if table is None:
-            # Only an engine knows it, and only by running the statement.
-            raise unimplemented(f"GetSchema of {asked.DESCRIPTOR.name}")
+            # Only an engine knows the schema of a statement's result, and only by running it.
+            raise unimplemented(f"GetSchema of {message.DESCRIPTOR.name}")
         return pb.SchemaResult(schema=bytes(table.schema.serialize())).SerializeToString()
 
     # Actions.
 
     async def do_action(self, request: bytes, context: aio.ServicerContext) -> None:
+        """Serve DoAction."""
         action = read(pb.Action, request)
         serve = self.actions.get(action.type)
         if serve is None:
@@ -397,28 +435,34 @@
             await context.write(pb.Result(body=body).SerializeToString())
 
     async def list_actions(self, request: bytes, context: aio.ServicerContext) -> None:
-        for kind, what in ACTION_DESCRIPTIONS.items():
-            await context.write(pb.ActionType(type=kind, description=what).SerializeToString())
+        """Serve ListActions."""
+        for name, description in ACTION_DESCRIPTIONS.items():
+            await context.write(pb.ActionType(type=name, description=description).SerializeToString())
 
     async def cancel_flight_info(self, body: bytes, context: aio.ServicerContext) -> bytes:
+        """Serve the action CancelFlightInfo."""
         status = self.cancel(read(pb.CancelFlightInfoRequest, body).info)
         return pb.CancelFlightInfoResult(status=status).SerializeToString()
 
     async def cancel_query(self, body: bytes, context: aio.ServicerContext) -> bytes:
-        asked = read_command(body, sql.ActionCancelQueryRequest)
-        # Both count from 1 in the same order: cancelled, cancelling, not to be cancelled.
-        status = self.cancel(read(pb.FlightInfo, asked.info))
+        """Serve the action CancelQuery."""
+        message = read_command(body, sql.ActionCancelQueryRequest)
+        # The values of both result enums are the same: cancelled 1, cancelling 2, not cancellable 3.
+        status = self.cancel(read(pb.FlightInfo, message.info))
         return wrapped(sql.ActionCancelQueryResult(result=status))
 
     def cancel(self, info: pb.FlightInfo) -> int:
-        """Call off the batch of a FlightInfo, whether it is open or not yet taken: then its ticket is used
-        up."""
+        """Cancel the batch of a FlightInfo; returns a `CancelStatus` of Flight, or raises `StatusError`.
+
+        An open batch is cancelled until its answer is final or, if the result is streamed, as long as it is
+        being sent. Of a batch that has not started, the ticket is marked as used.
+        """
         if len(info.endpoint) != 1:
             raise invalid_argument("info: the one endpoint that GetFlightInfo gave expected")
-        asked = command(info.endpoint[0].ticket.ticket)
-        if type(asked) is not sql.TicketStatementQuery:
+        message = command(info.endpoint[0].ticket.ticket)
+        if type(message) is not sql.TicketStatementQuery:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
-        payload = self.signer.verify(asked.statement_handle)
+        payload = self.signer.verify(message.statement_handle)
         if payload.number in self.open_batches:
             batch, answer = self.open_batches[payload.number]
             if answer.done() and not batch.flow:
--- a/thistlelever/flight/server_options.py
+++ b/thistlelever/flight/server_options.py
@@ -1,8 +1,8 @@
-"""What the gRPC server of a front allows its clients."""
+"""Options of the gRPC server: the limits on its clients."""
 
-# Bytes of one message. A statement has 190 KB, parameters a little more; what is longer is refused unread.
+# A statement has 190 KB at most, and parameters a little more; gRPC rejects longer messages without reading
+# them.
 MAX_MESSAGE_BYTES = 1 << 20
-# Streams one connection may have open; connections that say nothing end.
 MAX_STREAMS_PER_CONNECTION = 32
 SERVER_OPTIONS = (
     ("grpc.so_reuseport", 0),
@@ -11,6 +11,7 @@
     ("grpc.max_metadata_size", 8_192),
     ("grpc.absolute_max_metadata_size", 16_384),
     ("grpc.server_handshake_timeout_ms", 3_000),
+    # Connections without calls are closed.
     ("grpc.max_connection_idle_ms", 300_000),
     ("grpc.http2.bdp_probe", 0),
     ("grpc.http2.lookahead_bytes", 65_536),
