--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -1,4 +1,4 @@
-"""The Flight SQL door against clients that nobody here wrote, and against input that is none."""
+"""The Flight SQL endpoint: third-party clients, malformed and oversized input, metadata commands."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
 from stage import staged
 
 from thistlelever.standins import flight_client as client
-from thistlelever.standins.flight_client import descriptor as asked
+from thistlelever.standins.flight_client import descriptor
 from thistlelever.wire.flight import columns, parcels
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
@@ -35,8 +35,8 @@
         yield stage
 
 
-def played(work, *lines):
-    """The work against a front; it gets the stage and a blocking call's runner."""
+def run_with_front(work, *lines):
+    """Run `work` with the stage and the address of a front, which the scenario lines describe."""
 
     async def run():
         async with front(*lines) as stage:
@@ -61,16 +61,16 @@
     async def work(stage, address):
         return await asyncio.to_thread(use, address)
 
-    table, actions = played(work)
+    table, actions = run_with_front(work)
     assert [tuple(row.values()) for row in table.to_pylist()] == ROWS
     assert "CreatePreparedStatement" in actions
 
 
 @pytest.mark.filterwarnings("ignore:Cannot disable autocommit")
 def test_both_clients_against_the_demo():
-    # What a newcomer sees first, as it is started, by clients that nobody here wrote.
-    words = [sys.executable, "-u", "-m", "thistlelever", "demo", "--flight", "--for", "8"]
-    with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, text=True) as demo:
+    # The demo as its users start it, with unmodified third-party clients.
+    demo_command = [sys.executable, "-u", "-m", "thistlelever", "demo", "--flight", "--for", "8"]
+    with subprocess.Popen(demo_command, cwd=ROOT, stdout=subprocess.PIPE, text=True) as demo:
         address = next(line.split()[1] for line in demo.stdout if "grpc://" in line)
         while "adbc" not in demo.stdout.readline():
             pass
@@ -107,7 +107,9 @@
         return await asyncio.to_thread(use, address), stage.engines["f"].calls
 
     tables = 'flight_section group="lookup" tables=[{"schema":"sales_17","name":"orders"}]'
-    (rows, bound, changed, objects, kinds, vendor), calls = played(work, "flight_engine f", tables, "front")
+    (rows, bound, changed, objects, kinds, vendor), calls = run_with_front(
+        work, "flight_engine f", tables, "front"
+    )
     assert rows == bound == ROWS
     assert changed == 1
     assert kinds == ["TABLE"] and vendor == "thistlelever"
@@ -138,66 +140,66 @@
                 "need_mb": option(string_value="much"),
             }
         )
-        said, metadata = await client.action(channel, "SetSessionOptions", request.SerializeToString())
-        errors = pb.SetSessionOptionsResult.FromString(said).errors
+        result, metadata = await client.action(channel, "SetSessionOptions", request.SerializeToString())
+        errors = pb.SetSessionOptionsResult.FromString(result).errors
         cookie = (("cookie", metadata["set-cookie"].split(";")[0]),)
         once = (("x-once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),)
         await client.query(channel, STATEMENT, cookie + once)
-        said, _ = await client.action(channel, "GetSessionOptions", b"", cookie)
-        options = pb.GetSessionOptionsResult.FromString(said).session_options
+        result, _ = await client.action(channel, "GetSessionOptions", b"", cookie)
+        options = pb.GetSessionOptionsResult.FromString(result).session_options
         await client.action(channel, "CloseSession", b"", cookie)
         with pytest.raises(client.Refused, match="no such session"):
             await client.action(channel, "CloseSession", b"", cookie)
         lanes = [fields["x-lane"] for call, fields, _ in stage.engines["f"].calls if call == "GetFlightInfo"]
         return rows, errors, options, lanes, stage.engines["f"].calls[-2][1]["x-limit-ms"]
 
-    rows, errors, options, lanes, limit = played(work)
+    rows, errors, options, lanes, limit = run_with_front(work)
     assert rows == ROWS and lanes == ["pay", "load"] and int(limit) <= 900
     assert {name: error.value for name, error in errors.items()} == {"colour": 1, "need_mb": 2}
     assert options["wait_ms"].double_value == 900 and set(options) == {"group", "wait_ms"}
 
 
-def by_hand(name, prefix="type.googleapis.com/"):
+def descriptor_with_type_url(name, prefix="type.googleapis.com/"):
     url = (prefix + name).encode()
     return pb.FlightDescriptor(type=2, cmd=b"\x0a" + bytes((len(url),)) + url)
 
 
-BAD = [
+INVALID_REQUESTS = [
     ("GetFlightInfo", b"\xff\xff\xff", "INVALID_ARGUMENT", "FlightDescriptor"),
     ("GetFlightInfo", pb.FlightDescriptor(type=2, cmd=b"\xff\xff"), "INVALID_ARGUMENT", "no Any"),
     ("GetFlightInfo", pb.FlightDescriptor(type=1, path=["a"]), "INVALID_ARGUMENT", "a command expected"),
-    ("GetFlightInfo", by_hand("google.protobuf.Any"), "INVALID_ARGUMENT", "type URL"),
+    ("GetFlightInfo", descriptor_with_type_url("google.protobuf.Any"), "INVALID_ARGUMENT", "type URL"),
     (
         "GetFlightInfo",
-        by_hand("arrow.flight.protocol.sql.CommandStatementQuery", ""),
+        descriptor_with_type_url("arrow.flight.protocol.sql.CommandStatementQuery", ""),
         "INVALID_ARGUMENT",
         "type URL",
     ),
     (
         "GetFlightInfo",
-        by_hand("arrow.flight.protocol.sql.CommandGetPrimaryKeys"),
+        descriptor_with_type_url("arrow.flight.protocol.sql.CommandGetPrimaryKeys"),
         "UNIMPLEMENTED",
         "CommandGetPrimaryKeys",
     ),
     (
         "GetFlightInfo",
-        asked(sql.CommandStatementQuery(query=STATEMENT, transaction_id=b"1")),
+        descriptor(sql.CommandStatementQuery(query=STATEMENT, transaction_id=b"1")),
         "UNIMPLEMENTED",
         "transactions",
     ),
     (
         "GetFlightInfo",
-        asked(sql.CommandStatementUpdate(query=STATEMENT)),
+        descriptor(sql.CommandStatementUpdate(query=STATEMENT)),
         "UNIMPLEMENTED",
         "CommandStatementUpdate as a query",
     ),
     (
         "GetFlightInfo",
-        asked(sql.CommandPreparedStatementQuery(prepared_statement_handle=b"none")),
+        descriptor(sql.CommandPreparedStatementQuery(prepared_statement_handle=b"none")),
         "NOT_FOUND",
         "no such prepared statement",
     ),
-    ("GetSchema", asked(sql.CommandStatementQuery(query=STATEMENT)), "UNIMPLEMENTED", "GetSchema"),
+    ("GetSchema", descriptor(sql.CommandStatementQuery(query=STATEMENT)), "UNIMPLEMENTED", "GetSchema"),
     ("PollFlightInfo", pb.FlightDescriptor(type=2, cmd=b"x" * 300_000), "INVALID_ARGUMENT", "300000 bytes"),
     (
         "GetFlightInfo",
@@ -208,18 +210,18 @@
 ]
 
 
-@pytest.mark.parametrize("method, request_, code, words", BAD)
-def test_bad_input_gets_a_status_that_names_it(method, request_, code, words):
+@pytest.mark.parametrize("method, request_, code, text", INVALID_REQUESTS)
+def test_bad_input_gets_a_status_that_names_it(method, request_, code, text):
     async def work(stage, address):
         raw = request_ if type(request_) is bytes else request_.SerializeToString()
         sent = type("Raw", (), {"SerializeToString": lambda self: raw})()
-        with pytest.raises(client.Refused) as why:
+        with pytest.raises(client.Refused) as error:
             await client.unary(stage.channel(), method, sent)
         table = await client.query(stage.channel(), STATEMENT)
-        return why.value, table.num_rows, len(stage.office.batches.by_number)
+        return error.value, table.num_rows, len(stage.office.batches.by_number)
 
-    why, rows, still_open = played(work)
-    assert why.code == code and words in why.details, why
+    error, rows, still_open = run_with_front(work)
+    assert error.code == code and text in error.details, error
     assert rows == len(ROWS) and still_open == 0
 
 
@@ -236,29 +238,29 @@
 )
 def test_bad_tickets_run_nothing(ticket):
     async def work(stage, address):
-        with pytest.raises(client.Refused) as why:
+        with pytest.raises(client.Refused) as error:
             await client.get(stage.channel(), pb.Ticket(ticket=ticket))
-        return why.value.code, stage.engines["f"].book.lines
+        return error.value.code, stage.engines["f"].book.lines
 
-    code, lines = played(work)
+    code, lines = run_with_front(work)
     assert code in ("INVALID_ARGUMENT", "UNIMPLEMENTED") and lines == []
 
 
 def test_tickets_of_another_front_and_of_before_a_restart():
-    async def other(name):
+    async def ticket_of(name):
         async with front() as stage:
             stage.office.flight.server.signer.front = stage.office.flight.server.tickets.front = name
             return (await client.info(stage.channel(), STATEMENT)).endpoint[0].ticket
 
     async def run():
-        earlier, foreign = await other("n0"), await other("n1")
+        earlier, foreign = await ticket_of("n0"), await ticket_of("n1")
         async with front() as stage:
-            found = []
+            errors = []
             for ticket in (earlier, foreign):
-                with pytest.raises(client.Refused) as why:
+                with pytest.raises(client.Refused) as error:
                     await client.get(stage.channel(), ticket)
-                found.append(str(why.value))
-            return found, stage.engines["f"].book.lines
+                errors.append(str(error.value))
+            return errors, stage.engines["f"].book.lines
 
     (earlier, foreign), lines = asyncio.run(run())
     assert earlier.startswith("FAILED_PRECONDITION") and "before this front's restart" in earlier
@@ -266,23 +268,26 @@
     assert lines == []
 
 
-def parameters(table):
-    """What becomes of a prepared statement with two places to which the table is bound."""
+def bind_and_run(table):
+    """Bind a table, or raw stream messages, to a prepared statement with two parameters and run it.
+
+    Returns the condition that the engine received, or the text of the error.
+    """
 
     async def work(stage, address):
-        wanted = sql.ActionCreatePreparedStatementRequest(query=f"{STATEMENT} where b = ? and c = ?")
-        said, _ = await client.action(stage.channel(), "CreatePreparedStatement", parcels.wrapped(wanted))
-        handle = parcels.command(said).prepared_statement_handle
+        request = sql.ActionCreatePreparedStatementRequest(query=f"{STATEMENT} where b = ? and c = ?")
+        result, _ = await client.action(stage.channel(), "CreatePreparedStatement", parcels.wrapped(request))
+        handle = parcels.command(result).prepared_statement_handle
         command = sql.CommandPreparedStatementQuery(prepared_statement_handle=handle)
         try:
             if type(table) is pa.Table:
                 await client.put(stage.channel(), command, table)
             else:
                 await put_raw(stage.channel(), command, table)
-            info = await client.unary(stage.channel(), "GetFlightInfo", asked(command))
+            info = await client.unary(stage.channel(), "GetFlightInfo", descriptor(command))
             await client.get(stage.channel(), pb.FlightInfo.FromString(info).endpoint[0].ticket)
-        except client.Refused as why:
-            return str(why)
+        except client.Refused as error:
+            return str(error)
         await client.action(
             stage.channel(),
             "ClosePreparedStatement",
@@ -292,12 +297,12 @@
         assert not statements.by_handle and not statements.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
 
-    return played(work)
+    return run_with_front(work)
 
 
 async def put_raw(channel, command, messages):
     call = channel.stream_stream(parcels.SERVICE + "DoPut")()
-    first = pb.FlightData(flight_descriptor=asked(command)).SerializeToString()
+    first = pb.FlightData(flight_descriptor=descriptor(command)).SerializeToString()
     try:
         for raw in (first, *messages):
             await call.write(raw)
@@ -316,17 +321,17 @@
 
 
 def test_parameters_of_usual_types():
-    assert parameters(pa.table({"b": [5], "c": ["o'hara -- ?"]})) == "b = 5 and c = 'o''hara -- ?'"
-    assert parameters(pa.table({"b": [None], "c": [2.5]})) == "b = null and c = 2.5"
+    assert bind_and_run(pa.table({"b": [5], "c": ["o'hara -- ?"]})) == "b = 5 and c = 'o''hara -- ?'"
+    assert bind_and_run(pa.table({"b": [None], "c": [2.5]})) == "b = null and c = 2.5"
 
 
 def test_a_dictionary_batch_is_read():
     words = pa.array(["x", "y"]).dictionary_encode()
-    assert parameters(pa.table({"b": words.take(pa.array([1])), "c": [True]})) == "b = 'y' and c = true"
+    assert bind_and_run(pa.table({"b": words.take(pa.array([1])), "c": [True]})) == "b = 'y' and c = true"
 
 
 @pytest.mark.parametrize(
-    "table, words",
+    "table, text",
     [
         (pa.table({"b": [5]}), "2 parameters wanted, 1 bound"),
         (pa.table({"b": [[1]], "c": [2]}), "type list"),
@@ -336,58 +341,62 @@
         (pa.table({"b": range(20_000), "c": range(20_000)}), "20000 rows of parameters"),
     ],
 )
-def test_parameters_that_do_not_fit(table, words):
-    said = parameters(table)
-    assert said.startswith("INVALID_ARGUMENT") and words in said, said
+def test_parameters_that_do_not_fit(table, text):
+    error = bind_and_run(table)
+    assert error.startswith("INVALID_ARGUMENT") and text in error, error
 
 
 def test_a_batch_that_does_not_fit_its_schema():
     one, two = columns.of_table(pa.table({"b": [1], "c": [2]})), columns.of_table(pa.table({"b": ["x" * 99]}))
-    assert parameters([one[0], two[1]]).startswith("INVALID_ARGUMENT")
-    assert parameters([b"\xff" * 40]).startswith("INVALID_ARGUMENT")
-    assert parameters([parcels.packed(b"\xff" * 40, b"x")]).startswith("INVALID_ARGUMENT")
-    # A dictionary that is named in the schema and never comes.
-    words = columns.of_table(pa.table({"b": pa.array(["x"]).dictionary_encode(), "c": [1]}))
-    assert parameters([words[0], words[-1]]).startswith("INVALID_ARGUMENT")
+    assert bind_and_run([one[0], two[1]]).startswith("INVALID_ARGUMENT")
+    assert bind_and_run([b"\xff" * 40]).startswith("INVALID_ARGUMENT")
+    assert bind_and_run([parcels.packed(b"\xff" * 40, b"x")]).startswith("INVALID_ARGUMENT")
+    # The schema names a dictionary, and the stream has no dictionary batch.
+    dictionary_stream = columns.of_table(pa.table({"b": pa.array(["x"]).dictionary_encode(), "c": [1]}))
+    assert bind_and_run([dictionary_stream[0], dictionary_stream[-1]]).startswith("INVALID_ARGUMENT")
 
 
 def test_more_parameters_than_are_taken():
-    assert parameters(pa.table({"b": ["x" * 900_000], "c": ["y" * 300_000]})).startswith(
+    assert bind_and_run(pa.table({"b": ["x" * 900_000], "c": ["y" * 300_000]})).startswith(
         ("INVALID_ARGUMENT", "RESOURCE_EXHAUSTED")
     )
 
 
 def test_metadata_without_end():
     async def work(stage, address):
-        with pytest.raises(client.Refused) as why:
+        with pytest.raises(client.Refused) as error:
             await client.query(stage.channel("big"), STATEMENT, (("x-once", "5" * 40_000),))
-        return why.value.code, (await client.query(stage.channel(), STATEMENT)).num_rows
+        return error.value.code, (await client.query(stage.channel(), STATEMENT)).num_rows
 
-    assert played(work) == ("RESOURCE_EXHAUSTED", len(ROWS))
+    assert run_with_front(work) == ("RESOURCE_EXHAUSTED", len(ROWS))
 
 
 def frame(kind, flags, stream, payload):
+    """Return an HTTP/2 frame (RFC 9113, 4.1)."""
     return struct.pack(">I", len(payload))[1:] + bytes((kind, flags)) + struct.pack(">I", stream) + payload
 
 
-def literal(name, value):
-    """A header that is named in full and kept in no table (RFC 7541, 6.2.2)."""
+def literal_header(name, value):
+    """Return an HPACK literal header field without indexing, with a new name (RFC 7541, 6.2.2)."""
     return b"\x00" + bytes((len(name),)) + name + bytes((len(value),)) + value
 
 
 def test_a_gigabyte_declared_and_half_open_streams():
-    """By hand, as no client library says such things (RFC 9113; the length prefix is gRPC's)."""
+    """Messages declared as 1 GiB long and silent connections must not keep other clients from being served.
+
+    The HTTP/2 frames are built here, as no client library sends such messages; the length prefix is gRPC's.
+    """
 
     async def work(stage, address):
         path = parcels.SERVICE.encode() + b"DoPut"
         head = b"".join(
             (
-                literal(b":method", b"POST"),
-                literal(b":scheme", b"http"),
-                literal(b":path", path),
-                literal(b":authority", b"x"),
-                literal(b"te", b"trailers"),
-                literal(b"content-type", b"application/grpc"),
+                literal_header(b":method", b"POST"),
+                literal_header(b":scheme", b"http"),
+                literal_header(b":path", path),
+                literal_header(b":authority", b"x"),
+                literal_header(b"te", b"trailers"),
+                literal_header(b"content-type", b"application/grpc"),
             )
         )
         port, socks = stage.office.flight.server.port, []
@@ -400,18 +409,18 @@
                 + frame(0, 0, 1, struct.pack(">BI", 0, 1 << 30) + b"x" * 100)
             )
             socks.append(sock)
-        # Others that say nothing at all.
+        # Connections that send nothing.
         socks += [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
         found = [(await client.query(stage.channel(), STATEMENT)).num_rows for _ in range(3)]
         for sock in socks:
             sock.close()
         return found, len(stage.office.batches.by_number)
 
-    assert played(work) == ([len(ROWS)] * 3, 0)
+    assert run_with_front(work) == ([len(ROWS)] * 3, 0)
 
 
 def test_hundreds_of_streams():
-    """A client with hundreds of calls gets its share; those past the bound hear so, and another is served."""
+    """Calls past the limit on streams fail with a status, the others succeed, and nothing stays open."""
 
     async def work(stage, address):
         many = [stage.channel(f"many {n}") for n in range(10)]
@@ -420,12 +429,14 @@
             asyncio.create_task(client.query(many[n % 10], f"select a from sales_{n}.x")) for n in range(300)
         ]
         await stage.until(lambda: stage.engines["f"].book.count("arrived") >= 20)
-        usual = asyncio.create_task(client.query(stage.channel(), STATEMENT))
+        other_client = asyncio.create_task(client.query(stage.channel(), STATEMENT))
         stage.engines["f"].released.set()
-        found = await asyncio.gather(*calls, usual, return_exceptions=True)
+        found = await asyncio.gather(*calls, other_client, return_exceptions=True)
         return [f.num_rows if type(f) is pa.Table else f.code for f in found], stage
 
-    found, stage = played(work, "flight_engine f", 'flight_section group="lookup" streams=40', "front")
+    found, stage = run_with_front(
+        work, "flight_engine f", 'flight_section group="lookup" streams=40', "front"
+    )
     assert set(found) <= {len(ROWS), "RESOURCE_EXHAUSTED", "INTERNAL", "DEADLINE_EXCEEDED"}
     assert len(found) == 301 and found.count(len(ROWS)) >= 40
     assert not stage.office.batches.by_number and not stage.office.flight.server.open_batches
@@ -436,9 +447,9 @@
     async def work(stage, address):
         async def ask(message):
             info = pb.FlightInfo.FromString(
-                await client.unary(stage.channel(), "GetFlightInfo", asked(message))
+                await client.unary(stage.channel(), "GetFlightInfo", descriptor(message))
             )
-            schema = await client.unary(stage.channel(), "GetSchema", asked(message))
+            schema = await client.unary(stage.channel(), "GetSchema", descriptor(message))
             assert pb.SchemaResult.FromString(schema).schema == info.schema
             return (await client.get(stage.channel(), info.endpoint[0].ticket)).to_pylist()
 
@@ -456,7 +467,9 @@
         'flight_section group="lookup" '
         'tables=[{"schema":"sales_17","name":"orders"},{"schema":"hr","name":"staff"}]'
     )
-    catalogs, schemas, found, none, facts, types, long = played(work, "flight_engine f", tables, "front")
+    catalogs, schemas, found, none, facts, types, long = run_with_front(
+        work, "flight_engine f", tables, "front"
+    )
     assert catalogs == [{"catalog_name": "thistlelever"}]
     assert [row["db_schema_name"] for row in schemas] == ["sales_17"]
     assert found[0]["table_name"] == "orders" and pa.ipc.read_schema(pa.py_buffer(found[0]["table_schema"]))
