--- a/thistlelever/flight/prepared_statement_actions.py
+++ b/thistlelever/flight/prepared_statement_actions.py
@@ -12,7 +12,7 @@
 from thistlelever.state.prepared import PreparedStatement, PreparedStatements
 from thistlelever.wire import binding
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import wrapped
+from thistlelever.wire.flight.codec import encode_any
 
 
 class PreparedStatementActions:
@@ -34,14 +34,16 @@
         """Keep a statement under a new handle; raises `StatusError` if it is too long or there is no room."""
         message = read_command(body, sql.ActionCreatePreparedStatementRequest)
         statement = query_text(message)
-        if len(statement) > binding.LONGEST:
-            raise invalid_argument(f"a statement of {len(statement)} bytes; {binding.LONGEST} at most")
+        if len(statement) > binding.MAX_STATEMENT_BYTES:
+            raise invalid_argument(
+                f"a statement of {len(statement)} bytes; {binding.MAX_STATEMENT_BYTES} at most"
+            )
         handle = os.urandom(16).hex()
         if not self.statements.add(handle, statement, clock.now()):
             raise StatusError(
                 StatusCode.RESOURCE_EXHAUSTED, "no room for more prepared statements; close some"
             )
-        return wrapped(sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle.encode()))
+        return encode_any(sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle.encode()))
 
     async def close(self, body: bytes, context: aio.ServicerContext) -> None:
         """Remove a statement; a handle without one is not an error."""
--- a/thistlelever/flight/requests.py
+++ b/thistlelever/flight/requests.py
@@ -7,7 +7,7 @@
 from grpc import aio
 
 from thistlelever.flight.status_errors import invalid_argument, unimplemented
-from thistlelever.wire.flight.parcels import command
+from thistlelever.wire.flight.codec import decode_command
 
 SESSION_COOKIE = "arrow_flight_session_id"
 # Characters of a cookie header that are parsed; the rest is ignored.
@@ -30,7 +30,7 @@
 
 def read_command(body: bytes, message_type: type):
     """Return the command in a body; raises `StatusError` where it is not of `message_type`."""
-    message = command(body)
+    message = decode_command(body)
     if type(message) is not message_type:
         raise invalid_argument(f"{message_type.DESCRIPTOR.name} expected, found {message.DESCRIPTOR.name}")
     return message
--- a/thistlelever/flight/server.py
+++ b/thistlelever/flight/server.py
@@ -40,7 +40,14 @@
 from thistlelever.wire.flight import columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
-from thistlelever.wire.flight.parcels import Unreadable, Unserved, command, parcel, read, wrapped
+from thistlelever.wire.flight.codec import (
+    Unreadable,
+    UnsupportedCommand,
+    decode,
+    decode_command,
+    decode_stream_message,
+    encode_any,
+)
 
 # Limits on the parameters of one DoPut stream.
 MAX_PARAMETER_BYTES, MAX_PARAMETER_ROWS = 1 << 20, 10_000
@@ -151,7 +158,7 @@
                 return await serve(request, context)
             except StatusError as why:
                 error = why
-            except Unserved as why:
+            except UnsupportedCommand as why:
                 error = unimplemented(str(why))
             except (Unreadable, InvalidFieldError, InvalidTicketError, binding.Unbindable) as why:
                 error = invalid_argument(f"ticket: {why}" if type(why) is InvalidTicketError else str(why))
@@ -182,7 +189,7 @@
 
     async def get_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
         """Serve GetFlightInfo."""
-        return self.flight_info(read(pb.FlightDescriptor, request), context).SerializeToString()
+        return self.flight_info(decode(pb.FlightDescriptor, request), context).SerializeToString()
 
     async def poll_flight_info(self, request: bytes, context: aio.ServicerContext) -> bytes:
         """Serve PollFlightInfo.
@@ -191,7 +198,7 @@
         response is also the last, and has no descriptor to say so.
         """
         return pb.PollInfo(
-            info=self.flight_info(read(pb.FlightDescriptor, request), context)
+            info=self.flight_info(decode(pb.FlightDescriptor, request), context)
         ).SerializeToString()
 
     def flight_info(self, descriptor: pb.FlightDescriptor, context: aio.ServicerContext) -> pb.FlightInfo:
@@ -202,14 +209,14 @@
         """
         if descriptor.type != pb.FlightDescriptor.CMD:
             raise invalid_argument("descriptor: a command expected")
-        message = command(descriptor.cmd)
+        message = decode_command(descriptor.cmd)
         schema, records, ticket = b"", -1, descriptor.cmd
         table = catalog.metadata_table(message, self.options)
         if table is not None:
             schema, records = bytes(table.schema.serialize()), table.num_rows
         else:
             handle, _ = self.issue_ticket(self.statement_of(message, query=True), context)
-            ticket = wrapped(sql.TicketStatementQuery(statement_handle=handle))
+            ticket = encode_any(sql.TicketStatementQuery(statement_handle=handle))
         return pb.FlightInfo(
             schema=schema,
             flight_descriptor=descriptor,
@@ -241,7 +248,7 @@
                 return query_text(message)
             case sql.CommandPreparedStatementQuery() if query:
                 prepared = self.prepared_actions.find(message.prepared_statement_handle)
-                return binding.bound(prepared.statement, prepared.rows)
+                return binding.bind(prepared.statement, prepared.rows)
         raise unimplemented(message.DESCRIPTOR.name + (" as a query" if query else " as an update"))
 
     def submission_fields(self, context: aio.ServicerContext) -> tuple[str, dict]:
@@ -304,10 +311,10 @@
 
     async def do_get(self, request: bytes, context: aio.ServicerContext) -> None:
         """Serve DoGet: redeem a ticket and stream its result, or that of a metadata command."""
-        message = command(read(pb.Ticket, request).ticket)
+        message = decode_command(decode(pb.Ticket, request).ticket)
         table = catalog.metadata_table(message, self.options)
         if table is not None:
-            for raw in columns.of_table(table):
+            for raw in columns.encode_table(table):
                 await context.write(raw)
             return
         if type(message) is not sql.TicketStatementQuery:
@@ -340,8 +347,12 @@
         async with BatchCall(self, batch) as answer:
             match answer:
                 case End():
-                    parcels = answer.parcels if answer.parcels is not None else columns.of_rows(answer.pages)
-                    for raw in parcels:
+                    stream_messages = (
+                        answer.stream_messages
+                        if answer.stream_messages is not None
+                        else columns.encode_rows(answer.pages)
+                    )
+                    for raw in stream_messages:
                         await context.write(raw)
                 case Begun():
                     while (raw := await answer.flow.take()) is not None:
@@ -365,7 +376,7 @@
                 first = await anext(stream, None)
                 if first is None:
                     raise invalid_argument("a stream without a message")
-                message = command(parcel(first).command)
+                message = decode_command(decode_stream_message(first).command)
                 takes_parameters = type(message) in (
                     sql.CommandPreparedStatementQuery,
                     sql.CommandPreparedStatementUpdate,
@@ -384,7 +395,7 @@
                 return
             case sql.CommandPreparedStatementUpdate():
                 prepared = self.prepared_actions.find(message.prepared_statement_handle)
-                statement = binding.bound(prepared.statement, rows or prepared.rows)
+                statement = binding.bind(prepared.statement, rows or prepared.rows)
             case _:
                 statement = self.statement_of(message, query=False)
         changed = await self.run_update(statement, context)
@@ -401,21 +412,21 @@
 
     async def read_parameters(self, first: bytes, stream: AsyncIterator[bytes]) -> tuple[list[tuple], int]:
         """Read the rows of parameters of a stream, and their size in bytes; raises `StatusError`."""
-        messages = [first] if parcel(first).header else []
+        messages = [first] if decode_stream_message(first).header else []
         size = len(first)
         async for raw in stream:
             size += len(raw)
             if size > MAX_PARAMETER_BYTES:
                 raise invalid_argument(f"more than {MAX_PARAMETER_BYTES} bytes of parameters")
-            if parcel(raw).header:
+            if decode_stream_message(raw).header:
                 messages.append(raw)
         if not messages:
             return [], 0
-        return columns.parameters(messages, MAX_PARAMETER_ROWS), size
+        return columns.decode_parameters(messages, MAX_PARAMETER_ROWS), size
 
     async def get_schema(self, request: bytes, context: aio.ServicerContext) -> bytes:
         """Serve GetSchema, for metadata commands only."""
-        message = command(read(pb.FlightDescriptor, request).cmd)
+        message = decode_command(decode(pb.FlightDescriptor, request).cmd)
         table = catalog.metadata_table(message, self.options)
         if table is None:
             # Only an engine knows the schema of a statement's result, and only by running it.
@@ -426,7 +437,7 @@
 
     async def do_action(self, request: bytes, context: aio.ServicerContext) -> None:
         """Serve DoAction."""
-        action = read(pb.Action, request)
+        action = decode(pb.Action, request)
         serve = self.actions.get(action.type)
         if serve is None:
             raise unimplemented(f"action {action.type[:60]!r}")
@@ -441,15 +452,15 @@
 
     async def cancel_flight_info(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Serve the action CancelFlightInfo."""
-        status = self.cancel(read(pb.CancelFlightInfoRequest, body).info)
+        status = self.cancel(decode(pb.CancelFlightInfoRequest, body).info)
         return pb.CancelFlightInfoResult(status=status).SerializeToString()
 
     async def cancel_query(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Serve the action CancelQuery."""
         message = read_command(body, sql.ActionCancelQueryRequest)
         # The values of both result enums are the same: cancelled 1, cancelling 2, not cancellable 3.
-        status = self.cancel(read(pb.FlightInfo, message.info))
-        return wrapped(sql.ActionCancelQueryResult(result=status))
+        status = self.cancel(decode(pb.FlightInfo, message.info))
+        return encode_any(sql.ActionCancelQueryResult(result=status))
 
     def cancel(self, info: pb.FlightInfo) -> int:
         """Cancel the batch of a FlightInfo; returns a `CancelStatus` of Flight, or raises `StatusError`.
@@ -459,7 +470,7 @@
         """
         if len(info.endpoint) != 1:
             raise invalid_argument("info: the one endpoint that GetFlightInfo gave expected")
-        message = command(info.endpoint[0].ticket.ticket)
+        message = decode_command(info.endpoint[0].ticket.ticket)
         if type(message) is not sql.TicketStatementQuery:
             return pb.CANCEL_STATUS_NOT_CANCELLABLE
         payload = self.signer.verify(message.statement_handle)
--- a/thistlelever/flight/session_actions.py
+++ b/thistlelever/flight/session_actions.py
@@ -11,7 +11,7 @@
 from thistlelever.ground import clock
 from thistlelever.state.sessions import Session, Sessions, option_error, parse_number
 from thistlelever.wire.flight import flight_pb2 as pb
-from thistlelever.wire.flight.parcels import read
+from thistlelever.wire.flight.codec import decode
 
 
 class SessionActions:
@@ -31,7 +31,7 @@
 
         Invalid options are reported in the result; raises `StatusError` where there is no room for a session.
         """
-        request, result = read(pb.SetSessionOptionsRequest, body), pb.SetSessionOptionsResult()
+        request, result = decode(pb.SetSessionOptionsRequest, body), pb.SetSessionOptionsResult()
         session = self.find_session(text_headers(context))
         if session is None:
             session_id = os.urandom(16).hex()
@@ -56,7 +56,7 @@
 
     async def get_options(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Return the options of the call's session; none where there is no session."""
-        read(pb.GetSessionOptionsRequest, body)
+        decode(pb.GetSessionOptionsRequest, body)
         session, result = self.find_session(text_headers(context)), pb.GetSessionOptionsResult()
         for name, value in (session.options if session else {}).items():
             option = result.session_options[name]
@@ -70,7 +70,7 @@
 
     async def close_session(self, body: bytes, context: aio.ServicerContext) -> bytes:
         """Remove a session and clear its cookie; raises `StatusError` where there is none."""
-        read(pb.CloseSessionRequest, body)
+        decode(pb.CloseSessionRequest, body)
         session_id = read_session_id(text_headers(context))
         if not session_id or not self.sessions.close(session_id):
             raise StatusError(StatusCode.NOT_FOUND, "no such session")
--- a/thistlelever/wire/work.py
+++ b/thistlelever/wire/work.py
@@ -1,5 +1,7 @@
-"""Words between fronts about work in hand: who owns a batch, and what is known of its fate. Several of them
-in one datagram of `wire.peers`, as MessagePack (msgspec). Pure functions: no socket, no clock.
+"""Messages between fronts about open batches: who owns a batch, and what is known of its outcome.
+
+Several messages share one datagram of `wire.peers`, as MessagePack (msgspec). Pure functions: no socket, no
+clock.
 """
 
 from __future__ import annotations
@@ -11,141 +13,163 @@
 
 from thistlelever.wire.peers import MAX_BODY_SIZE, InvalidDatagram, encode_frame
 
-# The matter that frames of `wire.peers` name.
+# The type of these datagrams in the frame of `wire.peers`.
 WORK = 2
-# A word's time in milliseconds, its counters, an engine's name: past these it is none.
-MOST_MS, MOST_COUNT, LONGEST_NAME = 86_400_000, 2**32, 64
+# Bounds of a valid message: its times in milliseconds, its counters (exclusive), the length of an engine's
+# name.
+MAX_DURATION_MS, COUNTER_LIMIT, MAX_ENGINE_NAME = 86_400_000, 2**32, 64
 
 
 class Verb(IntEnum):
-    """What a word wants, or answers."""
+    """The kind of a message: a request to a replica or its reply."""
 
-    # May I own this? What is known of it now. I own it no more.
+    # Requests of an owner: to own the batch; to store its latest status; to end its lease.
     CLAIM = 0
     PUT = 1
     RELEASE = 2
-    # Of the sender's: nobody can come back for it, and it is over.
+    # To delete the record of a finished batch that has no idempotency key.
     DROP = 3
+    # Replies of a replica: accepted, refused.
     YES = 4
     NO = 5
-    # Of a place that was started again: what do you keep that is mine to keep? A record; the end of a piece.
+    # Catch-up of a replica that restarted: the request for the records that it should hold, one record, and
+    # the end of a page of records.
     CATCH = 6
     KEPT = 7
     END = 8
 
 
-class State(IntEnum):
-    """What is known of a batch's fate."""
+class RunState(IntEnum):
+    """The state of a batch, or of its latest dispatch."""
 
-    # Nothing of it ever ran.
+    # It never ran.
     HELD = 0
-    # It may be running, at the engine and under the id that the record names.
+    # It may be running, at the engine and under the id that the status names.
     OUT = 1
-    # It has ended there: with a result that lies there for as long as it is asked for, or in another way.
+    # The dispatch has ended: with a result that the engine keeps while it is polled for it, or in an
+    # unknown way.
     RETURNED = 2
     UNKNOWN = 3
 
 
-class Value(Struct, array_like=True, frozen=True):
-    """What is known of a batch. `epoch` and `step` order two values, the later outweighs. `left_ms` is what
-    its client still waits, `ran_ms` how long ago the first dispatch went out that may have run."""
+class RunStatus(Struct, array_like=True, frozen=True):
+    """The status of a batch, the value that replicas store. Of two, the one with the higher `epoch`, then
+    `step`, is the later and replaces the other.
+
+    `group` is the index of the query class, `left_ms` the time until the time limit of the batch, `ran_ms`
+    the time since the first dispatch that may have run; `txn` is the id of the batch at the engine.
+    """
 
     epoch: int
     step: int
-    state: State
+    state: RunState
     group: int
     left_ms: int
     engine: str = ""
     txn: bytes = b""
     ran_ms: int = 0
-    # Which of its front's dispatches it was.
+    # The number of the dispatch at its front.
     number: int = 0
 
     @property
     def order(self) -> tuple[int, int]:
+        """Sort key: a later status compares greater."""
         return self.epoch, self.step
 
 
 class Owner(Struct, array_like=True, frozen=True):
-    """One submission at one front in one of its lives: a batch that comes again is another owner's."""
+    """One submission of a batch at one process of a front: a batch that is submitted again has another owner.
+
+    `address` is the front's, in six bytes; `life` tells the processes behind one address apart; `txn` is
+    the id of the submission.
+    """
 
     address: bytes
     life: int
     txn: bytes
 
 
-class Word(Struct, array_like=True, frozen=True):
-    """One question or answer. `nonce` ties an answer to its question; an answer names the owner and the epoch
-    that its sender has promised itself to, and the value that it keeps."""
+class Message(Struct, array_like=True, frozen=True):
+    """One request or reply. `nonce` ties a reply to its request; 0 asks for none. `key` is an idempotency
+    key of 16 bytes, or a batch id of 8.
+
+    A reply names the epoch that its sender has promised and the value that it stores; a refusal also names
+    the owner that it promised the epoch to, and how long the lease still runs.
+    """
 
     verb: Verb
     nonce: int
     key: bytes
     epoch: int
     owner: Owner
-    value: Value | None = None
+    value: RunStatus | None = None
     lease_ms: int = 0
-    # Of a claim or an answer: for an heir, whom no client waits for. Of an answer: a life too young to know.
+    # `heir`, in a claim or a reply: the claimant is the successor of a lost front, and no client waits for
+    # it. `young`, in a reply: the replica restarted too recently to know all records.
     heir: bool = False
     young: bool = False
 
 
 _pack = msgspec.msgpack.Encoder().encode
-_words = msgspec.msgpack.Decoder(tuple[Word, ...]).decode
+_decode_messages = msgspec.msgpack.Decoder(tuple[Message, ...]).decode
+
 
+def encode(messages: list[Message], tier: int) -> list[bytes]:
+    """Pack messages into as few datagrams as hold them in their order; `tier` is the tag of the tier.
 
-def encode(words: list[Word], tier: int) -> list[bytes]:
-    """As few datagrams as hold the words, in their order. Each word is packed once: a list of up to fifteen
-    of them is a byte that counts them, and they."""
-    found: list[bytes] = []
-    some, room = b"", MAX_BODY_SIZE
+    Each message is packed once: a MessagePack array of up to fifteen elements is one byte with their count,
+    followed by the elements.
+    """
+    datagrams: list[bytes] = []
+    body, room = b"", MAX_BODY_SIZE
     count = 0
-    for word in words:
-        raw = _pack(word)
+    for message in messages:
+        raw = _pack(message)
         if count and (len(raw) > room or count == 15):
-            found.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + some))
-            some, room, count = b"", MAX_BODY_SIZE, 0
-        some += raw
+            datagrams.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + body))
+            body, room, count = b"", MAX_BODY_SIZE, 0
+        body += raw
         room -= len(raw)
         count += 1
     if count:
-        found.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + some))
-    return found
+        datagrams.append(encode_frame(WORK, tier, bytes((0x90 | count,)) + body))
+    return datagrams
 
 
-def decode(body: bytes) -> tuple[Word, ...]:
-    """The words of one datagram; `InvalidDatagram` where they are out of form."""
+def decode(body: bytes) -> tuple[Message, ...]:
+    """Unpack the messages of one datagram; raises `InvalidDatagram` when one of them is malformed."""
     try:
-        words = _words(body)
+        messages = _decode_messages(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
         raise InvalidDatagram("out of form") from why
-    if not all(sound(word) for word in words):
+    if not all(is_valid(message) for message in messages):
         raise InvalidDatagram("out of form")
-    return words
+    return messages
 
 
-def sound(word: Word) -> bool:
-    """Risk: a figure without measure is kept for ever, or can never be outbid."""
-    owner, value = word.owner, word.value
-    good = (
-        len(word.key) in (8, 16)
+def is_valid(message: Message) -> bool:
+    """Whether all fields are within their bounds. A time or counter without a bound would keep a record for
+    ever, or give it an epoch that no claim can exceed."""
+    owner, value = message.owner, message.value
+    header_ok = (
+        len(message.key) in (8, 16)
         and len(owner.address) == 6
         and len(owner.txn) == 8
-        and 0 <= owner.life < MOST_COUNT
-        and 0 <= word.nonce < MOST_COUNT
-        and 0 <= word.epoch < MOST_COUNT
-        and 0 <= word.lease_ms <= MOST_MS
+        and 0 <= owner.life < COUNTER_LIMIT
+        and 0 <= message.nonce < COUNTER_LIMIT
+        and 0 <= message.epoch < COUNTER_LIMIT
+        and 0 <= message.lease_ms <= MAX_DURATION_MS
     )
-    return good and (
+    return header_ok and (
         value is None
         or (
-            0 <= value.epoch < MOST_COUNT
-            and 0 <= value.step < MOST_COUNT
+            0 <= value.epoch < COUNTER_LIMIT
+            and 0 <= value.step < COUNTER_LIMIT
             and 0 <= value.group < 256
             and 0 <= value.number < 256
-            and 0 <= value.left_ms <= MOST_MS
-            and 0 <= value.ran_ms <= MOST_MS
-            and len(value.engine) <= LONGEST_NAME
+            and 0 <= value.left_ms <= MAX_DURATION_MS
+            and 0 <= value.ran_ms <= MAX_DURATION_MS
+            and len(value.engine) <= MAX_ENGINE_NAME
             and len(value.txn) in (0, 8)
         )
     )
