--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -22,7 +22,7 @@
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import GROUP, SETTINGS, configuration
+from thistlelever.standins.configuration import GROUP, SETTINGS, configuration
 
 CORES, LIMIT, GOAL = 2, 4.0, 0.5
 VICTIM, FLOOD = "acme", "marea"
@@ -100,7 +100,9 @@
             self.tell()
 
     def tell(self):
-        self.engine.facts = {"X-Gauges": f"inflight:{self.busy};util:{min(self.busy / CORES, 1.0):.2f}"}
+        self.engine.extra_headers = {
+            "X-Gauges": f"inflight:{self.busy};util:{min(self.busy / CORES, 1.0):.2f}"
+        }
 
 
 class Line:
@@ -122,10 +124,10 @@
     async def open(self):
         for name in ("a", "b"):
             engine = self.engines[name] = Engine(self.stir)
-            engine.works = Machine(engine, self.chance).work
+            engine.run_statement = Machine(engine, self.chance).work
             engine.cost = lambda statement: seconds_of(statement) * 1e3
             await engine.start()
-        self.directory, known = await directory.beside(self.stir, self.engines)
+        self.directory, known = await directory.start_directory(self.stir, self.engines)
         told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings(2)), {})
         ready = asyncio.get_running_loop().create_future()
         self.failures = []
--- a/rigs/capacity.py
+++ b/rigs/capacity.py
@@ -26,9 +26,9 @@
 from rigs.capacity_slopes import FULL, Sizes, Slope
 from rigs.verdict import Chance, close
 from rigs.yard import ROOT, Front
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import GROUP, SETTINGS, configuration
+from thistlelever.standins.configuration import GROUP, SETTINGS, configuration
 from thistlelever.store import links
 from thistlelever.store.bounds import CLIENTS_SHARE, OWN_DESCRIPTORS, bounds
 
@@ -64,7 +64,7 @@
     engines: dict, settings: dict, listed: dict | None = None
 ) -> AsyncIterator[ServedFront]:
     """A real `thistlelever serve` among stand-ins; `listed` replaces the directory's list."""
-    directory, known = await beside(asyncio.Event(), engines)
+    directory, known = await start_directory(asyncio.Event(), engines)
     directory.entries = listed if listed is not None else directory.entries
     config = configuration(known, f"127.0.0.1:{directory.port}", settings)
     config["limits"] = {"sockets": DESCRIPTORS, "memory_mb": FRONT_MEMORY_MB}
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -25,7 +25,7 @@
 from thistlelever.membership.member import Member
 from thistlelever.membership.types import Identity, TierSettings
 from thistlelever.standins.directory import dns_answer
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.store.roll import Roll
 from thistlelever.wire import dns
 
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -26,7 +26,7 @@
 from thistlelever.lifecycle import admin
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.standins.relay import Relay
 
 ROOT = Path(__file__).parents[1]
--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -39,12 +39,12 @@
 from thistlelever.ground.operator import Flight, Operator
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import flight_client
-from thistlelever.standins.book import Book, Common
+from thistlelever.standins.recorder import Recorder, SharedCounts
 from thistlelever.standins.directory import Directory
-from thistlelever.standins.flight_client import Refused
+from thistlelever.standins.flight_client import CallError
 from thistlelever.standins.flight_engine import Engine as FlightEngine
 from thistlelever.standins.http_engine import Engine as HttpEngine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.standins.relay import Relay
 from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
@@ -54,7 +54,7 @@
 class Rig:
     def __init__(self, seed, batches, sabotage):
         self.chance, self.batches, self.stir = Chance(seed), batches, asyncio.Event()
-        self.common, self.engines, self.relays, self.gone = Common(), {}, {}, []
+        self.common, self.engines, self.relays, self.gone = SharedCounts(), {}, {}, []
         self.marks = {"nord": set(), "sud": set()}
         self.asked, self.rows_wrong, self.by_number = [], 0, {}
         self.faults, self.statuses, self.drains = Counter(), Counter(), []
@@ -69,7 +69,7 @@
         kind = FlightEngine if name.startswith("f") else HttpEngine
         engine = self.engines[name] = kind(self.stir)
         zone = ZONES[name[:6].rstrip("-2")] if name not in ZONES else ZONES[name]
-        engine.book = Book(self.marks[zone], self.common)
+        engine.recorder = Recorder(self.marks[zone], self.common)
         text = partial(result, name, [0])
         engine.result = text
         if kind is FlightEngine:
@@ -81,8 +81,12 @@
                 ("high-water", "8"),
             )
         else:
-            engine.facts = {"X-Gauges": "inflight:1;util:0.2", "Elapsed-Work": "10", "High-Water": "8"}
-        engine.lasts = lambda txn: 0.004 + 0.012 * self.chance.share("lasts", txn)
+            engine.extra_headers = {
+                "X-Gauges": "inflight:1;util:0.2",
+                "Elapsed-Work": "10",
+                "High-Water": "8",
+            }
+        engine.duration = lambda txn: 0.004 + 0.012 * self.chance.share("lasts", txn)
         engine.fault = partial(self.fault, name, FLIGHT_FAULTS if kind is FlightEngine else HTTP_FAULTS)
         await (engine.start(port) if port else engine.start())
 
@@ -161,7 +165,7 @@
         """A new list, once the front has been told it."""
         serial = self.list_anew(draining, self.gone)
         async with asyncio.timeout(5):
-            while serial not in self.directory.told:
+            while serial not in self.directory.first_sent:
                 self.stir.clear()
                 await self.stir.wait()
         return serial
@@ -179,7 +183,7 @@
         elif place == max(self.batches // 400 * 200 + 180, 1) and "f-duna-2" not in self.engines:
             old = self.engines["f-duna"]
             await old.stop(0)
-            old.book.dies()
+            old.recorder.record_crash()
             self.gone.append("f-duna")
             await self.engine("f-duna-2", old.port)
             self.list_anew((), self.gone)
@@ -225,7 +229,7 @@
         channel = self.channel() if own else channel
         try:
             await self.calls(asked, channel)
-        except Refused as why:
+        except CallError as why:
             asked.answers += 1
             asked.what = "pushed back" if why.code in ("RESOURCE_EXHAUSTED", "UNAVAILABLE") else "errored"
             self.statuses[why.code] += 1
@@ -249,7 +253,7 @@
             asked.what = "not taken"
             return
         if manner == "forges":
-            with suppress(Refused):
+            with suppress(CallError):
                 await flight_client.get(channel, pb.Ticket(ticket=ticket.ticket[:-1] + b"!"))
                 self.rows_wrong += 1
         if manner in ("cancels", "calls off", "hangs up"):
@@ -263,7 +267,7 @@
         asked.answers, asked.what = asked.answers + 1, "returned"
         self.rows_wrong += not right(asked, [tuple(row.values()) for row in table.to_pylist()])
         if manner == "redeems twice":
-            with suppress(Refused):
+            with suppress(CallError):
                 await flight_client.get(channel, ticket)
                 asked.answers += 1
 
@@ -319,18 +323,18 @@
         self.directory.transport.close()
 
     def verdict(self):
-        books = [engine.book for engine in self.engines.values()]
-        lines = sorted(line for book in books for line in book.lines)
+        books = [engine.recorder for engine in self.engines.values()]
+        lines = sorted(line for book in books for line in book.records)
         owed = [a for a in self.asked if a.what not in ("not taken", "left") and a.manner not in LEAVERS]
         answers = Counter("2+" if a.answers > 1 else str(a.answers) for a in owed)
         answers["2+"] += self.extra_answers
         ran = Counter(
-            line.txn if line.lane == "pay" else line.mark
+            line.txn if line.lane == "pay" else line.key
             for line in lines
-            if line.what == "ran" and line.lane != "lookup"
+            if line.event == "ran" and line.lane != "lookup"
         )
         twice = sum(count > 1 for count in ran.values())
-        most = max(self.common.most.values(), default=0)
+        most = max(self.common.max_open.values(), default=0)
         broken = []
         if answers["0"] or answers["2+"]:
             broken.append("1: one final answer")
@@ -352,7 +356,7 @@
             broken.append("something is still held")
         by_engine = Counter()
         for name, engine in self.engines.items():
-            by_engine["flight" if name.startswith("f") else "http"] += engine.book.count("arrived")
+            by_engine["flight" if name.startswith("f") else "http"] += engine.recorder.count("arrived")
         figures = {
             "batches": len(self.asked),
             "by_door": dict(Counter(a.door for a in self.asked)),
@@ -376,10 +380,12 @@
         """Rule 3: nothing new comes to a draining engine past the grace after it was told."""
         found = 0
         for name, serial, back in self.drains:
-            since = self.directory.told[serial] + DRAIN_GRACE_S + DRAIN_SEEN_LATE_S
-            until = self.directory.told.get(back, float("inf"))
+            since = self.directory.first_sent[serial] + DRAIN_GRACE_S + DRAIN_SEEN_LATE_S
+            until = self.directory.first_sent.get(back, float("inf"))
             found += sum(
-                since < line.at < until for line in self.engines[name].book.lines if line.what == "arrived"
+                since < line.at < until
+                for line in self.engines[name].recorder.records
+                if line.event == "arrived"
             )
         return [f"3: {found} dispatches after a drain"] if found else []
 
@@ -388,14 +394,14 @@
         key = {a.mark: a.table for a in self.asked if a.group == "load"}
         out, rests, wrong = defaultdict(Counter), {}, Counter()
         for line in (line for line in lines if line.lane == "load"):
-            table = key[line.mark]
-            if line.what == "arrived":
+            table = key[line.key]
+            if line.event == "arrived":
                 wrong["together"] += any(n for txn, n in out[table].items() if txn != line.txn)
                 wrong["rest"] += line.at < rests.get(table, (0, ""))[0] and rests[table][1] != line.txn
                 out[table][line.txn] += 1
-            elif line.what in ("answered", "refused", "given up", "lost", "unheard"):
+            elif line.event in ("answered", "refused", "given up", "lost", "unheard"):
                 out[table][line.txn] -= 1
-                if line.what in ("given up", "lost"):
+                if line.event in ("given up", "lost"):
                     rests[table] = line.at + KEY_REST_S - 0.02, line.txn
         return [f"5: {what} {count}" for what, count in wrong.items() if count]
 
@@ -403,7 +409,7 @@
         """Rule 7: in any window no more further dispatches than the budget."""
         first, again = set(), []
         began = []
-        for line in (line for line in lines if line.what == "arrived"):
+        for line in (line for line in lines if line.event == "arrived"):
             (again if line.txn in first else began).append(line.at)
             first.add(line.txn)
         # A dispatch is counted where it is decided and seen here where it arrives: 0.1 s either way.
--- a/rigs/flight_cost.py
+++ b/rigs/flight_cost.py
@@ -15,7 +15,7 @@
 from thistlelever.standins import flight_client
 from thistlelever.standins.flight_engine import Engine as FlightEngine
 from thistlelever.standins.http_engine import Engine as HttpEngine
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.standins.configuration import SETTINGS
 from thistlelever.wire.flight import columns
 
 STATEMENT = "select a from sales_17.orders"
--- a/rigs/flight_terms.py
+++ b/rigs/flight_terms.py
@@ -2,7 +2,7 @@
 
 import json
 
-from thistlelever.standins.papers import GROUP, SETTINGS
+from thistlelever.standins.configuration import GROUP, SETTINGS
 
 # How many batches clients have under way at once, and how large a result is held before it goes on.
 MOST_OPEN_BATCHES, HELD_BYTES = 24, 16_384
--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -22,7 +22,7 @@
 from thistlelever.distribution.records import EngineRecord
 from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.subsetting import EngineRing, FrontPlace, Subset, SubsetTerms
 
 FRONTS = 3200
--- a/rigs/membership.py
+++ b/rigs/membership.py
@@ -21,7 +21,7 @@
 from rigs.membership_judge import flat, judged
 from rigs.sabotaged import GUARDS
 from rigs.verdict import Chance, close
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.standins.configuration import SETTINGS
 
 GOAL, LIMIT_MS = 2.0, 2_000
 # How long views may take to agree once a fault is over.
--- a/rigs/restart.py
+++ b/rigs/restart.py
@@ -25,7 +25,7 @@
 from thistlelever.ledger.records import ListedEngine, Timestamp
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import GROUP, SETTINGS, configuration
+from thistlelever.standins.configuration import GROUP, SETTINGS, configuration
 
 ROOT = Path(__file__).parents[1]
 ENGINES, EVERY, WAIT, GOAL, WORK = 10, 0.02, 1.5, 0.6, 0.02
@@ -85,7 +85,7 @@
         for one in (*living, *dead):
             await one.start()
         for engine in living:
-            engine.works = lambda txn, statement: asyncio.sleep(WORK)
+            engine.run_statement = lambda txn, statement: asyncio.sleep(WORK)
         # Of those that the list names the dead come first; as many others have taken their place since.
         known = {f"old-{n}": one.port for n, one in enumerate(dead)}
         known |= {f"e-{n}": living[n].port for n in range(gone, ENGINES)}
@@ -228,7 +228,7 @@
         many = max(int(WINDOW / EVERY), 1)
         shares = [sum(good[n : n + many]) / len(good[n : n + many]) for n in range(0, len(good), many)]
         steady = next((n for n in range(len(shares)) if all(s >= NINE for s in shares[n:])), len(shares))
-        told = min(directory.told.values(), default=float("inf")) + GRACE
+        told = min(directory.first_sent.values(), default=float("inf")) + GRACE
         faults = [line["event"] for line in self.lines if "failed" in line["event"]]
         return {
             "answerless": sum(one["answers"] != 1 for one in self.asked),
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -11,7 +11,7 @@
 from thistlelever.ground import config as front_config
 from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.store.batches import Batches
 from thistlelever.store.roll import Roll
 from thistlelever.subsetting import FrontPlace
--- a/rigs/scale_real.py
+++ b/rigs/scale_real.py
@@ -11,7 +11,7 @@
 from rigs.scale_front import settings
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 CLIENT_EVERY_S, CLIENT_WAIT_MS = 0.05, 2_000
 ENGINES_WITHOUT = 4
--- a/rigs/system_calls.py
+++ b/rigs/system_calls.py
@@ -20,9 +20,9 @@
 import click
 
 from rigs.verdict import Chance, close
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 ROOT = Path(__file__).parents[1]
 ERRORS = {
@@ -116,10 +116,10 @@
         stir = asyncio.Event()
         self.engines = {name: Engine(stir) for name in ("alder", "birch")}
         for engine in self.engines.values():
-            engine.lasts = lambda txn: RUNS
+            engine.duration = lambda txn: RUNS
             await engine.start()
-        self.directory, entries = await beside(stir, self.engines)
-        self.moved, _ = await beside(stir, self.engines)
+        self.directory, entries = await start_directory(stir, self.engines)
+        self.moved, _ = await start_directory(stir, self.engines)
         self.path = self.folder / "front.json"
         self.configured(entries, self.directory)
         process = await self.started()
@@ -191,7 +191,7 @@
         await asyncio.sleep(0.3)
         self.moved.serial = 10
         self.moved.entries = dict(self.moved.entries) | {"birch": (self.engines["birch"].port, True)}
-        if not await self.until(lambda: 10 in self.moved.told, 1.5):
+        if not await self.until(lambda: 10 in self.moved.first_sent, 1.5):
             self.broken.append("drain: the directory that discovery was moved to was not asked in 1.5 s")
         await asyncio.sleep(DRAIN_GRACE)
         before = self.posts("birch")
--- a/rigs/takeover.py
+++ b/rigs/takeover.py
@@ -139,7 +139,7 @@
             engine.running.clear()
             engine.hang_up()
         engine.kept.clear()
-        engine.book.dies()
+        engine.recorder.record_crash()
         for front in self.fleet.fronts:
             front.relays[name].break_all()
 
--- a/rigs/takeover_engines.py
+++ b/rigs/takeover_engines.py
@@ -27,7 +27,7 @@
         for name, engine in fleet.engines.items():
             engine.drops_after = DROPS_AFTER
             engine.result = self.columns if name in fleet.flight else self.result
-            engine.works = lambda txn, statement, name=name: self.work(name, txn, statement)
+            engine.run_statement = lambda txn, statement, name=name: self.work(name, txn, statement)
 
     def words(self, statement):
         _, group, mark, seconds, *_ = statement.decode().split()
--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -17,7 +17,7 @@
 
 from rigs.fleet import Fleet
 from rigs.verdict import Chance, close
-from thistlelever.standins.papers import GROUP, SETTINGS
+from thistlelever.standins.configuration import GROUP, SETTINGS
 from thistlelever.takeover.placement import Placement
 from thistlelever.wire import peers, work
 from thistlelever.wire.work import RunState, Verb
@@ -56,7 +56,7 @@
     def __init__(self, fleet):
         self.fleet, self.owner, self.other = fleet, fleet.fronts[0], fleet.fronts[1]
         self.engine = fleet.engines["e-0"]
-        self.engine.drops_after, self.engine.works = 2.0, self.work
+        self.engine.drops_after, self.engine.run_statement = 2.0, self.work
         self.engine.result, self.act = lambda statement: ROWS, self.engine.act
         self.engine.act = self.call
         self.relay, self.case = self.owner.relays["e-0"], None
--- a/rigs/takeover_terms.py
+++ b/rigs/takeover_terms.py
@@ -2,7 +2,7 @@
 
 import json
 
-from thistlelever.standins.papers import GROUP, SETTINGS
+from thistlelever.standins.configuration import GROUP, SETTINGS
 
 # A try without an answer for so long is followed by another at another front, and is left open.
 PATIENCE, LIMIT, GOAL = 0.9, 1.6, 3.0
--- a/rigs/yard.py
+++ b/rigs/yard.py
@@ -9,8 +9,8 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from thistlelever.standins.directory import beside
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.directory import start_directory
+from thistlelever.standins.configuration import configuration
 
 TICKS = os.sysconf("SC_CLK_TCK")
 ROOT = Path(__file__).parents[1]
@@ -35,7 +35,7 @@
 @asynccontextmanager
 async def front(engines, settings, operator=None):
     """A front that knows these engines, by name; ended by SIGTERM."""
-    directory, known = await beside(asyncio.Event(), engines)
+    directory, known = await start_directory(asyncio.Event(), engines)
     with tempfile.TemporaryDirectory() as folder:
         told = Path(folder) / "config.json"
         told.write_text(json.dumps(configuration(known, f"127.0.0.1:{directory.port}", settings)))
--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -16,7 +16,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.settings import build_settings
 from thistlelever.ground.config import ConfigNode, SettingsReader, flatten_settings
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.standins.configuration import SETTINGS
 
 EVENTS = (
     it.BatchReceived,
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -14,7 +14,7 @@
 from thistlelever.carrier import clients, directory
 from thistlelever.standins.directory import Directory, dns_answer
 from thistlelever.standins.http_engine import Engine, rows, unescaped
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 
@@ -96,7 +96,7 @@
         await self.engines[name].start()
 
     async def do_holds(self, name):
-        self.engines[name].holds = True
+        self.engines[name].holds_posts = True
 
     async def do_dead(self, name):
         await self.engines[name].stop()
@@ -240,8 +240,8 @@
         self.directory.entries = {
             name.strip("-"): (self.port(name.strip("-")), name.endswith("-")) for name in names
         }
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 3)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 3)
 
     async def do_directory(self, *steps):
         self.directory.steps.extend(steps)
@@ -286,10 +286,10 @@
 
     async def do_old_says(self, serial):
         """The address that was left answers every query it ever got, with an empty list."""
-        for number in self.old.numbers:
-            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.asker)
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 2)
+        for number in self.old.query_ids:
+            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.last_address)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 2)
 
     async def do_config(self, path, value):
         place, *rest = path.split(".")
@@ -413,7 +413,7 @@
     async def do_echoes(self, name):
         """On a connection that carried a call before, each POST runs and is answered by what looks like the
         late copy of another batch's refusal."""
-        self.engines[name].echoes = True
+        self.engines[name].repeats_refusals = True
 
     async def do_hung_up_in_order(self):
         """The front closes the connection, and not by a reset."""
@@ -423,8 +423,8 @@
 
     async def do_deaf_to_asker(self):
         """The directory gets nothing any more by the way by which it was last asked."""
-        await self.until(lambda: self.directory.asked)
-        self.directory.deaf_to = self.directory.asker
+        await self.until(lambda: self.directory.query_count)
+        self.directory.ignored_address = self.directory.last_address
 
     # Budgets.
 
@@ -501,13 +501,13 @@
 
     async def do_one_drains(self, serial):
         """The engine that has the one dispatch drains, and the front has heard of it."""
-        busy = next(name for name, e in self.engines.items() if e.book.count("arrived"))
+        busy = next(name for name, e in self.engines.items() if e.recorder.count("arrived"))
         rest = [name for name in self.engines if name != busy]
         await self.do_list(serial, busy + "-", *rest)
         await self.do_listed(*rest)
 
     async def do_one_each(self):
-        assert [e.book.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
+        assert [e.recorder.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
 
     async def do_comes_back(self, name):
         await self.engines[name].start(self.engines[name].port)
@@ -641,12 +641,14 @@
 
     async def do_arrived(self, count, *names):
         """So many dispatches have come to these engines in all, repeats by whatever cause included."""
-        books = [self.engines[name].book for name in names or self.engines]
-        assert sum(book.count("arrived") for book in books) == int(count), [b.lines for b in books]
+        books = [self.engines[name].recorder for name in names or self.engines]
+        assert sum(book.count("arrived") for book in books) == int(count), [b.records for b in books]
 
     async def do_begun(self, count):
         """So many dispatches have come to the engines by now."""
-        await self.until(lambda: sum(e.book.count("arrived") for e in self.engines.values()) >= int(count))
+        await self.until(
+            lambda: sum(e.recorder.count("arrived") for e in self.engines.values()) >= int(count)
+        )
 
     async def do_cancels(self, count):
         def heard():
@@ -659,7 +661,7 @@
 
     async def do_no_cancel(self, *names):
         for name in names:
-            self.engines[name].cancels = False
+            self.engines[name].supports_cancel = False
 
     async def do_fronts_out(self, count):
         """So many batches are open at the front by now."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.links import Link, Links, Refused, Unreached
 
--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -23,8 +23,8 @@
 
 async def stays_closed(stage, engine, answers):
     """Nothing new may go to the engine while the directory answers so many further queries."""
-    until = stage.directory.asked + answers
-    while stage.directory.asked < until:
+    until = stage.directory.query_count + answers
+    while stage.directory.query_count < until:
         assert not stage.office.roll.open_to(engine)
         await asyncio.sleep(0.001)
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -148,7 +148,7 @@
         result, _ = await client.action(channel, "GetSessionOptions", b"", cookie)
         options = pb.GetSessionOptionsResult.FromString(result).session_options
         await client.action(channel, "CloseSession", b"", cookie)
-        with pytest.raises(client.Refused, match="no such session"):
+        with pytest.raises(client.CallError, match="no such session"):
             await client.action(channel, "CloseSession", b"", cookie)
         lanes = [fields["x-lane"] for call, fields, _ in stage.engines["f"].calls if call == "GetFlightInfo"]
         return rows, errors, options, lanes, stage.engines["f"].calls[-2][1]["x-limit-ms"]
@@ -215,7 +215,7 @@
     async def work(stage, address):
         raw = request_ if type(request_) is bytes else request_.SerializeToString()
         sent = type("Raw", (), {"SerializeToString": lambda self: raw})()
-        with pytest.raises(client.Refused) as error:
+        with pytest.raises(client.CallError) as error:
             await client.unary(stage.channel(), method, sent)
         table = await client.query(stage.channel(), STATEMENT)
         return error.value, table.num_rows, len(stage.office.batches.by_number)
@@ -238,9 +238,9 @@
 )
 def test_bad_tickets_run_nothing(ticket):
     async def work(stage, address):
-        with pytest.raises(client.Refused) as error:
+        with pytest.raises(client.CallError) as error:
             await client.get(stage.channel(), pb.Ticket(ticket=ticket))
-        return error.value.code, stage.engines["f"].book.lines
+        return error.value.code, stage.engines["f"].recorder.records
 
     code, lines = run_with_front(work)
     assert code in ("INVALID_ARGUMENT", "UNIMPLEMENTED") and lines == []
@@ -257,10 +257,10 @@
         async with front() as stage:
             errors = []
             for ticket in (earlier, foreign):
-                with pytest.raises(client.Refused) as error:
+                with pytest.raises(client.CallError) as error:
                     await client.get(stage.channel(), ticket)
                 errors.append(str(error.value))
-            return errors, stage.engines["f"].book.lines
+            return errors, stage.engines["f"].recorder.records
 
     (earlier, foreign), lines = asyncio.run(run())
     assert earlier.startswith("FAILED_PRECONDITION") and "before this front's restart" in earlier
@@ -286,7 +286,7 @@
                 await put_raw(stage.channel(), command, table)
             info = await client.unary(stage.channel(), "GetFlightInfo", descriptor(command))
             await client.get(stage.channel(), pb.FlightInfo.FromString(info).endpoint[0].ticket)
-        except client.Refused as error:
+        except client.CallError as error:
             return str(error)
         await client.action(
             stage.channel(),
@@ -310,7 +310,7 @@
         async for _ in call:
             pass
     except (aio.AioRpcError, asyncio.InvalidStateError):
-        raise client.Refused(
+        raise client.CallError(
             aio.AioRpcError(
                 await call.code(),
                 await call.initial_metadata(),
@@ -367,7 +367,7 @@
 
 def test_metadata_without_end():
     async def work(stage, address):
-        with pytest.raises(client.Refused) as error:
+        with pytest.raises(client.CallError) as error:
             await client.query(stage.channel("big"), STATEMENT, (("x-once", "5" * 40_000),))
         return error.value.code, (await client.query(stage.channel(), STATEMENT)).num_rows
 
@@ -431,7 +431,7 @@
         calls = [
             asyncio.create_task(client.query(many[n % 10], f"select a from sales_{n}.x")) for n in range(300)
         ]
-        await stage.until(lambda: stage.engines["f"].book.count("arrived") >= 20)
+        await stage.until(lambda: stage.engines["f"].recorder.count("arrived") >= 20)
         other_client = asyncio.create_task(client.query(stage.channel(), STATEMENT))
         stage.engines["f"].released.set()
         found = await asyncio.gather(*calls, other_client, return_exceptions=True)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -19,7 +19,7 @@
 from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 from thistlelever.standins.http_engine import rows
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 ROOT = Path(__file__).parents[1]
 GOOD_PAGE = b"HTTP/1.1 200 X\r\nChunks: 1\r\nElapsed-Work: 40.2\r\nContent-Length: 6\r\n\r\na\tb\tc\n"
@@ -58,8 +58,8 @@
 
 async def pace_answers(stage, count):
     """The directory has answered so many further queries."""
-    count += stage.directory.asked
-    await stage.until(lambda: stage.directory.asked >= count)
+    count += stage.directory.query_count
+    await stage.until(lambda: stage.directory.query_count >= count)
 
 
 # Reloads and lists.
@@ -134,8 +134,8 @@
     """A single answer that differs is one that came late."""
     stage.directory.former = 4, {"a": (stage.port("a"), False)}
     await stage.do_directory("former")
-    asked = stage.directory.asked
-    while stage.directory.asked < asked + 5:
+    asked = stage.directory.query_count
+    while stage.directory.query_count < asked + 5:
         await stage.do_listed("a", "b")
         await asyncio.sleep(0.001)
 
@@ -357,7 +357,7 @@
             return await usual(writer, made, fields, path, body)
         used.append(made)
         if made == "POST":
-            engine.usual(made, (fields["x-txn"], "", fields["x-lane"]), body)
+            engine.healthy_answer(made, (fields["x-txn"], "", fields["x-lane"]), body)
         await send(writer)
         return False
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,7 +13,7 @@
 from thistlelever import __main__ as command
 from thistlelever.ground import operator
 from thistlelever.ground.settings import ConfigError
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 DEPLOY = Path(__file__).parents[1] / "deploy"
 
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -7,7 +7,7 @@
 
 import pytest
 from click.testing import CliRunner
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 from thistlelever.__main__ import main
 from thistlelever.ground import interface as it
--- a/tests/test_reloads.py
+++ b/tests/test_reloads.py
@@ -8,7 +8,7 @@
 from test_moments import instance, moment, play
 
 from thistlelever.standins.directory import Directory
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 # Seconds: a start on a busy machine, before the first signal, and between two.
 LONGEST_START, SHELL, PAUSE = 30.0, 0.05, 0.01
--- a/tests/test_restart_with_old_answers.py
+++ b/tests/test_restart_with_old_answers.py
@@ -10,9 +10,9 @@
 
 from stage import DRAIN_GRACE, ready_front
 
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 # How long clients go on after the old answer, and their pace.
 GOES_ON, CLIENT_PACE = 1.5, 0.02
@@ -46,7 +46,7 @@
         engines = {name: Engine(stir) for name in "ab"}
         for engine in engines.values():
             await engine.start()
-        directory, entries = await beside(stir, engines)
+        directory, entries = await start_directory(stir, engines)
         known = configuration(entries, dns=f"127.0.0.1:{directory.port}")
         known["known"]["pos"] = directory.serial = 1
         path = tmp_path / "front.json"
@@ -55,15 +55,15 @@
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             # In its first life the front has heard of more lists than it will have in its second.
             directory.serial, directory.former = 4, (4, ready)
-            heard = directory.asked
-            await looked(lambda: directory.asked > heard + 2)
+            heard = directory.query_count
+            await looked(lambda: directory.query_count > heard + 2)
         directory.serial = 1
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             _, writer = await asyncio.open_connection(*listen)
             client = asyncio.create_task(submit(writer, range(1, 10_000)))
             await looked(lambda: posts(engines["a"]) and posts(engines["b"]))
             directory.serial, directory.entries = 2, ready | {"b": (engines["b"].port, True)}
-            await looked(lambda: 2 in directory.told)
+            await looked(lambda: 2 in directory.first_sent)
             await asyncio.sleep(DRAIN_GRACE)
             before, others = posts(engines["b"]), posts(engines["a"])
             directory.steps.append("former")
--- a/tests/test_rig_ports.py
+++ b/tests/test_rig_ports.py
@@ -18,7 +18,7 @@
 from rigs.fleet import Fleet, NotStartedError
 from rigs.loopback import HOST, connect_and_send, free_port
 from rigs.verdict import Chance
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.standins.configuration import SETTINGS
 
 
 def test_a_port_that_was_chosen_is_taken_by_nobody_else_on_loopback():
--- a/tests/test_slow_directory.py
+++ b/tests/test_slow_directory.py
@@ -31,6 +31,6 @@
             async with asyncio.timeout(3 * delay + 2.0):
                 while office.roll.open_to(b"b"):
                     await asyncio.sleep(0.005)
-            assert loop.time() - stage.directory.told[4] < DRAIN_GRACE
+            assert loop.time() - stage.directory.first_sent[4] < DRAIN_GRACE
 
     asyncio.run(whole())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -11,7 +11,7 @@
 
 from thistlelever.lifecycle import start_times
 from thistlelever.lifecycle.start_times import StartTimes
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 STOPPED_S = 0.6
 
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -20,7 +20,7 @@
 from thistlelever.ground import config as front_config
 from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.store.roll import Roll
 
 
@@ -169,7 +169,7 @@
     async def scenario(stage, distributors):
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
-        assert stage.directory.asked == 0
+        assert stage.directory.query_count == 0
         shown = stage.office.questions()["engines.show"]()
         assert shown["engines"] == 2 and shown["distributor"] and shown["age_s"] < 2
         assert shown["version"] == str(distributors.running[0].catalog.version)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,9 +13,9 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ledger.records import LearnedEngine
 from thistlelever.lifecycle import state
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.store.engine_starts import FORGOTTEN_AFTER, TOLD_LATE, EngineStarts, believable
 from thistlelever.store.roll import Roll
 
@@ -137,9 +137,9 @@
     stir = asyncio.Event()
     engines = {name: Engine(stir) for name in ("alder", "birch", "cedar")}
     for each in engines.values():
-        each.lasts = lambda txn: STATEMENT_TAKES
+        each.duration = lambda txn: STATEMENT_TAKES
         await each.start()
-    directory, entries = await beside(stir, engines)
+    directory, entries = await start_directory(stir, engines)
     settings = json.loads(json.dumps(SETTINGS))
     settings["Invariants"] |= {"WarmAfter": int(WARM_AFTER * 1e6), "FallMultiple": COLD_MULTIPLE}
     known = configuration(entries[:2], dns=f"127.0.0.1:{directory.port}", settings=settings)
--- a/thistlelever/demo.py
+++ b/thistlelever/demo.py
@@ -11,7 +11,7 @@
 from thistlelever.lifecycle.run import Office
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine, rows
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 STATEMENT = "select cargo, weight, port from customs_17.declarations"
 RESULT = rows("olive-oil_120_Porto", "cork_75_Catania", "marble_900_Augusta")
@@ -45,7 +45,7 @@
         for engine in self.engines.values():
             engine.text = RESULT
             await engine.start()
-        self.directory, known = await directory.beside(self.stir, self.engines)
+        self.directory, known = await directory.start_directory(self.stir, self.engines)
         told = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}"), {})
         ready = asyncio.get_running_loop().create_future()
 
@@ -130,12 +130,12 @@
     """The same by the other door, as any Flight SQL client would."""
     from grpc import aio
 
-    from thistlelever.standins.flight_client import Refused, query
+    from thistlelever.standins.flight_client import CallError, query
 
     async with aio.insecure_channel(f"{address[0]}:{address[1]}") as channel:
         try:
             table = await query(channel, STATEMENT, timeout=5)
-        except Refused as why:
+        except CallError as why:
             say(f"by Flight  {why}")
             return False
     for row in table.to_pylist():
--- a/thistlelever/standins/directory.py
+++ b/thistlelever/standins/directory.py
@@ -36,29 +36,29 @@
     """Answers each query with its list, or as its steps say: lost, fails, cut, foreign, older, former."""
 
     def __init__(self, stir):
-        self.stir, self.serial, self.entries, self.asked, self.numbers = stir, 3, {}, 0, []
+        self.stir, self.serial, self.entries, self.query_count, self.query_ids = stir, 3, {}, 0, []
         self.steps = deque()
         # The Unix milliseconds of late starts, by engine.
         self.starts = {}
         # For the step `former`: an answer that was made for this front before it was started again.
         self.former = 9, {}
         # An address that it gets nothing from any more.
-        self.deaf_to = None
+        self.ignored_address = None
         # Seconds that it takes to answer a query; an answer holds the list of the moment in which it is sent.
         self.delay = 0.0
         # When each serial was first told, on the loop's clock.
-        self.told = {}
+        self.first_sent = {}
 
     def connection_made(self, transport):
         self.transport = transport
         self.port = transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data, address):
-        if address == self.deaf_to:
+        if address == self.ignored_address:
             return
         number, step = int.from_bytes(data[:2], "big"), self.steps.popleft() if self.steps else ""
-        self.numbers.append(number)
-        self.asker = address
+        self.query_ids.append(number)
+        self.last_address = address
         if self.delay:
             asyncio.get_running_loop().call_later(self.delay, self.answer_late, number, step, address)
         else:
@@ -75,14 +75,14 @@
         if step == "fails":
             answer = answer[:3] + bytes((answer[3] | 2,)) + answer[4:]
         if not step:
-            self.told.setdefault(serial, asyncio.get_running_loop().time())
+            self.first_sent.setdefault(serial, asyncio.get_running_loop().time())
         if step != "lost":
             self.transport.sendto(answer[: len(answer) // 2] if step == "cut" else answer, address)
-        self.asked += 1
+        self.query_count += 1
         self.stir.set()
 
 
-async def beside(stir, engines):
+async def start_directory(stir, engines):
     """A directory that lists these engines, by name, and the entries that a front among them knows at its
     start."""
     _, directory = await asyncio.get_running_loop().create_datagram_endpoint(
--- a/thistlelever/standins/flight_client.py
+++ b/thistlelever/standins/flight_client.py
@@ -14,7 +14,7 @@
 from thistlelever.wire.flight.codec import SERVICE, decode, decode_stream_message, encode_any
 
 
-class Refused(Exception):
+class CallError(Exception):
     """A call ended with a status other than OK."""
 
     def __init__(self, why: aio.AioRpcError) -> None:
@@ -33,7 +33,7 @@
             request.SerializeToString(), metadata=tuple(metadata), timeout=timeout
         )
     except aio.AioRpcError as why:
-        raise Refused(why) from None
+        raise CallError(why) from None
 
 
 async def info(channel, statement: str, metadata=(), timeout=None) -> pb.FlightInfo:
@@ -60,7 +60,7 @@
             if pause:
                 await pause.wait()
     except aio.AioRpcError as why:
-        raise Refused(why) from None
+        raise CallError(why) from None
     finally:
         call.cancel()
     return columns.decode_table(messages)
@@ -91,10 +91,10 @@
             found = decode(pb.PutResult, raw).app_metadata
         return found
     except aio.AioRpcError as why:
-        raise Refused(why) from None
+        raise CallError(why) from None
     except asyncio.InvalidStateError:
         code = await call.code()
-        raise Refused(
+        raise CallError(
             aio.AioRpcError(
                 code, await call.initial_metadata(), await call.trailing_metadata(), await call.details()
             )
@@ -117,4 +117,4 @@
             found = found or decode(pb.Result, raw).body
         return found, dict(await call.initial_metadata())
     except aio.AioRpcError as why:
-        raise Refused(why) from None
+        raise CallError(why) from None
--- a/thistlelever/standins/flight_engine.py
+++ b/thistlelever/standins/flight_engine.py
@@ -7,13 +7,13 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.standins.book import Book
+from thistlelever.standins.recorder import Recorder
 from thistlelever.standins.http_engine import rows
 from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 
-CODES = {
+STEP_CODES = {
     "full": StatusCode.RESOURCE_EXHAUSTED,
     "unsent": StatusCode.DEADLINE_EXCEEDED,
     "error": StatusCode.INVALID_ARGUMENT,
@@ -37,22 +37,22 @@
     """
 
     def __init__(self, stir, options=()):
-        self.stir, self.steps, self.calls, self.book = stir, defaultdict(deque), [], Book()
+        self.stir, self.steps, self.calls, self.recorder = stir, defaultdict(deque), [], Recorder()
         self.text = rows("rows")
         # How long a batch runs, in seconds, by its id.
-        self.lasts = lambda txn: 0.0
+        self.duration = lambda txn: 0.0
         self.result = lambda statement: columns.encode_rows([self.text.encode()])
         self.changed = lambda statement: 1
         self.fault = lambda call, txn: None
-        self.trailers, self.cancels = (), True
+        self.trailers, self.supports_cancel = (), True
         # Results by batch and dispatch; which dispatches have come, and which were called off.
-        self.kept, self.begun, self.called_off = {}, set(), set()
+        self.kept, self.begun, self.cancelled = {}, set(), set()
         self.released = asyncio.Event()
         self.options, self.held_up, self.sent = options, set(), 0
         # Where it is on a dispatch runs on when its calls break, and its result lies here until nobody has
         # asked for it in so long; runs by batch and dispatch, when each was last asked for, and what runs
         # each.
-        self.drops_after, self.runs, self.asked, self.works = None, {}, {}, None
+        self.drops_after, self.runs, self.asked, self.run_statement = None, {}, {}, None
 
     async def start(self, port=0):
         self.server = aio.server(options=(("grpc.so_reuseport", 0), *self.options))
@@ -95,28 +95,28 @@
             await self.released.wait()
             step = step[1:]
         if step[:1] == ["ran"]:
-            self.book.runs(*batch)
+            self.recorder.record_run(*batch)
             step = step[1:]
         if step[:1] == ["silent"]:
             try:
                 await asyncio.Event().wait()
             finally:
                 self.stir.set()
-        if step and step[0] in CODES:
+        if step and step[0] in STEP_CODES:
             unrun = step[0] in ("full", "unsent")
-            self.book.ends(*batch, "refused" if unrun else "answered")
+            self.recorder.record_end(*batch, "refused" if unrun else "answered")
             said = (*self.trailers, ("x-unrun", "1")) if unrun else self.trailers
-            await context.abort(CODES[step[0]], step[0], said)
+            await context.abort(STEP_CODES[step[0]], step[0], said)
         return step
 
     async def begin(self, batch, which, context):
         """A dispatch that was called off before it came is not begun."""
-        if which in self.called_off:
+        if which in self.cancelled:
             await context.abort(StatusCode.CANCELLED, "called off", (("x-unrun", "1"),))
         self.begun.add(which)
-        self.book.arrives(*batch)
-        if self.lasts(batch[0]):
-            await asyncio.sleep(self.lasts(batch[0]))
+        self.recorder.record_arrival(*batch)
+        if self.duration(batch[0]):
+            await asyncio.sleep(self.duration(batch[0]))
 
     async def get_flight_info(self, request, context):
         descriptor = pb.FlightDescriptor.FromString(request)
@@ -145,9 +145,9 @@
         ).SerializeToString()
 
     async def run(self, batch, which, statement):
-        if self.works:
-            await self.works(batch[0], statement)
-        self.book.runs(*batch)
+        if self.run_statement:
+            await self.run_statement(batch[0], statement)
+        self.recorder.record_run(*batch)
         self.kept[which] = self.result(statement), batch
 
     def sweep(self):
@@ -158,7 +158,7 @@
             if run := self.runs.pop(which, None):
                 run.cancel()
             if kept := self.kept.pop(which, None):
-                self.book.ends(*kept[1], "dropped unasked")
+                self.recorder.record_end(*kept[1], "dropped unasked")
 
     async def do_get(self, request, context):
         which = tuple(pb.Ticket.FromString(request).ticket.decode().split("/"))
@@ -173,7 +173,7 @@
                 await context.write(codec.encode_stream_message(b"", metadata=word.encode()))
         if what in ("empty", "raw"):
             self.kept.pop(which, None)
-            self.book.ends(*batch, "answered")
+            self.recorder.record_end(*batch, "answered")
             if what == "raw":
                 await context.write(bytes.fromhex(words[0]))
             return
@@ -186,12 +186,12 @@
                 await self.released.wait()
         if what == "cut":
             # A number past the last message: all rows are out, the status is not.
-            self.book.ends(*batch, "lost")
+            self.recorder.record_end(*batch, "lost")
             await context.abort(StatusCode.UNAVAILABLE, "cut", self.trailers)
         context.set_trailing_metadata(self.trailers)
         self.asked[which] = asyncio.get_running_loop().time()
         if self.drops_after is None and self.kept.pop(which, None):
-            self.book.ends(*batch, "answered")
+            self.recorder.record_end(*batch, "answered")
 
     async def do_put(self, requests, context):
         first = codec.decode_stream_message(await anext(requests))
@@ -199,8 +199,8 @@
         batch, which = self.arrived("DoPut", context, statement)
         await self.begin(batch, which, context)
         await self.act("DoPut", batch, context)
-        self.book.runs(*batch)
-        self.book.ends(*batch, "answered")
+        self.recorder.record_run(*batch)
+        self.recorder.record_end(*batch, "answered")
         context.set_trailing_metadata(self.trailers)
         count = sql.DoPutUpdateResult(record_count=self.changed(statement))
         await context.write(pb.PutResult(app_metadata=count.SerializeToString()).SerializeToString())
@@ -210,14 +210,14 @@
         batch, which = self.arrived(action.type, context, action.body)
         await self.act(action.type, batch, context)
         if action.type == "CancelFlightInfo":
-            if not self.cancels:
+            if not self.supports_cancel:
                 await context.abort(StatusCode.UNIMPLEMENTED, "CancelFlightInfo")
-            self.called_off.add(which)
+            self.cancelled.add(which)
             if run := self.runs.pop(which, None):
                 run.cancel()
             whose = self.kept.pop(which, (None, batch))[1]
             if which in self.begun:
-                self.book.ends(*whose, "given up")
+                self.recorder.record_end(*whose, "given up")
             else:
                 await context.abort(StatusCode.NOT_FOUND, "no such batch")
             await context.write(
