--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -40,7 +40,7 @@
 
     async def run():
         async with front(*lines) as stage:
-            return await work(stage, f"grpc://127.0.0.1:{stage.office.flight.server.port}")
+            return await work(stage, f"grpc://127.0.0.1:{stage.server.flight.server.port}")
 
     return asyncio.run(run())
 
@@ -218,7 +218,7 @@
         with pytest.raises(client.CallError) as error:
             await client.unary(stage.channel(), method, sent)
         table = await client.query(stage.channel(), STATEMENT)
-        return error.value, table.num_rows, len(stage.office.batches.by_number)
+        return error.value, table.num_rows, len(stage.server.batches.by_number)
 
     error, rows, still_open = run_with_front(work)
     assert error.code == code and text in error.details, error
@@ -249,7 +249,7 @@
 def test_tickets_of_another_front_and_of_before_a_restart():
     async def ticket_of(name):
         async with front() as stage:
-            stage.office.flight.server.signer.front = stage.office.flight.server.tickets.front = name
+            stage.server.flight.server.signer.front = stage.server.flight.server.tickets.front = name
             return (await client.info(stage.channel(), STATEMENT)).endpoint[0].ticket
 
     async def run():
@@ -293,7 +293,7 @@
             "ClosePreparedStatement",
             codec.encode_any(sql.ActionClosePreparedStatementRequest(prepared_statement_handle=handle)),
         )
-        statements = stage.office.flight.server.prepared_statements
+        statements = stage.server.flight.server.prepared_statements
         assert not statements.by_handle and not statements.bytes
         return stage.engines["f"].calls[0][2].decode().partition("where ")[2]
 
@@ -402,7 +402,7 @@
                 literal_header(b"content-type", b"application/grpc"),
             )
         )
-        port, socks = stage.office.flight.server.port, []
+        port, socks = stage.server.flight.server.port, []
         for _ in range(20):
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(
@@ -417,7 +417,7 @@
         found = [(await client.query(stage.channel(), STATEMENT)).num_rows for _ in range(3)]
         for sock in socks:
             sock.close()
-        return found, len(stage.office.batches.by_number)
+        return found, len(stage.server.batches.by_number)
 
     assert run_with_front(work) == ([len(ROWS)] * 3, 0)
 
@@ -442,8 +442,8 @@
     )
     assert set(found) <= {len(ROWS), "RESOURCE_EXHAUSTED", "INTERNAL", "DEADLINE_EXCEEDED"}
     assert len(found) == 301 and found.count(len(ROWS)) >= 40
-    assert not stage.office.batches.by_number and not stage.office.flight.server.open_batches
-    assert stage.office.flight.engines.quota.reserved == 0
+    assert not stage.server.batches.by_number and not stage.server.flight.server.open_batches
+    assert stage.server.flight.engines.quota.reserved == 0
 
 
 def test_the_catalogue_and_facts():
--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -18,8 +18,8 @@
 from thistlelever.ground.config import Entry
 from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
-from thistlelever.store.batches import Batch, Name
-from thistlelever.store.roll import Roll
+from thistlelever.store.batches import Batch, DispatchName
+from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.takeover.facts import (
     Address,
     CancelRun,
@@ -66,7 +66,7 @@
     async def begin_dispatch(self, number: int, engine: it.EngineId) -> bool:
         """Record a dispatch to an engine before it is sent; whether it may be sent. If a front died between
         the first byte and the record of it, the next owner would take the batch for one that never ran."""
-        name, service, lease = self.batch.name(number), self.service, self.lease
+        name, service, lease = self.batch.dispatch_name(number), self.service, self.lease
         if service.is_lost(lease):
             return False
         if not service.manager.begin_dispatch(
@@ -140,13 +140,13 @@
         manager: LeaseManager,
         peers: PeerSocket,
         settings: it.Settings,
-        roll: Roll,
+        registry: EngineRegistry,
         speech: Callable[[Entry], Speech],
         metrics: Metrics,
         log: Log,
     ) -> None:
         """Receives datagrams through `peers`; `speech` gives the protocol of an engine."""
-        self.manager, self.peers, self.roll, self.speech = manager, peers, roll, speech
+        self.manager, self.peers, self.registry, self.speech = manager, peers, registry, speech
         self.metrics, self.log = metrics, log
         self.query_classes = {t.name: (g, t) for g, t in enumerate(settings.tariffs)}
         self.waiters: dict[bytes, asyncio.Future] = {}
@@ -170,9 +170,9 @@
 
     def register_lazy(self, batch: Batch) -> None:
         """Register a batch without an idempotency key; nothing is waited for."""
-        class_index, _ = self.query_classes[batch.lane]
+        class_index, _ = self.query_classes[batch.class_name]
         lease = self.manager.register_lazy(
-            clock.now(), bytes.fromhex(batch.asked.txn), class_index, batch.limit_at
+            clock.now(), bytes.fromhex(batch.submission.txn), class_index, batch.deadline
         )
         batch.lease_guard = LeaseGuard(self, batch, lease)
 
@@ -180,11 +180,11 @@
         """Claim a batch with an idempotency key. None when this front owns it and continues with it, else
         the answer to its client. While another front runs it, waits for that run until the time limit of
         the batch."""
-        class_index, query_class = self.query_classes[batch.lane]
-        key, txn = bytes.fromhex(batch.asked.reference), bytes.fromhex(batch.asked.txn)
+        class_index, query_class = self.query_classes[batch.class_name]
+        key, txn = bytes.fromhex(batch.submission.reference), bytes.fromhex(batch.submission.txn)
         prior_value = None
         while True:
-            lease = self.manager.acquire(clock.now(), key, txn, class_index, batch.limit_at, prior_value)
+            lease = self.manager.acquire(clock.now(), key, txn, class_index, batch.deadline, prior_value)
             try:
                 result = await self.wait_for_result(lease)
             except asyncio.CancelledError:
@@ -221,7 +221,7 @@
             # Also without a majority: a batch that is known to have started is not started again.
             if not self.adopt_run(batch, result.value, query_class):
                 return self.unknown_outcome(batch, result, "its engine is gone")
-        elif unknown and non_idempotent and batch.asked.is_retry:
+        elif unknown and non_idempotent and batch.submission.is_retry:
             # It may have run at a front whose records cannot be reached.
             return self.unknown_outcome(batch, result, lease.unprotected_reason or "nobody would know")
         elif unknown and requires_protection:
@@ -240,8 +240,8 @@
         self.metrics.add("takeover: told that it is not known")
         self.log(
             "work not known",
-            batch=batch.asked.txn,
-            mark=batch.asked.reference,
+            batch=batch.submission.txn,
+            mark=batch.submission.reference,
             say=result.outcome.value,
             why=why,
         )
@@ -251,13 +251,17 @@
         """Take over another front's run as the first dispatch; whether the batch can continue from there."""
         if value.state is RunState.RETURNED and query_class.repeat is it.Idempotency.IDEMPOTENT:
             return True
-        begun = Name(value.txn.hex(), value.number), value.engine.encode("latin-1"), value.ran_ms / 1e3
-        can_continue = goes_on_from(batch, query_class, self.roll, *begun)
-        if 0 in batch.under:
+        begun = (
+            DispatchName(value.txn.hex(), value.number),
+            value.engine.encode("latin-1"),
+            value.ran_ms / 1e3,
+        )
+        can_continue = goes_on_from(batch, query_class, self.registry, *begun)
+        if 0 in batch.adopted_names:
             self.metrics.add("takeover: adopted")
             self.log(
                 "work adopted",
-                batch=batch.asked.txn,
+                batch=batch.submission.txn,
                 began_as=value.txn.hex(),
                 engine=value.engine,
                 state=value.state.name.lower(),
@@ -267,18 +271,18 @@
 
     async def read_result(self, batch: Batch, value: RunStatus) -> End | None:
         """Read the result of another front's run at its engine; None when there is no result."""
-        entry = self.roll.entries.get(value.engine.encode("latin-1"))
+        entry = self.registry.entries.get(value.engine.encode("latin-1"))
         if entry is None:
             return None
         end, sent = End(READ_DISPATCH_NUMBER, entry.engine.id), Sending(READ_DISPATCH_NUMBER)
-        batch.under[READ_DISPATCH_NUMBER] = Name(value.txn.hex(), value.number)
-        self.roll.begin(end.engine)
+        batch.adopted_names[READ_DISPATCH_NUMBER] = DispatchName(value.txn.hex(), value.number)
+        self.registry.dispatch_started(end.engine)
         try:
-            await self.speech(entry).resume(batch, entry, end, sent, batch.limit_at)
+            await self.speech(entry).resume(batch, entry, end, sent, batch.deadline)
         except Ended:
             return None
         finally:
-            self.roll.end(end.engine)
+            self.registry.dispatch_ended(end.engine)
         if end.outcome is not it.DispatchOutcome.RETURNED:
             return None
         self.metrics.add("takeover: read another front's run")
@@ -407,8 +411,8 @@
     async def run_keep_alive(self, command: KeepAlive) -> None:
         """Poll the engine for a run until the lease manager stops it."""
         while True:
-            entry = self.roll.entries.get(command.engine.encode("latin-1"))
-            name = Name(command.txn.hex(), command.number)
+            entry = self.registry.entries.get(command.engine.encode("latin-1"))
+            name = DispatchName(command.txn.hex(), command.number)
             status = await self.speech(entry).ask_on(entry, name) if entry else "unknown"
             self.metrics.add(f"takeover: asked on: {status}")
             self.manager.successor.on_engine_status(command.key, status)
@@ -417,8 +421,8 @@
 
     async def cancel_run(self, command: CancelRun) -> None:
         """Cancel a run at its engine, if the engine is still known."""
-        if entry := self.roll.entries.get(command.engine.encode("latin-1")):
-            await self.speech(entry).call_off(entry, Name(command.txn.hex(), command.number))
+        if entry := self.registry.entries.get(command.engine.encode("latin-1")):
+            await self.speech(entry).call_off(entry, DispatchName(command.txn.hex(), command.number))
 
 
 def query_class_policies(
--- a/thistlelever/flight/batch_call.py
+++ b/thistlelever/flight/batch_call.py
@@ -44,7 +44,7 @@
             if not answer.done():
                 answer.set_result(value)
 
-        server.open_batches[batch.asked.txn] = OpenBatch(batch, answer)
+        server.open_batches[batch.submission.txn] = OpenBatch(batch, answer)
         server.metrics.add("taken")
         server.courses.start(batch, set_answer)
         try:
@@ -62,9 +62,9 @@
         if kind:
             self.abandon()
         else:
-            self.server.open_batches.pop(self.batch.asked.txn, None)
+            self.server.open_batches.pop(self.batch.submission.txn, None)
 
     def abandon(self) -> None:
         """Tell the batch's task that its client has left."""
-        self.server.open_batches.pop(self.batch.asked.txn, None)
+        self.server.open_batches.pop(self.batch.submission.txn, None)
         self.batch.inbox.put_nowait(LEFT)
--- a/thistlelever/flight/server.py
+++ b/thistlelever/flight/server.py
@@ -325,7 +325,7 @@
             raise self.ticket_error(status)
         batch = self.make_batch(payload, context)
         try:
-            async with asyncio.timeout_at(clock.on_loop(batch.limit_at + RESPONSE_MARGIN)):
+            async with asyncio.timeout_at(clock.on_loop(batch.deadline + RESPONSE_MARGIN)):
                 await self.send_result(batch, context)
         except TimeoutError:
             # The client reads too slowly: it has only part of the result, and the status says so.
@@ -366,7 +366,7 @@
             return StatusError(StatusCode.CANCELLED, CANCELLED_BY_CLIENT)
         if type(answer) is it.PushBack:
             return status_errors.push_back_error(answer.return_in, self.stopping)
-        return status_errors.execution_error(clock.now() >= batch.limit_at - TIME_LIMIT_TOLERANCE)
+        return status_errors.execution_error(clock.now() >= batch.deadline - TIME_LIMIT_TOLERANCE)
 
     async def do_put(self, requests: AsyncIterator[bytes], context: aio.ServicerContext) -> None:
         """Serve DoPut: run an update, or bind parameters to a prepared query."""
@@ -406,7 +406,7 @@
         """Run an update without a ticket; returns the rows changed, -1 if its engine does not report them."""
         _, payload = self.issue_ticket(statement, context)
         batch = self.make_batch(payload, context)
-        batch.update = True
+        batch.is_update = True
         async with BatchCall(self, batch) as answer:
             return answer.changed
 
