--- a/thistlelever/standins/__init__.py
+++ b/thistlelever/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins on loopback for all that a front talks to, written from the public specifications.
+"""Fakes of the peers of a front, on loopback, written from the public specifications.
 
-Each does what its script says, else what a healthy peer does, and keeps a book of its own of what arrived,
-ran and was answered. For tests, rigs and the demo; a front never imports it.
+Each follows its scripted steps and otherwise behaves as a healthy peer. Fake engines also record what
+arrived, ran and was answered, independently of the front. They serve the tests, the rigs and the demo; a front never
+imports them.
 """
--- a/thistlelever/standins/configuration.py
+++ b/thistlelever/standins/configuration.py
@@ -1,4 +1,4 @@
-"""A configuration for one front among stand-ins."""
+"""A configuration for one front with fake engines and a fake directory."""
 
 import json
 
@@ -65,7 +65,7 @@
 
 
 def configuration(entries=(), dns="127.0.0.1:9", settings=SETTINGS):
-    """Entries are of name and address, or of name, address and zone."""
+    """Return the configuration as a dict; `entries` are of (name, address) or (name, address, zone)."""
     instances = [
         {
             "instanceId": name,
--- a/thistlelever/standins/directory.py
+++ b/thistlelever/standins/directory.py
@@ -1,4 +1,4 @@
-"""A directory: answers DNS queries for the list of engines (RFC 1035, SRV by RFC 2782)."""
+"""A fake directory: answers DNS queries for the list of engines (RFC 1035, SRV by RFC 2782)."""
 
 import asyncio
 import struct
@@ -8,12 +8,16 @@
 
 
 def label(name):
+    """Return a DNS name as labels, without the final zero byte."""
     return b"".join(bytes((len(part),)) + part.encode() for part in name.split("."))
 
 
 def dns_answer(number, serial, entries, starts=()):
-    """A whole list; targets are compressed against the question's name. `starts` has the Unix milliseconds of
-    late starts."""
+    """Return the DNS answer with a whole list; its names are compressed against the question's name.
+
+    `entries` maps engine names to (port, draining) or (port, draining, zone); `starts` has the start times of
+    engines that started late, in Unix milliseconds.
+    """
     head = struct.pack(">HHHHHH", number, 0x8400, 1, len(entries), 1, 2 * len(entries))
     question = label(NAME) + b"\0" + struct.pack(">HH", 33, 1)
     pointer = b"\xc0\x0c"
@@ -33,27 +37,34 @@
 
 
 class Directory(asyncio.DatagramProtocol):
-    """Answers each query with its list, or as its steps say: lost, fails, cut, foreign, older, former."""
+    """Answers each query with the list `entries` at `serial`, or as the next of its `steps` says.
+
+    Steps: `lost` sends nothing, `fails` an error code, `cut` half of the answer, `foreign` a wrong query id,
+    `older` an older serial, `former` the answer in `former`.
+    """
 
     def __init__(self, stir):
+        """Take the event to set after each query."""
         self.stir, self.serial, self.entries, self.query_count, self.query_ids = stir, 3, {}, 0, []
         self.steps = deque()
-        # The Unix milliseconds of late starts, by engine.
+        # Start times of engines that started late, in Unix milliseconds.
         self.starts = {}
-        # For the step `former`: an answer that was made for this front before it was started again.
+        # Serial and entries for the step `former`: an answer to a query from before the front's restart.
         self.former = 9, {}
-        # An address that it gets nothing from any more.
+        # Queries from this address are dropped.
         self.ignored_address = None
-        # Seconds that it takes to answer a query; an answer holds the list of the moment in which it is sent.
+        # Seconds until a query is answered; an answer holds the list at the time when it is sent.
         self.delay = 0.0
-        # When each serial was first told, on the loop's clock.
+        # When each serial was first sent, on the loop's clock.
         self.first_sent = {}
 
     def connection_made(self, transport):
+        """Note the port."""
         self.transport = transport
         self.port = transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data, address):
+        """Answer a query, after `delay` seconds."""
         if address == self.ignored_address:
             return
         number, step = int.from_bytes(data[:2], "big"), self.steps.popleft() if self.steps else ""
@@ -65,10 +76,12 @@
             self.answer(number, step, address)
 
     def answer_late(self, number, step, address):
+        """Answer a delayed query unless the directory has been closed."""
         if not self.transport.is_closing():
             self.answer(number, step, address)
 
     def answer(self, number, step, address):
+        """Send the answer that the step asks for."""
         stale = {"older": (1, {}), "former": self.former}
         serial, entries = stale.get(step, (self.serial, self.entries))
         answer = dns_answer(number ^ (step == "foreign"), serial, entries, self.starts)
@@ -83,8 +96,7 @@
 
 
 async def start_directory(stir, engines):
-    """A directory that lists these engines, by name, and the entries that a front among them knows at its
-    start."""
+    """Start a directory that lists these engines; returns it and their (name, address) entries."""
     _, directory = await asyncio.get_running_loop().create_datagram_endpoint(
         lambda: Directory(stir), local_addr=("127.0.0.1", 0)
     )
--- a/thistlelever/standins/flight_client.py
+++ b/thistlelever/standins/flight_client.py
@@ -1,5 +1,4 @@
-"""A client that speaks Arrow Flight SQL on plain gRPC calls, so that what it hears is seen message by
-message."""
+"""An Arrow Flight SQL client on plain gRPC calls, so that tests see each message of a response."""
 
 from __future__ import annotations
 
@@ -15,19 +14,22 @@
 
 
 class CallError(Exception):
-    """A call ended with a status other than OK."""
+    """A call ended with a status other than OK; `code` is its name."""
 
     def __init__(self, why: aio.AioRpcError) -> None:
+        """Keep code, details and trailing metadata."""
         super().__init__(f"{why.code().name}: {why.details()}")
         self.code, self.details = why.code().name, why.details()
         self.trailers = dict(why.trailing_metadata() or ())
 
 
 def descriptor(message) -> pb.FlightDescriptor:
+    """Return the descriptor of a Flight SQL command."""
     return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=encode_any(message))
 
 
 async def unary(channel, method: str, request, metadata=(), timeout=None) -> bytes:
+    """Return the response of a unary call; raises `CallError`."""
     try:
         return await channel.unary_unary(SERVICE + method)(
             request.SerializeToString(), metadata=tuple(metadata), timeout=timeout
@@ -37,6 +39,7 @@
 
 
 async def info(channel, statement: str, metadata=(), timeout=None) -> pb.FlightInfo:
+    """Return the FlightInfo of a statement; raises `CallError`."""
     asked = descriptor(sql.CommandStatementQuery(query=statement))
     return decode(pb.FlightInfo, await unary(channel, "GetFlightInfo", asked, metadata, timeout))
 
@@ -49,7 +52,10 @@
     seen: list | None = None,
     pause: asyncio.Event | None = None,
 ) -> pa.Table:
-    """The table that a ticket brings; `seen` gets the messages as they come, `pause` holds up the reading."""
+    """Return the table of a ticket; raises `CallError`.
+
+    The messages are appended to `seen` as they arrive; reading waits for the event `pause` after each.
+    """
     messages = seen if seen is not None else []
     call = channel.unary_stream(SERVICE + "DoGet")(
         ticket.SerializeToString(), metadata=tuple(metadata), timeout=timeout
@@ -67,12 +73,13 @@
 
 
 async def query(channel, statement: str, metadata=(), timeout=None) -> pa.Table:
+    """Return the table of a statement by GetFlightInfo and DoGet; raises `CallError`."""
     found = await info(channel, statement, metadata, timeout)
     return await get(channel, found.endpoint[0].ticket, metadata, timeout)
 
 
 async def put(channel, message, table: pa.Table | None = None, metadata=(), timeout=None) -> bytes:
-    """The metadata of a DoPut's result, with a table sent along where there is one."""
+    """Return the metadata of a DoPut's result, with an optional table of parameters; raises `CallError`."""
     asked = pb.FlightData(flight_descriptor=descriptor(message)).SerializeToString()
     sent = [asked]
     if table is not None:
@@ -102,12 +109,13 @@
 
 
 async def update(channel, statement: str, metadata=(), timeout=None) -> int:
+    """Run an update; returns the rows changed, or raises `CallError`."""
     said = await put(channel, sql.CommandStatementUpdate(query=statement), None, metadata, timeout)
     return decode(sql.DoPutUpdateResult, said).record_count
 
 
 async def action(channel, kind: str, body: bytes, metadata=(), timeout=None) -> tuple[bytes, dict]:
-    """An action's first result and the call's initial metadata."""
+    """Return an action's first result and the call's initial metadata; raises `CallError`."""
     call = channel.unary_stream(SERVICE + "DoAction")(
         pb.Action(type=kind, body=body).SerializeToString(), metadata=tuple(metadata), timeout=timeout
     )
--- a/thistlelever/standins/flight_engine.py
+++ b/thistlelever/standins/flight_engine.py
@@ -1,4 +1,4 @@
-"""An engine that speaks Arrow Flight SQL, as `docs/flight-engines.md` says that engines do."""
+"""A fake engine with Arrow Flight SQL, as described in `docs/flight-engines.md`."""
 
 import asyncio
 from collections import defaultdict, deque
@@ -27,8 +27,10 @@
 
 
 class Engine(grpc.GenericRpcHandler):
-    """Answers each call by what its script says next for it, else as a healthy engine. `result` makes a
-    batch's messages of its statement; calls are GetFlightInfo, DoGet, DoPut and the names of actions.
+    """Answers each call by its next scripted step, or else as a healthy engine.
+
+    `result` returns the messages of a statement's result. `steps` holds the steps by call: GetFlightInfo,
+    DoGet, DoPut or the name of an action.
 
     Steps: `full`, `unsent`, `error`, `lost` end the call with that status, the first two with x-unrun;
     `silent` says nothing; `hold STEP` waits for release; `ran STEP` takes effect first; `cut N` ends a DoGet
@@ -37,33 +39,37 @@
     """
 
     def __init__(self, stir, options=()):
+        """Take the event to set on each call, and gRPC server options."""
         self.stir, self.steps, self.calls, self.recorder = stir, defaultdict(deque), [], Recorder()
         self.text = rows("rows")
-        # How long a batch runs, in seconds, by its id.
+        # The running time of a batch in seconds, by its id.
         self.duration = lambda txn: 0.0
         self.result = lambda statement: columns.encode_rows([self.text.encode()])
         self.changed = lambda statement: 1
         self.fault = lambda call, txn: None
         self.trailers, self.supports_cancel = (), True
-        # Results by batch and dispatch; which dispatches have come, and which were called off.
+        # Results by batch and dispatch; the dispatches that have arrived, and those cancelled.
         self.kept, self.begun, self.cancelled = {}, set(), set()
         self.released = asyncio.Event()
         self.options, self.held_up, self.sent = options, set(), 0
-        # Where it is on a dispatch runs on when its calls break, and its result lies here until nobody has
-        # asked for it in so long; runs by batch and dispatch, when each was last asked for, and what runs
-        # each.
+        # With `drops_after` seconds set, a dispatch runs on when its call breaks, and its result is kept until
+        # it has not been requested for that long. `runs` has the tasks and `asked` the times of the last
+        # request, by batch and dispatch; `run_statement`, if set, is the coroutine function that runs a statement.
         self.drops_after, self.runs, self.asked, self.run_statement = None, {}, {}, None
 
     async def start(self, port=0):
+        """Listen on a port of the loopback address; 0 picks a free one."""
         self.server = aio.server(options=(("grpc.so_reuseport", 0), *self.options))
         self.server.add_generic_rpc_handlers((self,))
         self.port = self.server.add_insecure_port(f"127.0.0.1:{port}")
         await self.server.start()
 
     async def stop(self, grace=None):
+        """Stop serving; open calls have `grace` seconds."""
         await self.server.stop(grace)
 
     def service(self, details):
+        """Return the handler of a Flight method."""
         handlers = {
             "GetFlightInfo": (UNARY, self.get_flight_info),
             "DoGet": (STREAM, self.do_get),
@@ -75,13 +81,14 @@
             return None
 
         async def served(request, context):
-            # A write to a front that has left the call is nothing to report.
+            # Writing fails where the front has ended the call, which is not an error here.
             with suppress(aio.InternalError):
                 return await serve(request, context)
 
         return kind(served)
 
     def arrived(self, call, context, body):
+        """Note a call; returns its batch and the key of its dispatch."""
         fields = {k: v for k, v in context.invocation_metadata() if isinstance(v, str)}
         self.calls.append((call, fields, body))
         self.stir.set()
@@ -89,7 +96,7 @@
         return batch, (batch[0], fields.get("x-dispatch", "0"))
 
     async def act(self, call, batch, context, body=b""):
-        """The step that is due, once what it wants first is done; None to go on as usual."""
+        """Do the next step's preliminaries and return the rest; an empty list means a healthy answer."""
         step = list((self.steps[call].popleft() if self.steps[call] else self.fault(call, batch[0])) or ())
         if step[:1] == ["hold"]:
             await self.released.wait()
@@ -110,7 +117,7 @@
         return step
 
     async def begin(self, batch, which, context):
-        """A dispatch that was called off before it came is not begun."""
+        """Record the arrival of a dispatch, unless it was cancelled before it arrived, and let it run."""
         if which in self.cancelled:
             await context.abort(StatusCode.CANCELLED, "called off", (("x-unrun", "1"),))
         self.begun.add(which)
@@ -119,6 +126,7 @@
             await asyncio.sleep(self.duration(batch[0]))
 
     async def get_flight_info(self, request, context):
+        """Serve GetFlightInfo, which runs the statement or resumes a dispatch."""
         descriptor = pb.FlightDescriptor.FromString(request)
         resumed = ("x-resume", "1") in context.invocation_metadata()
         statement = b"" if resumed else codec.decode_command(descriptor.cmd).query.encode()
@@ -145,13 +153,14 @@
         ).SerializeToString()
 
     async def run(self, batch, which, statement):
+        """Run a statement and keep its result."""
         if self.run_statement:
             await self.run_statement(batch[0], statement)
         self.recorder.record_run(*batch)
         self.kept[which] = self.result(statement), batch
 
     def sweep(self):
-        """Drop what nobody has asked for in so long."""
+        """Drop runs and results that have not been requested for `drops_after` seconds."""
         till = asyncio.get_running_loop().time() - self.drops_after
         for which in [which for which, at in self.asked.items() if at < till]:
             del self.asked[which]
@@ -161,6 +170,7 @@
                 self.recorder.record_end(*kept[1], "dropped unasked")
 
     async def do_get(self, request, context):
+        """Serve DoGet."""
         which = tuple(pb.Ticket.FromString(request).ticket.decode().split("/"))
         self.arrived("DoGet", context, b"")
         messages, batch = self.kept.get(which, (None, (which[0], "", "")))
@@ -185,7 +195,7 @@
             if what == "wait" and not place:
                 await self.released.wait()
         if what == "cut":
-            # A number past the last message: all rows are out, the status is not.
+            # With a number past the last message all rows have been sent, but not the status.
             self.recorder.record_end(*batch, "lost")
             await context.abort(StatusCode.UNAVAILABLE, "cut", self.trailers)
         context.set_trailing_metadata(self.trailers)
@@ -194,6 +204,7 @@
             self.recorder.record_end(*batch, "answered")
 
     async def do_put(self, requests, context):
+        """Serve DoPut of an update."""
         first = codec.decode_stream_message(await anext(requests))
         statement = codec.decode_command(first.command).query.encode()
         batch, which = self.arrived("DoPut", context, statement)
@@ -206,6 +217,7 @@
         await context.write(pb.PutResult(app_metadata=count.SerializeToString()).SerializeToString())
 
     async def do_action(self, request, context):
+        """Serve CancelFlightInfo and the actions of the platform."""
         action = pb.Action.FromString(request)
         batch, which = self.arrived(action.type, context, action.body)
         await self.act(action.type, batch, context)
--- a/thistlelever/standins/http_engine.py
+++ b/thistlelever/standins/http_engine.py
@@ -1,4 +1,4 @@
-"""An engine that speaks HTTP/1.1 as the platform's do."""
+"""A fake engine with the HTTP/1.1 protocol of the platform."""
 
 import asyncio
 from collections import defaultdict, deque
@@ -7,49 +7,56 @@
 
 
 def unescaped(words):
+    """Return the words as bytes, with escapes such as `\\r` replaced."""
     return " ".join(words).encode().decode("unicode_escape").encode("latin-1")
 
 
 def rows(*words):
-    """Each word a row of three columns, `_` between."""
+    """Return rows of three columns, each from a word with `_` between the columns."""
     return "".join("\t".join((word.split("_") + ["", ""])[:3]) + "\n" for word in words)
 
 
-# Steps that say the same of engines of every kind, in this kind's words.
+# Steps that engines of both protocols have, as HTTP answers.
 COMMON_STEPS = {"full": ["503", "X-Unrun=1"], "unsent": ["504", "X-Unrun=1"], "error": ["500"]}
 MAX_PAGE_BYTES = 6_000
-# What is not over by then is said to be at work (202).
+# Seconds after which a call for a batch that is still running is answered with 202.
 LONG_POLL_TIMEOUT = 0.25
 
 
 class Engine:
-    """Answers each call by what its script says next for it, else as a healthy engine, which keeps each
-    result until it is given up. `result` makes a batch's rows of its statement."""
+    """Answers each call by its next scripted step, or else as a healthy engine.
+
+    A result is kept until the front deletes it. `result` returns the rows of a statement.
+    """
 
     def __init__(self, stir):
+        """Take the event to set on each call."""
         self.stir, self.steps, self.calls, self.recorder = stir, defaultdict(deque), [], Recorder()
         self.text = rows("rows")
-        # How long a batch runs, in seconds, by its id; or a coroutine of its id and statement that runs it,
-        # and then those that run: a call waits for one for as long as the protocol says.
+        # The running time of a batch in seconds, by its id; or the coroutine function that runs one by its id
+        # and statement, with the running ones: a call waits for up to `LONG_POLL_TIMEOUT`.
         self.duration, self.run_statement, self.running = lambda txn: 0.0, None, {}
         self.result = lambda statement: self.text
-        # Where no step is scripted: what a call does, by its name and the batch's id; None for as usual.
+        # The step of a call without a scripted one, by call and batch id; None for a healthy answer.
         self.fault = lambda call, txn: None
         self.extra_headers = {}
-        # Whether a POST behind another call gets what looks like a late copy of an earlier refusal.
+        # Whether a POST after another call on its connection is run but answered with a refusal, like a late
+        # copy of an earlier one.
         self.repeats_refusals = False
-        # The work in milliseconds that a batch's end tells, by its statement; None for no word of it.
+        # The cost in milliseconds reported with a result, by its statement; None reports none.
         self.cost = lambda statement: None
         self.kept, self.costs, self.mute, self.holds_posts = {}, {}, set(), False
-        # When each batch was last asked for; what has not been for so long is dropped, at work or over.
+        # When each batch was last requested; it is dropped, running or finished, after `drops_after` seconds.
         self.asked, self.drops_after = {}, float("inf")
         self.released, self.writers, self.connections = asyncio.Event(), [], 0
 
     async def start(self):
+        """Listen on a free port of the loopback address, `port`."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader, writer):
+        """Read and answer the calls of one connection."""
         self.writers.append(writer)
         self.connections += 1
         calls = 0
@@ -74,6 +81,7 @@
                 self.writers.remove(writer)
 
     async def act(self, writer, call, fields, path, body):
+        """Answer one call; returns whether the connection stays open."""
         txn = fields.get("x-txn") or (path.split("/") + ["", ""])[2]
         batch = txn, fields.get("x-dedupe", ""), fields.get("x-lane", "")
         self.sweep()
@@ -104,7 +112,7 @@
             what, *words = words or self.healthy_answer(call, batch, body)
         what, *words = COMMON_STEPS.get(what, [what, *words])
         if what == "ran":
-            # It takes effect, and then what follows happens to its answer.
+            # The statement runs, and the next step decides the answer.
             self.healthy_answer(call, batch, body)
             what, *words = COMMON_STEPS.get(words[0], words)
         if call in ("POST", "GET0") and what in ("500", "503", "504") or call[:3] == "GET" and what == "500":
@@ -112,7 +120,7 @@
             self.recorder.record_end(*whose, "refused" if "X-Unrun=1" in words else "answered")
         if what == "reset":
             if call == "POST" and txn not in self.kept:
-                # The network lost it: the engine never had it.
+                # The request counts as lost in the network: the engine never received it.
                 self.recorder.record_end(*batch, "unheard")
             writer.transport.abort()
             return False
@@ -129,7 +137,7 @@
         return True
 
     def healthy_answer(self, call, batch, body):
-        """What a healthy engine answers."""
+        """Return the answer of a healthy engine, in the form of a step."""
         if call == "POST":
             self.recorder.record_run(*batch)
             self.kept[batch[0]] = pages(self.result(body)), batch
@@ -156,7 +164,7 @@
         return ["200", *said, *([f"Elapsed-Work={cost:g}"] if cost is not None else ())]
 
     def sweep(self):
-        """Drop what nobody has asked for in so long."""
+        """Drop batches that have not been requested for `drops_after` seconds."""
         till = asyncio.get_running_loop().time() - self.drops_after
         for txn in [txn for txn, at in self.asked.items() if at < till]:
             del self.asked[txn]
@@ -168,17 +176,19 @@
                 self.recorder.record_end(*kept[1], "dropped unasked")
 
     async def stop(self):
+        """Stop listening and close all connections."""
         self.server.close()
         self.hang_up()
 
     def hang_up(self):
+        """Close all connections."""
         for writer in self.writers:
             writer.close()
         self.writers.clear()
 
 
 def pages(text):
-    """Rows in pages of whole rows, as long as a page may be."""
+    """Split rows into pages of whole rows, each of at most `MAX_PAGE_BYTES`."""
     found = [""]
     for row in text.splitlines(keepends=True):
         if len(found[-1]) + len(row) > MAX_PAGE_BYTES:
--- a/thistlelever/standins/relay.py
+++ b/thistlelever/standins/relay.py
@@ -1,23 +1,29 @@
-"""A stretch of network between two parties: passes bytes on, and breaks where it is told to."""
+"""A TCP relay that can delay or reset connections."""
 
 import asyncio
 from contextlib import suppress
 
 
 class Relay:
-    """Listens on a port of its own and passes on to another. `cuts` holds, for each connection in its turn,
-    after how many bytes of what comes back both sides are reset; None for never. `still` holds bytes up."""
+    """Forwards connections from a port of its own to `target`, a port of the loopback address.
+
+    `cuts` holds, for each new connection in turn, the number of bytes sent back by the target after which
+    both sides are reset; None for never. Bytes are held back while the event `flows` is cleared.
+    """
 
     def __init__(self, target):
+        """Take the port to forward to."""
         self.target, self.cuts, self.writers, self.connections = target, [], [], 0
         self.flows = asyncio.Event()
         self.flows.set()
 
     async def start(self):
+        """Listen on a free port of the loopback address, `port`."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader, writer):
+        """Forward one connection until either side closes it or it is cut."""
         self.connections += 1
         cut = self.cuts.pop(0) if self.cuts else None
         try:
@@ -37,6 +43,7 @@
             self.writers.remove(side)
 
     async def carry(self, reader, writer, left):
+        """Copy bytes in one direction; returns at the end of the stream or after `left` bytes."""
         with suppress(ConnectionError):
             while data := await reader.read(65_536 if left is None else min(left, 65_536) or 1):
                 await self.flows.wait()
@@ -49,9 +56,11 @@
                 await writer.drain()
 
     def break_all(self):
+        """Reset all open connections."""
         for writer in self.writers:
             writer.transport.abort()
 
     async def stop(self):
+        """Stop listening and reset all open connections."""
         self.server.close()
         self.break_all()
