--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listening port, one session a connection, answers written whole."""
+"""The JSON-RPC listener for clients: accepts connections and runs one session per connection."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
 from thistlelever.ground import interface as it
-from thistlelever.carrier.course import LEFT, Courses
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT, BatchTasks
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.intake import Intake
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.submission import InvalidFieldError
@@ -23,91 +23,110 @@
 from thistlelever.wire import jsonrpc
 from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
-# Most lines are a few hundred bytes; a statement of 190 KB still passes.
-BUFFER, LONGEST_LINE = 4_096, 262_144
-# 32 open requests at 48,000 bytes in base64 each: a client that reads nothing gets no more than that.
-MOST_OPEN, MOST_UNREAD = 32, 32 * 66_000
-# A client is owed a word or a close 3 s after it connects, and closes what idles for 4 s itself.
-SILENT, FIRST_LINE, IDLE = 1.5, 2.4, 5.0
-# Who has said nothing in this time is closed before one that has: it counts as idle for so much longer.
-SILENT_SOON, SILENT_FIRST = 0.1, 1.0
-# At the bound connections wait at the port for a place; past this a close tells them that there is none.
-NO_PLACE = 1.0
-# A client at full speed gets so many lines in one turn of the loop, and so many connections are taken in one.
-LINES_A_TURN, TAKEN_A_TURN, READS_A_TURN = 8, 32, 16
-# Whole lines that wait are read up to this, which holds the open requests of usual clients.
-READ_AHEAD = 65_536
-# A connection that this side has ended is read from for so long: what crosses the shutdown comes in 50 ms.
-LINGER = 0.15
-# After each line out of form the next is read this much later, and after so many in a row none.
-SLOWER, MOST_BAD = 0.01, 16
-# A port that can take no more for now is looked at again after this, and so are lines at the front's end.
-REST = 0.005
-
-
-class Reception:
-    """Takes connections and turns what clients submit into batches."""
+# Initial size of a read buffer, and the longest line: room for a statement of 190 KB. Most lines have a few
+# hundred bytes.
+READ_BYTES, MAX_LINE_BYTES = 4_096, 262_144
+# Open requests per connection, and unsent bytes per connection: the answers to that many requests, with
+# 48,000 bytes in base64 each.
+MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES = 32, 32 * 66_000
+# Seconds: until a connection without a whole line is closed, until the first line must be whole, until an
+# idle connection is closed. A client must get a reply or a close within 3 s of connecting; it closes its own
+# connections after 4 s idle.
+SILENT_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, IDLE_TIMEOUT_S = 1.5, 2.4, 5.0
+# A connection without a whole line for SILENT_AFTER_S counts as idle for SILENT_PENALTY_S longer, so that it
+# is closed before one that has sent requests.
+SILENT_AFTER_S, SILENT_PENALTY_S = 0.1, 1.0
+# At the connection limit, how long a new connection may wait before it is closed unserved, in seconds.
+PLACE_TIMEOUT_S = 1.0
+# Limits per iteration of the event loop: lines handled per client, connections accepted, reads per client.
+LINES_PER_TURN, ACCEPTS_PER_TURN, READS_PER_TURN = 8, 32, 16
+# Reading goes on up to this size while whole lines wait in the buffer; it holds the open requests of a
+# typical client.
+READ_AHEAD_BYTES = 65_536
+# How long a connection is still read after its write side was shut down, in seconds. Data in flight arrives
+# within 50 ms.
+LINGER_S = 0.15
+# Delay in seconds per consecutive malformed line before the next is handled, and how many end the connection.
+BAD_LINE_DELAY_S, MAX_BAD_LINES = 0.01, 16
+# Interval in seconds for retrying to accept, and for checking for unfinished work during shutdown.
+RETRY_DELAY_S = 0.005
+
+
+class ClientListener:
+    """Accepts client connections within `limits` and makes batches of their calls.
+
+    `unsent_bytes` counts the answers of all sessions that are not written yet; `quota` limits the growth of
+    their read buffers.
+    """
 
     def __init__(
-        self, intake: Intake, courses: Courses, metrics: Metrics, log: Log, limits: ConnectionLimits
+        self,
+        validator: RequestValidator,
+        batch_tasks: BatchTasks,
+        metrics: Metrics,
+        log: Log,
+        limits: ConnectionLimits,
     ) -> None:
-        self.intake, self.courses, self.metrics = intake, courses, metrics
+        """Accept nothing before `listen`; `ready` answers the status calls of clients."""
+        self.validator, self.batch_tasks, self.metrics = validator, batch_tasks, metrics
         self.log, self.limits = log, limits
         self.ready: Callable[[], bool] = lambda: False
-        self.unread, self.quota = 0, BufferQuota(limits.unfinished_bytes)
-        # The connection that waits for a place, others behind it at the port, and since when some do.
-        self.waits: socket.socket | None = None
+        self.unsent_bytes, self.quota = 0, BufferQuota(limits.unfinished_bytes)
+        # An accepted connection that waits until a session ends, and since when the limit is reached; further
+        # connections wait in the listen queue.
+        self.pending_socket: socket.socket | None = None
         self.full_since = float("inf")
-        self.sessions: dict[Session, asyncio.Task] = {}
-        self.raw: socket.socket | None = None
+        self.sessions: dict[ClientSession, asyncio.Task] = {}
+        self.server_socket: socket.socket | None = None
 
     def listen(self, raw: socket.socket) -> None:
-        self.raw = raw
+        """Accept connections from a listening, non-blocking socket."""
+        self.server_socket = raw
         asyncio.get_running_loop().add_reader(raw, self.accept)
 
     async def finish(self, within: float) -> None:
-        """Take no more, and end each connection in order; what is not over in that time is cut."""
-        # Risk: who waits at the port when it is closed is reset, with a first request that is whole.
+        """Stop accepting, answer what is open, then end all sessions, waiting up to `within` seconds."""
+        # Closing the socket would reset the connections in its queue, and their first requests with them.
         self.accept()
-        asyncio.get_running_loop().remove_reader(self.raw)
-        for raw in (self.raw, self.waits):
-            # The descriptor is free even where the call fails.
+        asyncio.get_running_loop().remove_reader(self.server_socket)
+        for raw in (self.server_socket, self.pending_socket):
+            # The descriptor is released even if close() fails.
             with suppress(OSError):
                 raw and raw.close()
-        await self.last_lines()
+        await self.drain()
         for session in list(self.sessions):
             session.end()
         if self.sessions:
             await asyncio.wait(self.sessions.values(), timeout=within)
 
-    async def last_lines(self) -> None:
-        """Until what has begun to come is taken and answered, while the front's own time lasts. Risk: a
-        request whose last bytes come a moment after all others are answered meets the close."""
-        while clock.now() < self.intake.stop_at and (
-            self.courses.tasks or any(session.hears() for session in self.sessions)
+    async def drain(self) -> None:
+        """Wait until received requests are answered, at most until `stop_at`. A request whose last bytes come
+        just after all others were answered is lost with its connection."""
+        while clock.now() < self.validator.stop_at and (
+            self.batch_tasks.tasks or any(session.has_pending_input() for session in self.sessions)
         ):
-            await asyncio.sleep(REST)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     def accept(self) -> None:
-        """Take what waits at the port; one turn of the loop must not go to new connections alone."""
-        for _ in range(TAKEN_A_TURN):
+        """Accept waiting connections, a limited number per loop iteration."""
+        for _ in range(ACCEPTS_PER_TURN):
             try:
-                raw, self.waits = self.waits or self.raw.accept()[0], None
+                raw, self.pending_socket = self.pending_socket or self.server_socket.accept()[0], None
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Risk: a port that stays readable and can't be taken from turns the loop into a spin.
+                # The socket stays readable; without a pause the event loop would spin.
                 self.metrics.add("connections that could not be taken")
-                self.look_away()
+                self.pause_accepting()
                 return
-            place = len(self.sessions) < self.limits.client_connections or self.close_one()
-            if not place and clock.now() < self.full_since + NO_PLACE:
-                # Risk: closed unread, its first request is lost; a place may be free in a moment.
-                self.full_since, self.waits = min(self.full_since, clock.now()), raw
-                self.look_away()
+            has_place = len(self.sessions) < self.limits.client_connections or self.close_idle_session()
+            if not has_place and clock.now() < self.full_since + PLACE_TIMEOUT_S:
+                # Closing it would lose its first request; a session may end soon.
+                self.full_since, self.pending_socket = min(self.full_since, clock.now()), raw
+                self.pause_accepting()
                 return
-            if not place:
-                # All have batches open. A close is an answer too, and the next front may have a place.
+            if not has_place:
+                # All sessions have open batches. After a close the client can try another front.
                 self.metrics.add("connections past the bound")
                 with suppress(OSError):
                     raw.close()
@@ -116,59 +135,72 @@
             try:
                 raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             except OSError:
-                # The connection has ended already, or its answers leave a little later.
+                # The connection has already ended, or Nagle's algorithm delays its answers slightly.
                 self.metrics.add("connections without TCP_NODELAY")
             stream = Stream(
-                raw, max_buffer_size=LONGEST_LINE, max_write_buffer_size=MOST_UNREAD, read_chunk_size=BUFFER
+                raw,
+                max_buffer_size=MAX_LINE_BYTES,
+                max_write_buffer_size=MAX_UNSENT_BYTES,
+                read_chunk_size=READ_BYTES,
             )
-            session = Session(stream, self)
+            session = ClientSession(stream, self)
             self.sessions[session] = asyncio.get_running_loop().create_task(session.run())
 
-    def look_away(self) -> None:
-        asyncio.get_running_loop().remove_reader(self.raw)
-        asyncio.get_running_loop().call_later(REST, self.look_again)
+    def pause_accepting(self) -> None:
+        """Stop accepting for `RETRY_DELAY_S` seconds."""
+        asyncio.get_running_loop().remove_reader(self.server_socket)
+        asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.resume_accepting)
 
-    def look_again(self) -> None:
-        if self.raw.fileno() >= 0:
-            self.listen(self.raw)
+    def resume_accepting(self) -> None:
+        """Accept again, unless the socket was closed meanwhile."""
+        if self.server_socket.fileno() >= 0:
+            self.listen(self.server_socket)
             self.accept()
 
-    def close_one(self) -> bool:
-        """Make place: of those with nothing open and nothing unread the one longest idle goes. Risk: a first
-        request that meets its connection's close is a loss, and so is a client kept out by others that stay
-        for good."""
+    def close_idle_session(self) -> bool:
+        """Close the session that has been idle longest, of those without open batches and unread input;
+        returns whether there was one.
+
+        Without this, clients that stay connected would keep others out for good. Sessions with unread input
+        are kept, as closing them would lose a request.
+        """
         now = clock.now()
 
-        def idle_since(session: Session) -> float:
-            silent = not session.spoken and now - session.since > SILENT_SOON
-            return session.since - SILENT_FIRST * silent
+        def idle_since(session: ClientSession) -> float:
+            silent = not session.has_sent_line and now - session.since > SILENT_AFTER_S
+            return session.since - SILENT_PENALTY_S * silent
 
-        for session in sorted((s for s in self.sessions if not s.open and not s.ending), key=idle_since):
-            if not session.hears():
+        for session in sorted(
+            (s for s in self.sessions if not s.open_batches and not s.shutting_down), key=idle_since
+        ):
+            if not session.has_pending_input():
                 self.metrics.add("idle clients closed for others")
-                session.left()
+                session.close()
                 return True
         return False
 
     def sweep(self) -> None:
-        """Close who has nothing open and said nothing whole for too long."""
+        """Close sessions that have no open batch and have sent no whole line for too long."""
         now = clock.now()
-        for session in [s for s in self.sessions if not s.open and not s.ending]:
-            waits = session.spoken and session.buffer.start == session.buffer.end
-            if now - session.since > (IDLE if waits else SILENT) and not session.hears():
-                self.metrics.add("idle clients closed" if waits else "silent clients closed")
+        for session in [s for s in self.sessions if not s.open_batches and not s.shutting_down]:
+            is_idle = session.has_sent_line and session.buffer.start == session.buffer.end
+            if (
+                now - session.since > (IDLE_TIMEOUT_S if is_idle else SILENT_TIMEOUT_S)
+                and not session.has_pending_input()
+            ):
+                self.metrics.add("idle clients closed" if is_idle else "silent clients closed")
                 session.end()
 
     def batch(self, call: jsonrpc.Call) -> Batch:
-        """The batch that a call submits; `InvalidCall` where it can't be one."""
-        if call.method not in self.intake.groups:
+        """Make a batch of a call; raises `InvalidCall` where the call is not a valid submission."""
+        if call.method not in self.validator.query_classes:
             raise jsonrpc.InvalidCall(
                 jsonrpc.NO_METHOD, f"{call.method[:60]}: no such service group", call.number
             )
         if call.number is None:
             raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: a number from 1 up is expected")
         try:
-            return self.intake.batch(call.method, call.params, jsonrpc.submitted_statement(call))
+            return self.validator.make_batch(call.method, call.params, jsonrpc.submitted_statement(call))
         except InvalidFieldError as why:
             code, field = jsonrpc.BAD_FIELD, str(why)
             if why.still_open:
@@ -176,27 +208,28 @@
             raise jsonrpc.InvalidCall(code, field, call.number) from None
 
 
-class Session:
-    """One client's connection."""
-
-    def __init__(self, stream: Stream, reception: Reception) -> None:
-        self.stream, self.reception = stream, reception
-        self.metrics = reception.metrics
-        self.buffer = ReadBuffer(BUFFER, LONGEST_LINE, reception.quota)
-        self.open: dict[int, Batch] = {}
-        self.latest, self.bad, self.slow_till = 0, 0, 0.0
-        # The read that is under way, as one always is; answers not yet out; whether this side has ended it.
-        self.reading: asyncio.Future | None = None
-        self.unwritten, self.ending = 0, False
-        # Whether nothing more is taken, and the connection ends once what is open is answered.
-        self.closing = False
-        # When it connected, or last had a batch open or said something whole.
-        self.since, self.spoken = clock.now(), False
-        # When the line began of which no end has come yet.
+class ClientSession:
+    """One client's connection: reads calls, one a line, and writes each answer as one line."""
+
+    def __init__(self, stream: Stream, listener: ClientListener) -> None:
+        """Take over an accepted connection; `run` serves it."""
+        self.stream, self.listener = stream, listener
+        self.metrics = listener.metrics
+        self.buffer = ReadBuffer(READ_BYTES, MAX_LINE_BYTES, listener.quota)
+        self.open_batches: dict[int, Batch] = {}
+        self.highest_number, self.bad_lines, self.paced_until = 0, 0, 0.0
+        # The read in progress; number of writes in progress; whether this side has ended the connection.
+        self.pending_read: asyncio.Future | None = None
+        self.pending_writes, self.shutting_down = 0, False
+        # Whether input is ignored and the connection ends once the open batches are answered.
+        self.draining = False
+        # When it connected, last had an open batch, or last sent a whole line; whether it has sent one.
+        self.since, self.has_sent_line = clock.now(), False
+        # When the first bytes of the current partial line arrived.
         self.line_since = self.since
 
     async def run(self) -> None:
-        """Until the connection is closed: by the client, or by this side some time after `end`."""
+        """Serve the connection until the client closes it, or this side does, `LINGER_S` after `end`."""
         try:
             while True:
                 try:
@@ -207,167 +240,182 @@
                         jsonrpc.encode_error(None, jsonrpc.NO_REQUEST, f"a line that is too long: {why}")
                     )
                     self.end_when_answered()
-                self.take_lines()
-                await self.stir()
+                self.handle_lines()
+                await self.wait_for_input()
         except StreamClosedError:
             pass
         except Exception as why:
             self.metrics.add("session failed")
-            self.reception.log("session failed", why=repr(why))
+            self.listener.log("session failed", why=repr(why))
         finally:
-            self.left()
+            self.close()
 
     def read(self) -> None:
-        """Read on for as long as something is there and has a place, before any of it is taken: a read is
-        always under way. Risk: a client that sends much and goes is gone for long before its last line is
-        taken, and what it sent first is dispatched for nobody."""
-        for _ in range(READS_A_TURN):
-            if self.reading is None:
+        """Read what is there, as far as the buffer has room, before any line of it is handled.
+
+        A read is always in progress, so that the close of a client that sends much and leaves is noticed
+        before its first requests are dispatched in vain. Raises `TooLong` for a line past the limit.
+        """
+        for _ in range(READS_PER_TURN):
+            if self.pending_read is None:
                 full = self.buffer.end == len(self.buffer.data)
                 if full and self.buffer.has_line() and not self.may_read_ahead():
                     return
-                self.reading = self.stream.read_into(self.buffer.writable(), partial=True)
-            if not self.reading.done():
+                self.pending_read = self.stream.read_into(self.buffer.writable(), partial=True)
+            if not self.pending_read.done():
                 return
-            reading, self.reading = self.reading, None
+            reading, self.pending_read = self.pending_read, None
             if self.buffer.start == self.buffer.end:
                 self.line_since = clock.now()
             self.buffer.advance(reading.result())
-            if self.closing:
+            if self.draining:
                 self.buffer.discard()
 
     def may_read_ahead(self) -> bool:
-        """Whether more is read though whole lines wait. Who has sent that much, and lines out of form before
-        it, is not waited for."""
-        if len(self.buffer.data) < READ_AHEAD and self.buffer.can_grow():
+        """Whether to read on while whole lines wait; a client that fills the buffer after malformed lines is
+        disconnected."""
+        if len(self.buffer.data) < READ_AHEAD_BYTES and self.buffer.can_grow():
             return True
-        if self.bad:
+        if self.bad_lines:
             self.metrics.add("clients that flood")
             self.end_when_answered()
-        return self.closing
-
-    def take_lines(self) -> None:
-        """Some of the lines that have come; one client must not hold the loop."""
-        for _ in range(LINES_A_TURN):
-            if self.closing or clock.now() < self.slow_till or (message := self.buffer.next_line()) is None:
+        return self.draining
+
+    def handle_lines(self) -> None:
+        """Handle a limited number of received lines, so that one client does not block the event loop."""
+        for _ in range(LINES_PER_TURN):
+            if (
+                self.draining
+                or clock.now() < self.paced_until
+                or (message := self.buffer.next_line()) is None
+            ):
                 return
-            self.take(message)
-            if self.bad:
-                self.slow_till = clock.now() + SLOWER * self.bad
-
-    async def stir(self) -> None:
-        """Wait until there is something to do."""
-        slow = self.slow_till - clock.now()
-        if not self.buffer.has_line() and self.reading is not None:
-            await self.reading
-        elif slow > 0 and self.reading is not None:
-            await asyncio.wait((self.reading,), timeout=slow)
+            self.handle_line(message)
+            if self.bad_lines:
+                self.paced_until = clock.now() + BAD_LINE_DELAY_S * self.bad_lines
+
+    async def wait_for_input(self) -> None:
+        """Wait for input, or until the delay after malformed lines is over; yields at least once."""
+        slow = self.paced_until - clock.now()
+        if not self.buffer.has_line() and self.pending_read is not None:
+            await self.pending_read
+        elif slow > 0 and self.pending_read is not None:
+            await asyncio.wait((self.pending_read,), timeout=slow)
         else:
             await asyncio.sleep(max(slow, 0.0))
 
     def end_when_answered(self) -> None:
-        """Take nothing more, and end the connection once what is open on it is answered. Risk: a request that
-        was read is lost for what came behind it."""
-        self.closing = True
+        """Ignore further input, and end the connection once its open batches are answered, so that bad input
+        does not lose requests that came before it."""
+        self.draining = True
         self.buffer.discard()
         self.end_if_answered()
 
     def end_if_answered(self) -> None:
-        """End a connection on which nothing more is taken, unless an answer is owed on it still."""
-        if self.closing and not self.open:
+        """End the connection if it is draining and has no open batches."""
+        if self.draining and not self.open_batches:
             self.end()
 
     def end(self) -> None:
-        """This side ends the connection, in order: nothing more is taken from it, what was written goes out,
-        our direction is shut, what comes is read and dropped for a while, and then it is closed. Risk: a
-        close over unread bytes resets the connection and takes the last answer with it; a line taken after
-        the shutdown has an effect that no answer can tell of."""
-        if self.ending or self.stream.closed():
+        """End the connection in order: write out pending answers, shut down the write side, discard input for
+        `LINGER_S` seconds, then close.
+
+        Closing with unread input would reset the connection and lose the last answer. A line handled after
+        the shutdown would have effects that no answer could report, so input is discarded.
+        """
+        if self.shutting_down or self.stream.closed():
             return
-        self.closing = self.ending = True
+        self.draining = self.shutting_down = True
         self.buffer.discard()
-        self.abandon()
-        self.shut()
-        asyncio.get_running_loop().call_later(LINGER, self.stream.close)
+        self.abandon_batches()
+        self.shut_write_side()
+        asyncio.get_running_loop().call_later(LINGER_S, self.stream.close)
 
-    def shut(self) -> None:
-        """Our direction, once all that was written is out."""
-        if self.ending and not self.unwritten and not self.stream.closed():
+    def shut_write_side(self) -> None:
+        """Shut down the write side once the session is ending and all answers are written."""
+        if self.shutting_down and not self.pending_writes and not self.stream.closed():
             with suppress(OSError):
                 self.stream.socket.shutdown(socket.SHUT_WR)
 
-    def hears(self) -> bool:
-        """Whether something has come that no batch was made of yet, and that is not waited for too long.
-        Risk: a connection that rested is closed over half of its next request."""
-        if self.closing or not self.unread():
+    def has_pending_input(self) -> bool:
+        """Whether there is unhandled input that is still worth waiting for.
+
+        A partial line counts until its timeout, so that an idle connection is not closed in the middle of
+        its next request.
+        """
+        if self.draining or not self.has_unread_input():
             return False
-        till = max(self.since, self.line_since) + SILENT
-        till = till if self.spoken else min(till, self.since + FIRST_LINE)
-        return self.buffer.start == self.buffer.end or clock.now() < till
+        deadline = max(self.since, self.line_since) + SILENT_TIMEOUT_S
+        deadline = deadline if self.has_sent_line else min(deadline, self.since + FIRST_LINE_TIMEOUT_S)
+        return self.buffer.start == self.buffer.end or clock.now() < deadline
 
-    def unread(self) -> bool:
-        """Whether something has come that no batch was made of yet."""
+    def has_unread_input(self) -> bool:
+        """Whether there is unhandled input, in the buffer or in the socket."""
         if self.stream.closed():
             return False
-        if self.reading is not None and self.reading.done():
+        if self.pending_read is not None and self.pending_read.done():
             return True
         with suppress(OSError):
             if self.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
         return self.buffer.start != self.buffer.end
 
-    def take(self, message: memoryview) -> None:
+    def handle_line(self, message: memoryview) -> None:
+        """Handle one line; a malformed one is answered with an error and counted."""
         if not bytes(message[:64]).strip():
             return
-        self.since, self.spoken = clock.now(), True
+        self.since, self.has_sent_line = clock.now(), True
         try:
             call = jsonrpc.parse_call(message)
             if call.method == "status":
                 if call.number is not None:
-                    self.write(jsonrpc.encode_value(call.number, {"ready": self.reception.ready()}))
+                    self.write(jsonrpc.encode_value(call.number, {"ready": self.listener.ready()}))
             elif call.method == "withdraw":
                 self.withdraw(call)
             else:
                 self.submit(call)
-                self.bad = 0
+                self.bad_lines = 0
         except jsonrpc.InvalidCall as why:
             self.metrics.add("bad lines")
-            self.bad += 1
-            self.reception.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
-            # Risk: an error under a number that is open would be the answer to what is open under it.
-            number = None if why.number in self.open else why.number
+            self.bad_lines += 1
+            self.listener.log("bad line", why=why.why, line=str(message[:120], "latin-1"))
+            # An error with the number of an open request would be taken for the answer to that request.
+            number = None if why.number in self.open_batches else why.number
             self.write(jsonrpc.encode_error(number, why.code, why.why))
-            if self.bad >= MOST_BAD:
+            if self.bad_lines >= MAX_BAD_LINES:
                 self.metrics.add("clients that send nothing of use")
                 self.end_when_answered()
 
     def submit(self, call: jsonrpc.Call) -> None:
-        if call.number in self.open:
+        """Start the batch of a call; raises `InvalidCall` where it is not valid or not allowed."""
+        if call.number in self.open_batches:
             raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, "id: still open", call.number)
-        if len(self.open) >= MOST_OPEN:
-            raise jsonrpc.InvalidCall(jsonrpc.NO_REQUEST, f"more than {MOST_OPEN} open requests", call.number)
-        batch = self.reception.batch(call)
-        self.open[call.number] = batch
-        self.latest = max(self.latest, call.number)
+        if len(self.open_batches) >= MAX_OPEN_REQUESTS:
+            raise jsonrpc.InvalidCall(
+                jsonrpc.NO_REQUEST, f"more than {MAX_OPEN_REQUESTS} open requests", call.number
+            )
+        batch = self.listener.batch(call)
+        self.open_batches[call.number] = batch
+        self.highest_number = max(self.highest_number, call.number)
         self.metrics.add("taken")
 
-        def answer(told) -> None:
-            if self.open.pop(call.number, None) is batch:
+        def answer(message) -> None:
+            if self.open_batches.pop(call.number, None) is batch:
                 self.since = clock.now()
-                self.metrics.add(type(told).__name__)
-                self.report(batch, told)
-                self.write(line(call.number, told))
+                self.metrics.add(type(message).__name__)
+                self.log_refusal(batch, message)
+                self.write(encode_answer(call.number, message))
                 self.end_if_answered()
 
-        self.reception.courses.start(batch, answer)
+        self.listener.batch_tasks.start(batch, answer)
 
-    def report(self, batch: Batch, told: it.Action | End) -> None:
-        """Log an answer that is no result: whose it is, and how far the batch had come."""
-        if type(told) in (it.PushBack, it.Error):
-            said = "query refused" if type(told) is it.PushBack else "query errored"
+    def log_refusal(self, batch: Batch, message: it.Action | End) -> None:
+        """Log an answer without a result, with the batch's id and the number of its dispatches."""
+        if type(message) in (it.PushBack, it.Error):
+            event = "query refused" if type(message) is it.PushBack else "query errored"
             left = round(batch.deadline - clock.now(), 3)
-            self.reception.log(
-                said,
+            self.listener.log(
+                event,
                 id=batch.submission.txn,
                 group=batch.class_name,
                 dispatches=batch.dispatches,
@@ -375,23 +423,25 @@
             )
 
     def withdraw(self, call: jsonrpc.Call) -> None:
-        """The client has stopped waiting for one of its requests: nothing more is owed for it."""
+        """Cancel a request that the client no longer waits for; it gets no answer."""
         self.metrics.add("withdrawn")
         named = call.params.get("id", call.number)
-        for number, batch in list(self.open.items()):
+        for number, batch in list(self.open_batches.items()):
             if named in (number, batch.submission.txn):
-                del self.open[number]
-                batch.inbox.put_nowait(LEFT)
-        # A number of its own wants an answer of its own; that of a request would get a second one.
-        if call.number is not None and call.number > self.latest:
-            self.latest = call.number
+                del self.open_batches[number]
+                batch.inbox.put_nowait(CLIENT_LEFT)
+        # A withdrawal with its own number gets a reply; with a request's number the reply would be a second
+        # answer to that request.
+        if call.number is not None and call.number > self.highest_number:
+            self.highest_number = call.number
             self.write(jsonrpc.encode_value(call.number, {}))
 
     def write(self, data: bytes) -> None:
-        """One whole line, or none. Nobody waits for it, so that a client that reads late holds up none."""
-        if self.ending or self.stream.closed():
+        """Write one whole line without waiting for it. A client that does not read is disconnected when the
+        unsent answers pass a limit."""
+        if self.shutting_down or self.stream.closed():
             return
-        if self.reception.unread + len(data) > self.reception.limits.unread_bytes:
+        if self.listener.unsent_bytes + len(data) > self.listener.limits.unread_bytes:
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
@@ -401,40 +451,40 @@
             self.metrics.add("clients that do not read")
             self.stream.close()
             return
-        self.reception.unread += len(data)
-        self.unwritten += 1
+        self.listener.unsent_bytes += len(data)
+        self.pending_writes += 1
 
         def done(future: asyncio.Future) -> None:
-            self.reception.unread -= len(data)
-            self.unwritten -= 1
-            self.shut()
-            # A failed write needs no more than being looked at: the session ends by its read.
+            self.listener.unsent_bytes -= len(data)
+            self.pending_writes -= 1
+            self.shut_write_side()
+            # Retrieves the exception of a failed write; the session ends through its read.
             if not future.cancelled():
                 future.exception()
 
         written.add_done_callback(done)
 
-    def left(self) -> None:
-        """The connection has ended, and with it the client's interest in all that is open on it."""
-        self.reception.sessions.pop(self, None)
+    def close(self) -> None:
+        """Release the session after its connection has ended; its open batches are cancelled."""
+        self.listener.sessions.pop(self, None)
         self.buffer.release()
-        self.abandon()
+        self.abandon_batches()
         self.stream.close()
 
-    def abandon(self) -> None:
-        """Nothing is owed any more for what is open here."""
-        for _ in self.open:
+    def abandon_batches(self) -> None:
+        """Tell all open batches that their client has left."""
+        for _ in self.open_batches:
             self.metrics.add("left with the connection")
-        for batch in self.open.values():
-            batch.inbox.put_nowait(LEFT)
-        self.open.clear()
+        for batch in self.open_batches.values():
+            batch.inbox.put_nowait(CLIENT_LEFT)
+        self.open_batches.clear()
 
 
-def line(number: int, told: it.Action | End) -> bytes:
-    """The one final answer as it goes to the client."""
-    match told:
+def encode_answer(number: int, message: it.Action | End) -> bytes:
+    """Encode a batch's final answer as a JSON-RPC line."""
+    match message:
         case End():
-            return jsonrpc.encode_result(number, told.pages)
+            return jsonrpc.encode_result(number, message.pages)
         case it.PushBack():
-            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", told.return_in)
+            return jsonrpc.encode_error(number, jsonrpc.PUSHED_BACK, "pushed back", message.return_in)
     return jsonrpc.encode_error(number, jsonrpc.ERRORED, "errored")
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -1,8 +1,8 @@
-"""Engines that speak Arrow Flight SQL: GetFlightInfo starts a batch, DoGet brings its result.
+"""The Arrow Flight SQL protocol of engines: GetFlightInfo starts a batch, DoGet fetches its result.
 
-What no specification defines (reports, notes, priority, cancel, drop of repeats, 'never ran') is said in
-headers, metadata and actions as `docs/flight-engines.md` sets them down. Of a broken call only that is told
-as never run which an engine has said so, or whose connection was not up: a gRPC status alone proves nothing.
+Load reports, progress notes, priority, cancel, deduplication and "never ran" are not in the specification;
+they use headers, metadata and actions as described in `docs/flight-engines.md`. A batch is reported as never
+run only if its engine said so or its connection was not up, as a gRPC status alone proves nothing.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.dispatch import End, Ended, Sending
-from thistlelever.carrier.flow import Begun, Flow
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
+from thistlelever.carrier.result_stream import Begun, ResultStream
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
@@ -29,9 +29,9 @@
 from thistlelever.wire.http import parse_load_report, parse_measure
 from thistlelever.wire.read_buffer import BufferQuota, TooLong
 
-# Retries that gRPC makes of itself would be dispatches that nobody decided; keep-alives find a peer that has
-# vanished; windows that grow by measure would hold what a slow reader leaves.
-CHANNEL = (
+# gRPC's own retries would be dispatches that the decisions do not know of. Keep-alives detect a peer that has
+# vanished. Flow-control windows sized by bandwidth would buffer what a slow client has not read.
+CHANNEL_OPTIONS = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
     ("grpc.use_local_subchannel_pool", 1),
@@ -48,201 +48,227 @@
     ("grpc.max_reconnect_backoff_ms", 1_000),
     ("grpc.enable_http_proxy", 0),
 )
-# Side calls (cancel, priority, load) are short; the cancel is repeated so long.
-WORD_WITHIN, DROPPED_AFTER, RETRY_PACE = 0.25, 2.0, 0.05
-MOST_ENDPOINTS = 64
-# Rows of text that fit the platform's own door take less than this as columns.
-MOST_FOR_ROWS = 4 * columns.MAX_TEXT_BYTES
-# What our own protocol calls its actions on engines.
+# In seconds: time-out of cancel, priority and load calls, how long a cancel is repeated, delay in between.
+CALL_TIMEOUT_S, DROP_AFTER_S, RETRY_DELAY_S = 0.25, 2.0, 0.05
+MAX_ENDPOINTS = 64
+# Columns larger than this do not fit the text rows of the JSON-RPC protocol.
+MAX_BYTES_FOR_ROWS = 4 * columns.MAX_TEXT_BYTES
+# Action types of engines.
 PRIORITY, STATS, CANCEL = "thistlelever.priority", "thistlelever.stats", "CancelFlightInfo"
 PROGRESS_KINDS = {
     "advance": it.ProgressKind.PROGRESS,
     "disk": it.ProgressKind.SPILL,
     "stall": it.ProgressKind.WAITING,
 }
-# The call broke, or was said to have; whether the batch ran is unknown, and it may run on.
+# Codes of a broken call: it is unknown whether the batch ran, and it may still run.
 BROKEN = frozenset((StatusCode.UNAVAILABLE, StatusCode.CANCELLED, StatusCode.UNKNOWN, StatusCode.INTERNAL))
 Connectivity = grpc.ChannelConnectivity
 Metadata = tuple[tuple[str, str], ...]
-# Nothing is begun by such a call: the engine answers as to the one that began the dispatch, once it can.
-RESUMED: Metadata = (("x-resume", "1"),)
-NOTHING = pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=b"").SerializeToString()
-SAID = {StatusCode.DEADLINE_EXCEEDED: "running", StatusCode.NOT_FOUND: "unknown"}
+# With this header a call starts nothing: the engine answers it like the call that began the dispatch.
+RESUME_HEADERS: Metadata = (("x-resume", "1"),)
+EMPTY_DESCRIPTOR = pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=b"").SerializeToString()
+BATCH_STATUS = {StatusCode.DEADLINE_EXCEEDED: "running", StatusCode.NOT_FOUND: "unknown"}
 REFUSED = frozenset((StatusCode.RESOURCE_EXHAUSTED, StatusCode.UNAVAILABLE))
 
 
-class Hold:
-    """The first messages of one result, while it could still come from another dispatch."""
+class ResultBuffer:
+    """The first messages of a result, while another dispatch can still replace this one."""
 
-    def __init__(self, most: int, quota: BufferQuota) -> None:
-        self.most, self.quota, self.size = most, quota, 0
+    def __init__(self, max_bytes: int, quota: BufferQuota) -> None:
+        """Hold up to `max_bytes`, reserved from `quota`."""
+        self.max_bytes, self.quota, self.size = max_bytes, quota, 0
         self.messages: list[bytes] = []
         self.schema = None
 
     def add(self, raw: bytes) -> bool:
-        """Keep a message; whether there is room for more."""
+        """Store a message; returns whether it fits the limits."""
         self.messages.append(raw)
         try:
             self.quota.reserve(len(raw))
         except TooLong:
             return False
         self.size += len(raw)
-        return self.size <= self.most
+        return self.size <= self.max_bytes
 
     def release(self) -> None:
+        """Drop the messages and return their bytes to the quota."""
         self.quota.reserve(-self.size)
         self.messages, self.size = [], 0
 
 
 class FlightEngines:
-    """One channel an engine, kept by its id; see `Speech` in `dispatch.py`."""
+    """The Arrow Flight SQL protocol of engines; implements `EngineProtocol` of `dispatch.py`.
+
+    There is one channel per engine, kept by the engine's id. Results are buffered up to `buffer_limit` bytes,
+    all together up to `quota`; a larger one is streamed with up to `stream_limit` bytes queued.
+    """
 
     def __init__(
         self,
         settings: it.Settings,
         registry: EngineRegistry,
-        desk: Desk,
+        decisions: DecisionLoop,
         metrics: Metrics,
-        held: int,
-        between: int,
+        buffer_limit: int,
+        stream_limit: int,
         quota: BufferQuota,
     ) -> None:
+        """Start without channels; they are opened when they are needed."""
         self.fields, self.connect_limit = settings.report_fields, settings.connect_limit
-        self.registry, self.desk, self.metrics = registry, desk, metrics
-        # What one result may hold before it begins to go on, and all of them together.
-        self.held, self.quota = held, quota
-        # What of a result that goes on may lie between its engine and its client.
-        self.between = between
+        self.registry, self.decisions, self.metrics = registry, decisions, metrics
+        self.buffer_limit, self.quota = buffer_limit, quota
+        self.stream_limit = stream_limit
         self.channels: dict[it.EngineId, aio.Channel] = {}
         self.closing: set[asyncio.Task] = set()
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Implement `EngineProtocol.run_dispatch`."""
         try:
-            order = command(batch)
+            descriptor = batch_descriptor(batch)
         except UnicodeDecodeError:
-            # A statement that this protocol can't carry; no engine that speaks it will do better.
-            raise Ended(it.DispatchOutcome.ERRORED) from None
+            # Statements must be UTF-8 in this protocol, so no engine that uses it can run this one.
+            raise NoResultError(it.DispatchOutcome.ERRORED) from None
         channel = await self.channel(entry)
-        if not sent.may_begin():
-            raise Ended(it.DispatchOutcome.UNSENT)
-        await self.fetch(channel, order, batch, entry, end, sent, till)
+        if not progress.may_start():
+            raise NoResultError(it.DispatchOutcome.UNSENT)
+        await self.fetch(channel, descriptor, batch, entry, end, progress, deadline)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Implement `EngineProtocol.resume`."""
         if batch.is_update:
-            # Its count is in the one answer to its call, which went to another front.
-            raise Ended(it.DispatchOutcome.ASTRAY)
+            # The row count was in the answer to the call, which went to another front.
+            raise NoResultError(it.DispatchOutcome.ASTRAY)
         try:
             channel = await self.channel(entry)
-        except Ended:
-            raise Ended(it.DispatchOutcome.RESET) from None
-        await self.fetch(channel, command(batch), batch, entry, end, sent, till, RESUMED)
+        except NoResultError:
+            raise NoResultError(it.DispatchOutcome.RESET) from None
+        await self.fetch(
+            channel, batch_descriptor(batch), batch, entry, end, progress, deadline, RESUME_HEADERS
+        )
 
     async def fetch(
         self,
         channel: aio.Channel,
-        order: bytes,
+        descriptor: bytes,
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: Sending,
-        till: float,
-        further: Metadata = (),
+        progress: DispatchProgress,
+        deadline: float,
+        extra_headers: Metadata = (),
     ) -> None:
-        """The calls of one dispatch."""
-        sent.begun, sent.asked = True, clock.now()
-        hold = Hold(self.held if batch.columns else MOST_FOR_ROWS, self.quota)
+        """Make the calls of one dispatch, with `extra_headers` on the first.
+
+        Sets `end.outcome` and the result, or raises `NoResultError`.
+        """
+        progress.started, progress.last_call_at = True, clock.now()
+        buffer = ResultBuffer(self.buffer_limit if batch.columns else MAX_BYTES_FOR_ROWS, self.quota)
         try:
             if batch.is_update:
-                await self.update(channel, order, batch, end, sent, till)
+                await self.update(channel, descriptor, batch, end, progress, deadline)
                 return
-            terms = self.terms(batch, end.number, till, further)
-            call = channel.unary_unary(SERVICE + "GetFlightInfo")(order, **terms)
+            options = self.call_options(batch, end.number, deadline, extra_headers)
+            call = channel.unary_unary(SERVICE + "GetFlightInfo")(descriptor, **options)
             info = decode(pb.FlightInfo, await call)
-            sent.heard, sent.asked = True, clock.now()
-            self.figures(await call.trailing_metadata(), end)
-            if not 1 <= len(info.endpoint) <= MOST_ENDPOINTS:
+            progress.acknowledged, progress.last_call_at = True, clock.now()
+            self.read_trailer(await call.trailing_metadata(), end)
+            if not 1 <= len(info.endpoint) <= MAX_ENDPOINTS:
                 raise Unreadable(f"{len(info.endpoint)} endpoints")
             for endpoint in info.endpoint:
                 call = channel.unary_stream(SERVICE + "DoGet")(
-                    endpoint.ticket.SerializeToString(), **self.terms(batch, end.number, till)
+                    endpoint.ticket.SerializeToString(), **self.call_options(batch, end.number, deadline)
                 )
-                await self.stream(call, batch, end, hold)
-            self.whole(batch, end, hold)
+                await self.stream(call, batch, end, buffer)
+            self.finish_result(batch, end, buffer)
         except aio.AioRpcError as why:
-            self.figures(why.trailing_metadata(), end)
-            if further and why.code() is StatusCode.NOT_FOUND:
-                raise Ended(it.DispatchOutcome.ASTRAY) from None
-            raise Ended(await self.outcome(why, entry, batch, sent)) from None
+            self.read_trailer(why.trailing_metadata(), end)
+            if extra_headers and why.code() is StatusCode.NOT_FOUND:
+                raise NoResultError(it.DispatchOutcome.ASTRAY) from None
+            raise NoResultError(await self.outcome(why, entry, batch, progress)) from None
         except aio.UsageError:
-            # Its channel was let go between two calls, as its engine is gone or its connection was lost.
-            raise Ended(it.DispatchOutcome.RESET) from None
+            # The channel was closed between two calls, as the engine left or the connection was lost.
+            raise NoResultError(it.DispatchOutcome.RESET) from None
         except Unreadable as why:
             self.metrics.add("flight results without use")
-            self.desk.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
-            # What we stop reading its engine may run on.
-            await self.give_up(batch, entry, sent)
+            self.decisions.log("flight result without use", why=str(why), engine=end.engine.decode("latin-1"))
+            # The engine may still run the batch.
+            await self.cancel_dispatch(batch, entry, progress)
             end.outcome = it.DispatchOutcome.ERRORED
         finally:
-            hold.release()
+            buffer.release()
 
-    async def stream(self, call: aio.UnaryStreamCall, batch: Batch, end: End, hold: Hold) -> None:
-        """Take one endpoint's messages: held while they are few, then handed on as they come."""
+    async def stream(self, call: aio.UnaryStreamCall, batch: Batch, end: End, buffer: ResultBuffer) -> None:
+        """Read the messages of one endpoint into the buffer; a result that is too large for it is streamed.
+
+        Raises `Unreadable` for an invalid stream, or one too large for a client of rows.
+        """
         first = True
         try:
             async for raw in call:
-                said = decode_stream_message(raw)
-                if not said.header:
-                    self.note(said.metadata, batch, end)
+                message = decode_stream_message(raw)
+                if not message.header:
+                    self.handle_note(message.metadata, batch, end)
                     continue
                 if first:
                     first = False
                     schema = columns.decode_schema(raw)
-                    if hold.schema is not None:
-                        # Of a further endpoint; the schema was passed on already, and must be the same.
-                        if not schema.equals(hold.schema):
+                    if buffer.schema is not None:
+                        # The schema of a further endpoint was already passed on and must be the same.
+                        if not schema.equals(buffer.schema):
                             raise Unreadable("endpoints of different schemas")
                         continue
-                    hold.schema = schema
-                if end.flow:
-                    await end.flow.put(raw)
-                elif not hold.add(raw):
+                    buffer.schema = schema
+                if end.result_stream:
+                    await end.result_stream.put(raw)
+                elif not buffer.add(raw):
                     if not batch.columns:
                         raise Unreadable("more than a client that takes rows can get")
-                    # Too large to hold: from here on no other dispatch can bring it.
-                    end.flow = Flow(end.number, hold.messages, self.between)
-                    batch.inbox.put_nowait(Begun(end.number, end.flow))
-                    hold.release()
+                    # Too large to buffer; from here on no other dispatch can replace this one.
+                    end.result_stream = ResultStream(end.number, buffer.messages, self.stream_limit)
+                    batch.inbox.put_nowait(Begun(end.number, end.result_stream))
+                    buffer.release()
             if first:
                 raise Unreadable("a stream without a schema")
-            self.figures(await call.trailing_metadata(), end)
+            self.read_trailer(await call.trailing_metadata(), end)
         finally:
             call.cancel()
 
-    def whole(self, batch: Batch, end: End, hold: Hold) -> None:
-        """All is in. For a client of rows it becomes rows here, so that what does not fit is an error of this
-        dispatch and not of the client's."""
-        if batch.columns and not end.flow:
-            end.stream_messages = list(hold.messages)
+    def finish_result(self, batch: Batch, end: End, buffer: ResultBuffer) -> None:
+        """Complete a result. Rows are decoded here, so that a result that does not fit is an error of this
+        dispatch."""
+        if batch.columns and not end.result_stream:
+            end.stream_messages = list(buffer.messages)
         elif not batch.columns:
-            end.pages = [columns.decode_rows(hold.messages)]
+            end.pages = [columns.decode_rows(buffer.messages)]
         end.outcome = it.DispatchOutcome.RETURNED
 
     async def update(
-        self, channel: aio.Channel, order: bytes, batch: Batch, end: End, sent: Sending, till: float
+        self,
+        channel: aio.Channel,
+        descriptor: bytes,
+        batch: Batch,
+        end: End,
+        progress: DispatchProgress,
+        deadline: float,
     ) -> None:
-        call = channel.stream_stream(SERVICE + "DoPut")(**self.terms(batch, end.number, till))
+        """Run an update by DoPut; sets the number of changed rows and the outcome."""
+        call = channel.stream_stream(SERVICE + "DoPut")(**self.call_options(batch, end.number, deadline))
         try:
-            descriptor = decode(pb.FlightDescriptor, order)
-            await call.write(pb.FlightData(flight_descriptor=descriptor).SerializeToString())
+            parsed = decode(pb.FlightDescriptor, descriptor)
+            await call.write(pb.FlightData(flight_descriptor=parsed).SerializeToString())
             await call.done_writing()
             async for raw in call:
-                said = decode(pb.PutResult, raw)
-                if said.app_metadata:
-                    end.changed = decode(sql.DoPutUpdateResult, said.app_metadata).record_count
-            self.figures(await call.trailing_metadata(), end)
+                result = decode(pb.PutResult, raw)
+                if result.app_metadata:
+                    end.changed = decode(sql.DoPutUpdateResult, result.app_metadata).record_count
+            self.read_trailer(await call.trailing_metadata(), end)
             end.outcome = it.DispatchOutcome.RETURNED
         except asyncio.InvalidStateError:
-            # The call was over before all of it was written; its status says why.
+            # The call ended before everything was written; its status tells why.
             raise aio.AioRpcError(
                 await call.code(), await call.initial_metadata(), await call.trailing_metadata()
             ) from None
@@ -250,136 +276,159 @@
             call.cancel()
 
     async def outcome(
-        self, why: aio.AioRpcError, entry: Entry, batch: Batch, sent: Sending
+        self, why: aio.AioRpcError, entry: Entry, batch: Batch, progress: DispatchProgress
     ) -> it.DispatchOutcome:
-        """What a broken call means. Risk: UNAVAILABLE read as 'not sent' runs a batch twice: gRPC says it of
-        a connection that broke with the batch at work, too."""
-        said = dict(why.trailing_metadata() or ())
-        if said.get("x-unrun") == "1":
+        """Return the outcome that a failed call stands for.
+
+        UNAVAILABLE does not mean that nothing was sent: gRPC also reports it for a connection that broke
+        while the batch was running, and the batch could run twice.
+        """
+        trailer = dict(why.trailing_metadata() or ())
+        if trailer.get("x-unrun") == "1":
             return it.DispatchOutcome.FULL if why.code() in REFUSED else it.DispatchOutcome.UNSENT
         if why.code() is StatusCode.DEADLINE_EXCEEDED:
             return it.DispatchOutcome.TIMED_OUT
         if why.code() not in BROKEN:
-            # Risk: a status that this side made (a message too large) leaves the engine at work.
-            await self.give_up(batch, entry, sent)
+            # The status may come from this side (message too large) while the engine is still running.
+            await self.cancel_dispatch(batch, entry, progress)
             return it.DispatchOutcome.ERRORED
-        # Risk: an engine that never got the batch is taken for ill; on a day when connections break, all are.
-        # Called off there as it is asked, so that what still lies in a buffer is not begun after that.
-        name = batch.dispatch_name(sent.number)
-        if not sent.heard and await self.cancel(entry, name, command(batch)) is StatusCode.NOT_FOUND:
+        # An engine that never got the batch must not count as failing; when connections break, all engines
+        # would. The cancel tells whether it got it, and keeps a call still in a buffer from starting it.
+        name = batch.dispatch_name(progress.number)
+        if (
+            not progress.acknowledged
+            and await self.send_cancel(entry, name, batch_descriptor(batch)) is StatusCode.NOT_FOUND
+        ):
             return it.DispatchOutcome.ASTRAY
         return it.DispatchOutcome.RESET
 
-    def terms(self, batch: Batch, number: int, till: float, further: Metadata = ()) -> dict:
-        """A call's time limit and headers. The call may last as long as the client waits, as a result that
-        has begun to go on does; the dispatch's own end, when it comes sooner, is told to the engine."""
-        asked, left = batch.submission, max(ceil((till - clock.now()) * 1e3), 1)
+    def call_options(self, batch: Batch, number: int, deadline: float, extra_headers: Metadata = ()) -> dict:
+        """Return the time-out and the headers of a call.
+
+        The call may last as long as the client waits, as a streamed result may; the dispatch's own limit
+        `deadline`, which may be earlier, is sent to the engine in milliseconds.
+        """
+        submission, left = batch.submission, max(ceil((deadline - clock.now()) * 1e3), 1)
         fields = [
-            *which(batch.dispatch_name(number)),
-            *further,
+            *dispatch_headers(batch.dispatch_name(number)),
+            *extra_headers,
             ("x-lane", batch.class_name),
             ("x-limit-ms", str(left)),
         ]
-        if asked.reference:
-            fields.append(("x-dedupe", asked.reference))
+        if submission.reference:
+            fields.append(("x-dedupe", submission.reference))
         if batch.grant >= 1:
             fields.append(("pool-mb", str(round(batch.grant))))
         if batch.priority is not None:
             fields.append(("pool-rank", str(batch.priority)))
         return {"timeout": max(batch.deadline - clock.now(), 0.001), "metadata": tuple(fields)}
 
-    def figures(self, metadata, end: End) -> None:
-        """Report, work and memory, where the call's trailer has them."""
-        said = {key: value for key, value in metadata or () if isinstance(value, str)}
-        end.report = parse_load_report(said.get("x-gauges", ""), self.fields) or end.report
-        end.true_work = (parse_measure(said.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
-        end.true_memory = parse_measure(said.get("high-water", "")) or end.true_memory
+    def read_trailer(self, metadata, end: End) -> None:
+        """Take load report, work and memory from a call's trailer, as far as it has them."""
+        trailer = {key: value for key, value in metadata or () if isinstance(value, str)}
+        end.report = parse_load_report(trailer.get("x-gauges", ""), self.fields) or end.report
+        end.true_work = (parse_measure(trailer.get("elapsed-work", "")) or 0.0) / 1e3 or end.true_work
+        end.true_memory = parse_measure(trailer.get("high-water", "")) or end.true_memory
+
+    def handle_note(self, metadata: bytes, batch: Batch, end: End) -> None:
+        """Pass a progress note such as `advance=0.4`, a message of metadata alone, to the decisions.
 
-    def note(self, metadata: bytes, batch: Batch, end: End) -> None:
-        """A message of metadata alone is a note: `advance=0.4`. Of a result that has begun to go on none is
-        told: it can't be called off for a better one any more."""
+        Notes on a result that is already streamed are dropped, as no other dispatch can replace it.
+        """
         name, _, word = metadata[:64].decode("latin-1").partition("=")
         kind, value = PROGRESS_KINDS.get(name), parse_measure(word)
-        if kind and value is not None and not end.flow:
+        if kind and value is not None and not end.result_stream:
             value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
-            self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
+            self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
 
-    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
+        """Implement `EngineProtocol.query_status`."""
         try:
             channel = await self.channel(entry)
             call = channel.unary_unary(SERVICE + "GetFlightInfo")
-            await call(NOTHING, timeout=WORD_WITHIN, metadata=(*which(name), *RESUMED))
-        except Ended:
+            await call(
+                EMPTY_DESCRIPTOR, timeout=CALL_TIMEOUT_S, metadata=(*dispatch_headers(name), *RESUME_HEADERS)
+            )
+        except NoResultError:
             return "silent"
         except aio.AioRpcError as why:
-            return SAID.get(why.code(), "silent")
+            return BATCH_STATUS.get(why.code(), "silent")
         except aio.UsageError:
             return "silent"
         return "over"
 
-    async def call_off(self, entry: Entry, name: DispatchName) -> None:
-        await self.until_called_off(entry, name, NOTHING, clock.now() + DROPPED_AFTER)
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
+        """Implement `EngineProtocol.cancel_by_name`."""
+        await self.cancel_until_confirmed(entry, name, EMPTY_DESCRIPTOR, clock.now() + DROP_AFTER_S)
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
-        name, till = batch.dispatch_name(sent.number), sent.asked + DROPPED_AFTER
-        await self.until_called_off(entry, name, command(batch), till)
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        """Cancel until the engine must have dropped the dispatch, `DROP_AFTER_S` after the last call."""
+        name, deadline = batch.dispatch_name(progress.number), progress.last_call_at + DROP_AFTER_S
+        await self.cancel_until_confirmed(entry, name, batch_descriptor(batch), deadline)
 
-    async def until_called_off(self, entry: Entry, name: DispatchName, order: bytes, till: float) -> None:
-        """The cancel, until the engine has it, can't cancel at all, or is out of reach for as long as it goes
-        on with a batch that nobody reads."""
-        while clock.now() < till:
-            code = await self.cancel(entry, name, order)
+    async def cancel_until_confirmed(
+        self, entry: Entry, name: DispatchName, descriptor: bytes, deadline: float
+    ) -> None:
+        """Repeat the cancel until the engine has handled it, does not support it, or `deadline` passes."""
+        while clock.now() < deadline:
+            code = await self.send_cancel(entry, name, descriptor)
             if code in (StatusCode.OK, StatusCode.NOT_FOUND, StatusCode.UNIMPLEMENTED):
                 return
             if code is None:
                 break
-            await asyncio.sleep(RETRY_PACE)
+            await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("flight cancel failed")
 
-    async def cancel(self, entry: Entry, name: DispatchName, order: bytes) -> StatusCode | None:
-        """What the engine says to one cancel; NOT_FOUND: it never had this dispatch, and will not begin it.
-        None where it is out of reach."""
-        descriptor = decode(pb.FlightDescriptor, order)
-        info = pb.FlightInfo(flight_descriptor=descriptor, app_metadata=name.txn.encode())
+    async def send_cancel(self, entry: Entry, name: DispatchName, descriptor: bytes) -> StatusCode | None:
+        """Send one cancel and return the engine's status, or None if it cannot be reached.
+
+        NOT_FOUND: the engine never had this dispatch and will not start it.
+        """
+        parsed = decode(pb.FlightDescriptor, descriptor)
+        info = pb.FlightInfo(flight_descriptor=parsed, app_metadata=name.txn.encode())
         try:
             body = pb.CancelFlightInfoRequest(info=info).SerializeToString()
-            await self.act(entry, CANCEL, body, which(name))
+            await self.call_action(entry, CANCEL, body, dispatch_headers(name))
             return StatusCode.OK
         except aio.AioRpcError as why:
             return why.code()
         except Unreadable:
             return StatusCode.UNKNOWN
-        except Ended:
+        except NoResultError:
             return None
 
-    async def run_out(self, sent: Sending) -> None:
-        """An engine that runs on says nothing of its end: none follows before the batch's time limit."""
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
+        """Never return: these engines do not report when a batch ends that is not cancelled."""
         await asyncio.Event().wait()
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
+        """Implement `EngineProtocol.set_priority`."""
         try:
-            await self.act(entry, PRIORITY, b"%d" % batch.priority, which(batch.dispatch_name(number)))
-        except (aio.AioRpcError, Ended):
+            await self.call_action(
+                entry, PRIORITY, b"%d" % batch.priority, dispatch_headers(batch.dispatch_name(number))
+            )
+        except (aio.AioRpcError, NoResultError):
             self.metrics.add("flight priority failed")
 
-    async def act(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
-        """An action's first result."""
+    async def call_action(self, entry: Entry, kind: str, body: bytes, metadata: Metadata = ()) -> bytes:
+        """Call an action and return its first result; raises `AioRpcError` or `NoResultError`."""
         channel = await self.channel(entry)
         call = channel.unary_stream(SERVICE + "DoAction")(
-            pb.Action(type=kind, body=body).SerializeToString(), timeout=WORD_WITHIN, metadata=metadata
+            pb.Action(type=kind, body=body).SerializeToString(), timeout=CALL_TIMEOUT_S, metadata=metadata
         )
-        found = b""
+        first_result = b""
         try:
             async for raw in call:
-                found = found or decode(pb.Result, raw).body
+                first_result = first_result or decode(pb.Result, raw).body
         finally:
             call.cancel()
-        return found
+        return first_result
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
+        """Implement `EngineProtocol.probe`."""
         try:
-            answer = await self.act(entry, STATS, b"")
-        except Ended:
+            answer = await self.call_action(entry, STATS, b"")
+        except NoResultError:
             return it.DispatchOutcome.UNREACHABLE, ()
         except Unreadable:
             return it.DispatchOutcome.ERRORED, ()
@@ -390,27 +439,31 @@
         return it.DispatchOutcome.RETURNED, parse_load_report(answer.decode("latin-1"), self.fields)
 
     async def channel(self, entry: Entry) -> aio.Channel:
-        """A channel that is up, or `Ended` as unreachable: nothing was sent then. What a kept channel says
-        of its lost connection is old news; only a new one's failure is the engine's."""
+        """Return a connected channel; raises `NoResultError` with `UNREACHABLE` if there is none.
+
+        Only the failure of a new channel counts against the engine; a kept one may have lost its connection
+        earlier.
+        """
         engine, due = entry.engine.id, asyncio.get_running_loop().time() + self.connect_limit
         while True:
             channel, fresh = self.channels.get(engine), False
             if channel is None:
                 target = f"ipv4:{entry.address[0]}:{entry.address[1]}"
-                channel, fresh = aio.insecure_channel(target, options=CHANNEL), True
+                channel, fresh = aio.insecure_channel(target, options=CHANNEL_OPTIONS), True
                 self.channels[engine] = channel
             try:
                 async with asyncio.timeout_at(due):
-                    if await self.comes_up(channel):
+                    if await self.wait_connected(channel):
                         return channel
             except TimeoutError:
-                raise Ended(it.DispatchOutcome.UNREACHABLE) from None
+                raise NoResultError(it.DispatchOutcome.UNREACHABLE) from None
             if self.channels.get(engine) is channel:
                 self.forget(engine)
             if fresh:
-                raise Ended(it.DispatchOutcome.UNREACHABLE)
+                raise NoResultError(it.DispatchOutcome.UNREACHABLE)
 
-    async def comes_up(self, channel: aio.Channel) -> bool:
+    async def wait_connected(self, channel: aio.Channel) -> bool:
+        """Wait until the channel is connected or has failed; returns whether it is connected."""
         state = channel.get_state(try_to_connect=True)
         while state not in (Connectivity.READY, Connectivity.TRANSIENT_FAILURE, Connectivity.SHUTDOWN):
             await channel.wait_for_state_change(state)
@@ -418,28 +471,32 @@
         return state is Connectivity.READY
 
     def forget(self, engine: it.EngineId) -> None:
-        """Risk: kept by address, the channel of an engine that is gone is taken for the next one's there."""
+        """Close the channel of an engine that left or lost its connection; running calls may finish.
+
+        Channels are kept by engine id: by address, an engine's channel would be used for its successor there.
+        """
         channel = self.channels.pop(engine, None)
         if channel:
-            # What is out on it has its own end; a result that still comes is read on.
-            task = asyncio.get_running_loop().create_task(channel.close(grace=DROPPED_AFTER))
+            task = asyncio.get_running_loop().create_task(channel.close(grace=DROP_AFTER_S))
             self.closing.add(task)
             task.add_done_callback(self.closing.discard)
 
     async def close(self) -> None:
+        """Close all channels."""
         for engine in list(self.channels):
             self.forget(engine)
         if self.closing:
             await asyncio.wait(self.closing, timeout=0.2)
 
 
-def which(name: DispatchName) -> Metadata:
-    """What names a dispatch: an engine that has called one off may get the same batch's next."""
+def dispatch_headers(name: DispatchName) -> Metadata:
+    """Return the headers that identify a dispatch; the id of the batch alone would not, as an engine that
+    cancelled one dispatch may get the next."""
     return ("x-txn", name.txn), ("x-dispatch", str(name.number))
 
 
-def command(batch: Batch) -> bytes:
-    """The descriptor that asks for a batch."""
+def batch_descriptor(batch: Batch) -> bytes:
+    """Encode the Flight descriptor of a batch's statement; raises `UnicodeDecodeError` if it is not UTF-8."""
     kind = sql.CommandStatementUpdate if batch.is_update else sql.CommandStatementQuery
-    order = encode_any(kind(query=batch.submission.statement.decode()))
-    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=order).SerializeToString()
+    command = encode_any(kind(query=batch.submission.statement.decode()))
+    return pb.FlightDescriptor(type=pb.FlightDescriptor.CMD, cmd=command).SerializeToString()
--- a/thistlelever/flight/batch_call.py
+++ b/thistlelever/flight/batch_call.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING, NamedTuple
 
-from thistlelever.carrier.course import LEFT
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.flow import Begun
+from thistlelever.carrier.result_stream import Begun
 from thistlelever.store.batches import Batch
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
         server.open_batches[batch.submission.txn] = OpenBatch(batch, answer)
         server.metrics.add("taken")
-        server.courses.start(batch, set_answer)
+        server.batch_tasks.start(batch, set_answer)
         try:
             value = await answer
             server.metrics.add(type(value).__name__)
@@ -67,4 +67,4 @@
     def abandon(self) -> None:
         """Tell the batch's task that its client has left."""
         self.server.open_batches.pop(self.batch.submission.txn, None)
-        self.batch.inbox.put_nowait(LEFT)
+        self.batch.inbox.put_nowait(CLIENT_LEFT)
--- a/thistlelever/flight/server.py
+++ b/thistlelever/flight/server.py
@@ -14,10 +14,10 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.carrier.course import LEFT, Courses
+from thistlelever.carrier.batch_tasks import CLIENT_LEFT, BatchTasks
 from thistlelever.carrier.dispatch import End
-from thistlelever.carrier.flow import Begun
-from thistlelever.carrier.intake import Intake
+from thistlelever.carrier.result_stream import Begun
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.flight import catalog, status_errors
 from thistlelever.flight.batch_call import CANCELLED_BY_CLIENT, BatchCall, OpenBatch
 from thistlelever.flight.prepared_statement_actions import PreparedStatementActions
@@ -89,10 +89,16 @@
     """The Flight SQL server of a front, on one port. Each call is one asyncio task."""
 
     def __init__(
-        self, options: Flight, name: str, intake: Intake, courses: Courses, metrics: Metrics, log: Log
+        self,
+        options: Flight,
+        name: str,
+        validator: RequestValidator,
+        batch_tasks: BatchTasks,
+        metrics: Metrics,
+        log: Log,
     ) -> None:
         """Take the operator file's section `flight` and the front's name; listens only after `listen`."""
-        self.options, self.intake, self.courses = options, intake, courses
+        self.options, self.validator, self.batch_tasks = options, validator, batch_tasks
         self.metrics, self.log = metrics, log
         self.signer = TicketSigner(name)
         self.tickets = Tickets(name, self.signer.life, options.tickets)
@@ -265,7 +271,7 @@
             raise invalid_argument(
                 f"{options.group_header}: missing; no option or default names a service group"
             )
-        if group not in self.intake.groups:
+        if group not in self.validator.query_classes:
             raise invalid_argument(f"{options.group_header}: {group[:60]!r} is no service group")
         fields: dict[str, str | float | bool] = {}
         tenant = call_headers.get(options.tenant_header) or session_options.get("tenant") or options.tenant
@@ -293,7 +299,7 @@
         Its time limit is the ticket's `wait`, else that of its service group, and ends before the deadline
         of the call. Raises `StatusError`, or `InvalidFieldError` for a field.
         """
-        limit = self.intake.groups[payload.group][1].time_limit
+        limit = self.validator.query_classes[payload.group][1].time_limit
         wait = float(payload.fields.get("wait", limit * 1e3))
         remaining = context.time_remaining()
         if remaining is not None:
@@ -301,7 +307,7 @@
             if remaining <= RESPONSE_MARGIN:
                 raise StatusError(StatusCode.DEADLINE_EXCEEDED, "no time left")
             wait = min(wait, (remaining - RESPONSE_MARGIN) * 1e3)
-        batch = self.intake.batch(
+        batch = self.validator.make_batch(
             payload.group, payload.fields | {"id": payload.number, "wait": wait}, payload.statement
         )
         batch.columns = True
@@ -355,10 +361,10 @@
                     for raw in stream_messages:
                         await context.write(raw)
                 case Begun():
-                    while (raw := await answer.flow.take()) is not None:
+                    while (raw := await answer.result_stream.take()) is not None:
                         await context.write(raw)
-                    if answer.flow.outcome is not it.DispatchOutcome.RETURNED:
-                        raise status_errors.incomplete_result(answer.flow.outcome)
+                    if answer.result_stream.outcome is not it.DispatchOutcome.RETURNED:
+                        raise status_errors.incomplete_result(answer.result_stream.outcome)
 
     def no_result_error(self, answer, batch: Batch) -> StatusError:
         """Return the error for a batch whose answer is not a result."""
@@ -476,9 +482,9 @@
         payload = self.signer.verify(message.statement_handle)
         if payload.number in self.open_batches:
             batch, answer = self.open_batches[payload.number]
-            if answer.done() and not batch.flow:
+            if answer.done() and not batch.result_stream:
                 return pb.CANCEL_STATUS_NOT_CANCELLABLE
-            batch.inbox.put_nowait(LEFT)
+            batch.inbox.put_nowait(CLIENT_LEFT)
             if not answer.done():
                 answer.set_result(CANCELLED_BY_CLIENT)
             return pb.CANCEL_STATUS_CANCELLED
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -28,7 +28,7 @@
         self.engines = FlightEngines(
             config.settings,
             context.registry,
-            context.desk,
+            context.decisions,
             context.metrics,
             section.held_bytes,
             buffered_bytes,
@@ -36,7 +36,7 @@
         )
         self.kinds = config.kinds
         self.server = FlightServer(
-            section, config.name, context.intake, context.courses, context.metrics, context.log
+            section, config.name, context.validator, context.batch_tasks, context.metrics, context.log
         )
 
     def speaks_flight(self, entry: Entry) -> bool:
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -82,9 +82,9 @@
         if view.fronts != self.fronts:
             self.fronts = view.fronts
             self.context.log("fronts counted", fronts=view.fronts, alone=view.isolation_reason)
-            self.context.desk.tell(it.FrontCountChanged(view.fronts))
-            if self.context.courses.gate:
-                self.context.courses.gate.set_front_count(view.fronts)
+            self.context.decisions.add_event(it.FrontCountChanged(view.fronts))
+            if self.context.batch_tasks.gate:
+                self.context.batch_tasks.gate.set_front_count(view.fronts)
 
     async def observe_service(self) -> None:
         """Tell the failure detector periodically whether this front serves, until cancelled."""
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from thistlelever.carrier.recollection import Recollection
+from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.operator import Operator, State
@@ -108,7 +108,7 @@
             self.use_remembered()
         self.serial, self.recorded_at = context.registry.serial, 0.0
         self.tasks: list[asyncio.Task] = []
-        context.courses.memory = Recollection(
+        context.batch_tasks.remembered = RememberedOutcomes(
             context.config.settings,
             context.registry,
             context.metrics,
@@ -174,7 +174,7 @@
             took,
             extra,
         )
-        self.context.desk.tell(state)
+        self.context.decisions.add_event(state)
 
     def remember_dispatch(
         self, idempotency_key: bytes, what: tuple[it.EngineId, DispatchName, float] | None
@@ -220,7 +220,7 @@
         """Probe all engines that are due at once, until all have answered or `within_s` has passed."""
 
         async def probe(engine: bytes) -> None:
-            outcome, _ = await self.context.dispatcher.speech(self.entries[engine]).probe(
+            outcome, _ = await self.context.dispatcher.protocol(self.entries[engine]).probe(
                 self.entries[engine]
             )
             self.recovery.record_probe(engine, outcome is it.DispatchOutcome.RETURNED)
@@ -240,7 +240,7 @@
         if self.recovery.stage is not Stage.LISTED and not self.context.registry.serial:
             self.use_remembered()
             registry = self.context.registry
-            self.context.desk.tell(
+            self.context.decisions.add_event(
                 it.EngineListReceived(it.ListKind.CACHED, registry.serial, registry.engine_list())
             )
             self.context.log("started by what was remembered", **self.recovery.show())
@@ -276,7 +276,7 @@
             for engine, entry in registry.entries.items():
                 if entry.engine.state is not it.EngineState.GONE:
                     writer.put("listed", engine, listed_record(entry, registry.serial, at))
-        learnt, at = self.context.desk.front.learned_state(clock.now()), moment_ago()
+        learnt, at = self.context.decisions.front.learned_state(clock.now()), moment_ago()
         for engine, bound, pace, started in learnt.engines:
             if engine in writer.records["listed"]:
                 # The front's clock means nothing to another process: the start is stored by the wall clock.
--- a/thistlelever/standins/flight_engine.py
+++ b/thistlelever/standins/flight_engine.py
@@ -52,9 +52,9 @@
         self.kept, self.begun, self.cancelled = {}, set(), set()
         self.released = asyncio.Event()
         self.options, self.held_up, self.sent = options, set(), 0
-        # With `drops_after` seconds set, a dispatch runs on when its call breaks, and its result is kept until
-        # it has not been requested for that long. `runs` has the tasks and `asked` the times of the last
-        # request, by batch and dispatch; `run_statement`, if set, is the coroutine function that runs a statement.
+        # With `drops_after` seconds set, a dispatch runs on when its call breaks, and its result is kept
+        # until it has not been requested for that long. By batch and dispatch, `runs` has the tasks and
+        # `asked` the times of the last request; `run_statement`, if set, runs a statement.
         self.drops_after, self.runs, self.asked, self.run_statement = None, {}, {}, None
 
     async def start(self, port=0):
