--- a/tests/stage.py
+++ b/tests/stage.py
@@ -14,7 +14,7 @@
 from thistlelever.carrier import clients, directory
 from thistlelever.standins.directory import Directory, dns_answer
 from thistlelever.standins.http_engine import Engine, rows, unescaped
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 
@@ -66,9 +66,9 @@
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
         self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.BAD_LINE_DELAY_S
-        # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
+        # Arrow Flight SQL: the section, calls under way and done, relays before engines.
         self.sections = {}
-        self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
+        self.flight_section, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
     async def until(self, holds):
         """Looks again whenever something happens; what never comes fails."""
@@ -96,7 +96,7 @@
         await self.engines[name].start()
 
     async def do_holds(self, name):
-        self.engines[name].holds = True
+        self.engines[name].holds_posts = True
 
     async def do_dead(self, name):
         await self.engines[name].stop()
@@ -121,7 +121,7 @@
             self.log,
             lambda: front_config.read(self.config, {}),
             self.operator(),
-            self.operator if self.door is not None or self.sections else None,
+            self.operator if self.flight_section is not None or self.sections else None,
         )
         self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
@@ -240,8 +240,8 @@
         self.directory.entries = {
             name.strip("-"): (self.port(name.strip("-")), name.endswith("-")) for name in names
         }
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 3)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 3)
 
     async def do_directory(self, *steps):
         self.directory.steps.extend(steps)
@@ -287,10 +287,10 @@
 
     async def do_old_says(self, serial):
         """The address that was left answers every query it ever got, with an empty list."""
-        for number in self.old.numbers:
-            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.asker)
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 2)
+        for number in self.old.query_ids:
+            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.last_address)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 2)
 
     async def do_config(self, path, value):
         place, *rest = path.split(".")
@@ -416,7 +416,7 @@
     async def do_echoes(self, name):
         """On a connection that carried a call before, each POST runs and is answered by what looks like the
         late copy of another batch's refusal."""
-        self.engines[name].echoes = True
+        self.engines[name].repeats_refusals = True
 
     async def do_hung_up_in_order(self):
         """The front closes the connection, and not by a reset."""
@@ -426,8 +426,8 @@
 
     async def do_deaf_to_asker(self):
         """The directory gets nothing any more by the way by which it was last asked."""
-        await self.until(lambda: self.directory.asked)
-        self.directory.deaf_to = self.directory.asker
+        await self.until(lambda: self.directory.query_count)
+        self.directory.ignored_address = self.directory.last_address
 
     # Budgets.
 
@@ -456,10 +456,15 @@
         """The operator file as it stands, or none where no scenario line asked for one."""
         from thistlelever.ground import operator
 
-        if self.door is None:
+        if self.flight_section is None:
             return operator.read(json.dumps(self.sections).encode()) if self.sections else None
         speak = [name for name, engine in self.engines.items() if not isinstance(engine, Engine)]
-        section = {"listen": "127.0.0.1:0", "engines": speak, "tenant": "acme", "wait_ms": 3000} | self.door
+        section = {
+            "listen": "127.0.0.1:0",
+            "engines": speak,
+            "tenant": "acme",
+            "wait_ms": 3000,
+        } | self.flight_section
         return operator.read(json.dumps(self.sections | {"flight": section}).encode())
 
     async def do_section(self, name, text):
@@ -470,13 +475,15 @@
         """An engine that speaks Flight SQL; `at OTHER`: at the address of one that is no more."""
         from thistlelever.standins.flight_engine import Engine as FlightEngine
 
-        self.door = {} if self.door is None else self.door
+        self.flight_section = {} if self.flight_section is None else self.flight_section
         self.engines[name] = FlightEngine(self.stir)
         await self.engines[name].start(self.engines[again[1]].port if again else 0)
 
-    async def do_door(self, *words):
+    async def do_flight_section(self, *words):
         """Terms of the section `flight`."""
-        self.door = (self.door or {}) | {k: json.loads(v) for k, v in (w.split("=", 1) for w in words)}
+        self.flight_section = (self.flight_section or {}) | {
+            k: json.loads(v) for k, v in (w.split("=", 1) for w in words)
+        }
 
     async def do_relay(self, name, *cuts):
         """A relay before an engine; each connection in its turn is cut after so many bytes of answers."""
@@ -497,13 +504,13 @@
 
     async def do_one_drains(self, serial):
         """The engine that has the one dispatch drains, and the front has heard of it."""
-        busy = next(name for name, e in self.engines.items() if e.book.count("arrived"))
+        busy = next(name for name, e in self.engines.items() if e.recorder.count("arrived"))
         rest = [name for name in self.engines if name != busy]
         await self.do_list(serial, busy + "-", *rest)
         await self.do_listed(*rest)
 
     async def do_one_each(self):
-        assert [e.book.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
+        assert [e.recorder.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
 
     async def do_comes_back(self, name):
         await self.engines[name].start(self.engines[name].port)
@@ -518,7 +525,7 @@
         from grpc import aio
 
         if client not in self.channels:
-            port = self.server.flight.door.port
+            port = self.server.flight.server.port
             options = (
                 ("grpc.use_local_subchannel_pool", 1),
                 ("grpc.http2.lookahead_bytes", 65_536),
@@ -637,12 +644,14 @@
 
     async def do_arrived(self, count, *names):
         """So many dispatches have come to these engines in all, repeats by whatever cause included."""
-        books = [self.engines[name].book for name in names or self.engines]
-        assert sum(book.count("arrived") for book in books) == int(count), [b.lines for b in books]
+        books = [self.engines[name].recorder for name in names or self.engines]
+        assert sum(book.count("arrived") for book in books) == int(count), [b.records for b in books]
 
     async def do_begun(self, count):
         """So many dispatches have come to the engines by now."""
-        await self.until(lambda: sum(e.book.count("arrived") for e in self.engines.values()) >= int(count))
+        await self.until(
+            lambda: sum(e.recorder.count("arrived") for e in self.engines.values()) >= int(count)
+        )
 
     async def do_cancels(self, count):
         def heard():
@@ -655,7 +664,7 @@
 
     async def do_no_cancel(self, *names):
         for name in names:
-            self.engines[name].cancels = False
+            self.engines[name].supports_cancel = False
 
     async def do_fronts_out(self, count):
         """So many batches are open at the front by now."""
--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -23,8 +23,8 @@
 
 async def stays_closed(stage, engine, answers):
     """The engine stays closed to new dispatches while the directory answers that many further queries."""
-    until = stage.directory.asked + answers
-    while stage.directory.asked < until:
+    until = stage.directory.query_count + answers
+    while stage.directory.query_count < until:
         assert not stage.server.registry.accepts_dispatches(engine)
         await asyncio.sleep(0.001)
 
--- a/tests/test_reloads.py
+++ b/tests/test_reloads.py
@@ -8,7 +8,7 @@
 from test_moments import instance, moment, play
 
 from thistlelever.standins.directory import Directory
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 # Seconds: the longest start on a busy machine, the wait before the first signal, and between two signals.
 START_TIMEOUT, FIRST_SIGNAL_DELAY, SIGNAL_INTERVAL = 30.0, 0.05, 0.01
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -20,7 +20,7 @@
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.lifecycle import run
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.store.engine_registry import EngineRegistry
 
 
@@ -173,7 +173,7 @@
     async def scenario(stage, distributors):
         await stage.do_submit("1", "lookup")
         await stage.do_answer("1", "result", "rows")
-        assert stage.directory.asked == 0
+        assert stage.directory.query_count == 0
         status = stage.server.admin_handlers()["engines.show"]()
         assert status["engines"] == 2 and status["distributor"] and status["age_s"] < 2
         assert status["version"] == str(distributors.running[0].catalog.version)
