--- a/rigs/scale_sabotage.py
+++ b/rigs/scale_sabotage.py
@@ -48,7 +48,7 @@
 def no_jitter():
     """Who failed or was refused comes again at once, all together."""
     Failover.failed = lambda self, retry_after=0.0: 0.01
-    SnapshotAdmission.chance = lambda self: 0.0
+    SnapshotAdmission.jitter = lambda self: 0.0
 
 
 GUARDS = {"gap": gap, "back": back, "hash_order": hash_order, "no_jitter": no_jitter}
--- a/tests/distributor_stage.py
+++ b/tests/distributor_stage.py
@@ -15,7 +15,7 @@
 
 HEARTBEAT = 0.3
 PATIENCE = 0.3
-WITHIN = 8.0
+TIMEOUT_S = 8.0
 
 
 def engine(number, **fields):
@@ -73,7 +73,7 @@
 
     async def until(self, holds):
         """Look again and again until it holds; fail where it does not before long."""
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.01)
 
@@ -83,8 +83,8 @@
     def subscribe(self, name="front-0", rank=0, zone="zone-0", distributors=None, listener=None):
         """A front's subscription, running."""
         terms = SubscriptionTerms(distributors or self.addresses, HEARTBEAT, PATIENCE, seed=3)
-        place = FrontIdentity(name, zone, rank)
-        subscription = Subscription(terms, place, (), False, listener or (lambda listing: None))
+        identity = FrontIdentity(name, zone, rank)
+        subscription = Subscription(terms, identity, (), False, listener or (lambda listing: None))
         task = asyncio.get_running_loop().create_task(subscription.run())
         self.subscriptions.append((subscription, task))
         return subscription
--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -27,7 +27,7 @@
     async def staged():
         async with tier(count, engines=6, **sections) as stage:
             for distributor in stage.running.values():
-                distributor.role.checks = CHECKS
+                distributor.role.document_checks = CHECKS
             await scenario(stage)
 
     asyncio.run(asyncio.wait_for(staged(), 60))
@@ -121,7 +121,7 @@
         await stage.until_version(version, near, far)
         cut = stage.running[1].follower
         cut.distributors, addresses = (("127.0.0.1", 9),) * 2, cut.distributors
-        cut.poll.cancel()
+        cut.poll_task.cancel()
         newer = await stage.publish(
             documents={"operator": budgets(acme=0.5)}, upserts=[engine(1, weight=2.0)]
         )
@@ -179,7 +179,7 @@
         front.sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
         for distributor in stage.running.values():
             # As if the publisher were of another release, whose check accepts more.
-            distributor.role.checks = {OPERATOR_DOCUMENT: lambda text: None}
+            distributor.role.document_checks = {OPERATOR_DOCUMENT: lambda text: None}
         try:
             with brisk():
                 await front.serve()
--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -12,7 +12,7 @@
 from thistlelever.distributor.store import ContentStore, StoreError
 
 
-def play(scenario):
+def run_scenario(scenario):
     """Run a scenario that has a minute to end."""
     asyncio.run(asyncio.wait_for(scenario, 60))
 
@@ -31,7 +31,7 @@
             assert front.replica.records[inside].weight == 4.0
             assert front.counts["snapshots"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_change_outside_the_subset_moves_the_version_at_the_next_heartbeat():
@@ -45,7 +45,7 @@
             await stage.until_version(version, front)
             assert front.replica.records == records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_front_goes_on_at_another_distributor_by_a_delta():
@@ -64,7 +64,7 @@
             assert front.replica.records[f"engine-{number:05}"].draining
             assert front.counts["snapshots"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_distributor_that_is_behind_is_left_and_nothing_goes_back():
@@ -92,7 +92,7 @@
             finally:
                 await behind.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_promoted_publisher_supersedes_the_former_one():
@@ -110,7 +110,7 @@
             versions = {str(d.catalog.version) for d in stage.running.values()}
             assert versions == {version}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_publisher_without_a_majority_is_not_confirmed_and_gives_way_after_the_cut(tmp_path):
@@ -123,7 +123,7 @@
             await old.server.close_all_connections()
             old.follower.distributors = tuple(("127.0.0.1", 9) for _ in range(3))
             version = old.role.publish([], ["engine-00002"], None)
-            assert not await old.role.confirmed(version)
+            assert not await old.role.wait_confirmed(version)
             await stage.call(1, "POST", "/v1/promote", {})
             newer = await stage.publish(1, removals=["engine-00003"])
             # Healed.
@@ -133,7 +133,7 @@
             assert "engine-00002" in old.catalog.replica.records
             assert old.catalog.replica.digest == stage.running[1].catalog.replica.digest
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_tier_restored_to_an_older_version_goes_on_above_what_fronts_hold():
@@ -152,7 +152,7 @@
             await stage.until(lambda: front.replica.version > held)
             assert "engine-00001" not in front.replica.records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_one_that_may_have_forgotten_promises_needs_more_answers(tmp_path):
@@ -165,7 +165,7 @@
             await stage.stop(0)
             assert (await stage.call(1, "POST", "/v1/promote", {}))[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_publisher_without_a_majority():
@@ -180,7 +180,7 @@
         finally:
             await stage.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_front_that_slept_past_all_that_is_kept_is_told_a_delta():
@@ -196,7 +196,7 @@
             await stage.until_version(version, front)
             assert front.counts["snapshots"] == 0 and front.counts["deltas"] >= 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_follower_that_is_behind_by_more_than_is_kept_gets_the_whole_list():
@@ -209,7 +209,7 @@
             await stage.until(lambda: follower.catalog.version == parse(version))
             assert follower.catalog.replica.records == stage.running[0].catalog.replica.records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
             assert status in (400, 409) and word in answer["error"], answer
             assert (replica.version, replica.digest) == before
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_change_at_every_step_while_the_one_before_still_spreads():
@@ -249,7 +249,7 @@
                 assert front.counts["damaged"] == front.counts["gap"] == front.counts["stale"] == 0
                 assert all(record == catalog[name] for name, record in front.replica.records.items())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_mass_start_is_admitted_at_a_bounded_rate_and_all_are_served():
@@ -261,7 +261,7 @@
             assert counts["snapshots"] == 30 and counts["snapshots refused"] > 0
             assert sum(front.counts["busy"] for front in fronts) == counts["snapshots refused"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_who_is_refused_together_is_not_told_to_return_together():
@@ -286,7 +286,7 @@
             await stage.call(0, "POST", "/v1/promote", {})
             assert restarted.catalog.version.term > parse(version).term
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_damaged_store_is_refused(tmp_path):
@@ -300,7 +300,7 @@
             with pytest.raises(StoreError, match="damaged"):
                 await stage.start(0)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_status_names_version_role_and_fronts():
@@ -319,7 +319,7 @@
             _, catalog = await stage.call(index, "GET", "/v1/catalog")
             assert catalog["version"] == version and len(catalog["engines"]) == 12
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_disk_that_fails_is_reported_and_made_up_for_by_the_whole_list(tmp_path):
@@ -327,19 +327,19 @@
         path = str(tmp_path / "content.db")
         async with tier(1, engines=12, store=path) as stage:
             writer = stage.running[0].writer
-            await stage.until(lambda: not writer.waiting)
+            await stage.until(lambda: not writer.pending)
             write, writer.store.write = writer.store.write, fail
             await stage.publish(upserts=[engine(1, weight=2.0)])
-            await stage.until(lambda: writer.failing)
+            await stage.until(lambda: writer.failure)
             assert stage.running[0].status()["store"]["failing"]
             writer.store.write = write
             version = await stage.publish(upserts=[engine(2, weight=2.0)])
-            await stage.until(lambda: not writer.failing)
+            await stage.until(lambda: not writer.failure)
             await stage.stop(0)
             kept = ContentStore(path).read()
             assert str(kept.version) == version and len(kept.records) == 12
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def fail(update):
@@ -352,20 +352,22 @@
         async with tier(1, engines=40) as stage:
             front = stage.subscribe()
             sessions = stage.running[0].sessions
-            await stage.until(lambda: sessions.by_front and sessions.by_front["front-0"].waits())
+            await stage.until(lambda: sessions.by_front and sessions.by_front["front-0"].is_waiting())
             _, task = stage.subscriptions.pop()
             task.cancel()
             await stage.until(lambda: not sessions.by_front)
             # Nor one that is between two watches: it looks anew when it asks.
             front = stage.subscribe("front-1", 1)
-            await stage.until(lambda: "front-1" in sessions.by_front and sessions.by_front["front-1"].waits())
+            await stage.until(
+                lambda: "front-1" in sessions.by_front and sessions.by_front["front-1"].is_waiting()
+            )
             session = sessions.by_front["front-1"]
-            revision, session.stir = session.revision, None
+            revision, session.wakeup = session.subset_revision, None
             stage.running[0].role.publish([], [min(front.replica.records)], None)
             await asyncio.sleep(HEARTBEAT / 4)
-            assert session.revision == revision
+            assert session.subset_revision == revision
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_watches_that_began_together_do_not_end_together():
@@ -374,10 +376,10 @@
             sessions = stage.running[0].sessions
             front = stage.subscribe()
             await stage.until(lambda: sessions.by_front.get("front-0") and front.replica.records)
-            parts = [sessions.part_of_wait(sessions.by_front["front-0"]) for _ in range(200)]
+            parts = [sessions.wait_share(sessions.by_front["front-0"]) for _ in range(200)]
             assert 0.7 <= min(parts) < 0.73 and 0.97 < max(parts) < 1.0 and len(set(parts)) == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_lost_publisher_is_replaced_without_a_person(tmp_path):
@@ -401,23 +403,23 @@
             await asyncio.sleep(2.0)
             assert [place for place, d in stage.running.items() if d.role.publisher] == [index]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_who_alone_does_not_hear_the_publisher_does_not_replace_it(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
             lonely = stage.running[2]
-            lonely.follower.heard_at -= 100.0
+            lonely.follower.last_contact_at -= 100.0
             # It reaches the others' claims, and its own questions for news fail.
-            lonely.follower.ask = lonely.follower.follow = unreachable
-            lonely.follower.poll.cancel()
+            lonely.follower.poll_once = lonely.follower.follow = unreachable
+            lonely.follower.poll_task.cancel()
             await stage.until(lambda: any(event == "publisher lost" for _, event, _ in stage.events))
             await asyncio.sleep(2.5)
             assert stage.running[0].role.publisher and not lonely.role.publisher
             assert any("hears the publisher" in told.get("why", "") for _, _, told in stage.events)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def unreachable(*words):
--- a/thistlelever/distributor/catalog.py
+++ b/thistlelever/distributor/catalog.py
@@ -19,17 +19,17 @@
     ceased to drain, so that subsets may differ."""
 
     engines: frozenset[str]
-    subsets_differ: bool
+    subsets_may_differ: bool
 
 
 class Catalog:
     """`on_change` is called after each update that is in force here."""
 
-    def __init__(self, terms: SubsetParameters, history: int) -> None:
+    def __init__(self, parameters: SubsetParameters, history: int) -> None:
         """An empty list; `history` changes are kept."""
         self.replica = Replica(strict=True)
         self.history = History(history)
-        self.ring = EngineRing(terms)
+        self.ring = EngineRing(parameters)
         # The documents, which every front holds.
         self.documents: dict[str, DocumentRecord] = {}
         self.on_change: list[Callable[[Update, Change], None]] = []
@@ -39,49 +39,49 @@
         """The version that is in force."""
         return self.replica.version
 
-    def records(self, engines: tuple[str, ...]) -> list[EngineRecord]:
+    def engine_records(self, engines: tuple[str, ...]) -> list[EngineRecord]:
         """The records of these engines, of those that there are."""
-        return list(engines_of(self.held(engines).values()))
+        return list(engines_of(self.records_by_id(engines).values()))
 
     def receive(
-        self, update: Update, take: Callable[[Replica, Update], Outcome] = Replica.receive
+        self, update: Update, apply: Callable[[Replica, Update], Outcome] = Replica.receive
     ) -> Outcome:
         """Take an update from another distributor; `take` says how the replica is given it."""
-        before = self.records_before(update)
-        outcome = take(self.replica, update)
+        before = self.affected_records(update)
+        outcome = apply(self.replica, update)
         if outcome is Outcome.APPLIED:
             if isinstance(update, Delta):
                 self.history.append(update)
             else:
                 self.history.clear()
-            self.applied(update, before)
+            self.process_applied(update, before)
         return outcome
 
-    def records_before(self, update: Update) -> dict[str, Record]:
+    def affected_records(self, update: Update) -> dict[str, Record]:
         """What is held now of the engines that an update names; of a snapshot, all that is held."""
         if isinstance(update, Snapshot):
             return self.replica.records
         names = [record.id for record in update.upserts] + [removal.id for removal in update.removals]
-        return self.held(names)
+        return self.records_by_id(names)
 
-    def held(self, names: Iterable[str]) -> dict[str, Record]:
+    def records_by_id(self, names: Iterable[str]) -> dict[str, Record]:
         """The records of these ids, of those that there are."""
         records = self.replica.records
         return {name: records[name] for name in names if name in records}
 
-    def applied(self, update: Update, before: dict[str, Record]) -> None:
+    def process_applied(self, update: Update, before: dict[str, Record]) -> None:
         """Bring the ring up to date with an update that the replica has applied, and tell who listens."""
         held = self.replica.records
         named = (*before, *(record.id for record in upserts_of(update)))
         engines = frozenset(engine for engine in named if before.get(engine) != held.get(engine))
-        subsets_differ = False
+        subsets_may_differ = False
         for name in sorted(engines):
-            subsets_differ |= self.follow(name, before.get(name), held.get(name))
-        change = Change(engines, subsets_differ)
+            subsets_may_differ |= self.index_record(name, before.get(name), held.get(name))
+        change = Change(engines, subsets_may_differ)
         for listener in self.on_change:
             listener(update, change)
 
-    def follow(self, name: str, old: Record | None, new: Record | None) -> bool:
+    def index_record(self, name: str, old: Record | None, new: Record | None) -> bool:
         """Bring ring and documents up to date with one record; whether subsets may differ."""
         if isinstance(old or new, DocumentRecord):
             self.documents.pop(name, None)
@@ -92,7 +92,7 @@
             self.ring.discard(name)
         else:
             self.ring.put(new)
-        return old is None or new is None or ring_facts(old) != ring_facts(new)
+        return old is None or new is None or placement_fields(old) != placement_fields(new)
 
 
 def upserts_of(update: Update) -> tuple[Record, ...]:
@@ -100,6 +100,6 @@
     return update.records if isinstance(update, Snapshot) else update.upserts
 
 
-def ring_facts(record: EngineRecord) -> tuple[str, int, str, bool]:
+def placement_fields(record: EngineRecord) -> tuple[str, int, str, bool]:
     """What of a record decides which fronts hold it."""
     return record.zone, record.cell, record.kind, record.draining
--- a/thistlelever/distributor/claiming.py
+++ b/thistlelever/distributor/claiming.py
@@ -11,53 +11,55 @@
 from thistlelever.distribution.replica import Outcome
 from thistlelever.distribution.versions import Version
 from thistlelever.distributor.follower import Follower
-from thistlelever.distributor.promises import PromiseMemory
+from thistlelever.distributor.promises import PromiseStore
 from thistlelever.distributor.store import StoreError
 
 HIGHEST_PATH, PROMISE_PATH, ANNOUNCE_PATH = "/v1/highest", "/v1/promise", "/v1/announce"
 # How long another distributor may take to connect and to answer a claim, each.
-CLAIM_WITHIN = 1.0
+CLAIM_TIMEOUT_S = 1.0
 
 
 class ClaimFailedError(Exception):
     """No majority, or a higher term is promised elsewhere; the text says which."""
 
 
-async def ask(address: Address, path: str, request: codec.Request) -> codec.VersionReply | None:
+async def call_distributor(address: Address, path: str, request: codec.Request) -> codec.VersionReply | None:
     """One call to another distributor; None where it does not answer in time."""
     try:
-        connection = await DistributorConnection.open(address, CLAIM_WITHIN)
+        connection = await DistributorConnection.open(address, CLAIM_TIMEOUT_S)
     except DistributorError:
         return None
     try:
-        return await connection.call(path, request, codec.VersionReply, CLAIM_WITHIN)
+        return await connection.call(path, request, codec.VersionReply, CLAIM_TIMEOUT_S)
     except DistributorError:
         return None
     finally:
         connection.close()
 
 
-async def ask_others(
+async def call_others(
     distributors: tuple[Address, ...], index: int, path: str, request: codec.Request
 ) -> dict[int, codec.VersionReply]:
     """The same call to all others at once; the answers of those that gave one, by place."""
     others = [place for place in range(len(distributors)) if place != index]
-    answers = await asyncio.gather(*(ask(distributors[place], path, request) for place in others))
+    answers = await asyncio.gather(
+        *(call_distributor(distributors[place], path, request) for place in others)
+    )
     return {place: answer for place, answer in zip(others, answers, strict=True) if answer is not None}
 
 
 async def claim_term(
-    follower: Follower, above: Version, memory: PromiseMemory, election: Election | None
+    follower: Follower, above: Version, promises: PromiseStore, election: Election | None
 ) -> int:
     """Claim the role: returns a term higher than that of `above` once a majority has promised it and this
-    distributor holds the newest content that the majority holds; `ClaimFailedError` otherwise. `memory`
+    distributor holds the newest content that the majority holds; `ClaimFailedError` otherwise. `promises`
     keeps its own promise. With `election` nothing is claimed while another distributor hears the
     publisher."""
     index, distributors, replica = follower.index, follower.distributors, follower.catalog.replica
-    claim = Claim(index, len(distributors), promises_intact=memory.remembers())
+    claim = Claim(index, len(distributors), promises_intact=promises.is_intact())
     claim.observe(max(follower.highest_seen, above))
     claim.record_highest(index, replica.highest())
-    answers = await ask_others(distributors, index, HIGHEST_PATH, codec.HighestRequest(index))
+    answers = await call_others(distributors, index, HIGHEST_PATH, codec.HighestRequest(index))
     if election and election.is_publisher_alive([answer.age for answer in answers.values()]):
         raise ClaimFailedError("another distributor hears the publisher")
     for place, answer in answers.items():
@@ -68,25 +70,25 @@
     if not promise(replica, term):
         raise ClaimFailedError(f"term {term}: a higher one was promised here meanwhile")
     try:
-        await memory.keep(Version(term, 0))
+        await promises.save(Version(term, 0))
     except StoreError as error:
         raise ClaimFailedError(f"term {term}: {error}") from None
     claim.record_promise(index, replica.version)
-    await ask_for_promises(follower, claim, term)
+    await request_promises(follower, claim, term)
     source = claim.newest_holder()
     if source is None:
         raise ClaimFailedError(f"term {term}: no majority has promised it")
     if claim.superseded():
         raise ClaimFailedError(f"term {term}: {claim.highest()} was seen meanwhile")
     if source != index:
-        await take_over_content(follower, source)
+        await copy_content(follower, source)
     return term
 
 
-async def ask_for_promises(follower: Follower, claim: Claim, term: int) -> None:
+async def request_promises(follower: Follower, claim: Claim, term: int) -> None:
     """Ask all others to promise the term."""
     request = codec.PromiseRequest(follower.index, term)
-    answers = await ask_others(follower.distributors, follower.index, PROMISE_PATH, request)
+    answers = await call_others(follower.distributors, follower.index, PROMISE_PATH, request)
     for place, answer in answers.items():
         if answer.granted:
             claim.record_promise(place, answer.held)
@@ -95,11 +97,11 @@
             follower.observe(answer.highest)
 
 
-async def take_over_content(follower: Follower, source: int) -> None:
+async def copy_content(follower: Follower, source: int) -> None:
     """Bring the replica to what the newest holder among those that promised has. That is older than the term
     which this distributor has promised itself, so that its floor does not count here."""
     try:
-        reply = await follower.ask(source)
+        reply = await follower.poll_once(source)
     except DistributorError as error:
         raise ClaimFailedError(f"distributor {source}: {error}") from None
     if reply.update is not None:
--- a/thistlelever/distributor/config.py
+++ b/thistlelever/distributor/config.py
@@ -13,7 +13,7 @@
 
 
 # A follower hears of its publisher once a heartbeat, and of its loss a patience later.
-LEAST_HEARTBEATS = 2.5
+MIN_ELECTION_HEARTBEATS = 2.5
 
 
 class ConfigError(Exception):
@@ -71,7 +71,9 @@
         raise ConfigError(f"no JSON: {error}") from None
     if config.index >= len(config.distributors):
         raise ConfigError(f"index: a place among {len(config.distributors)} distributors expected")
-    least = LEAST_HEARTBEATS * config.heartbeat_s
-    if config.election_after_s is not None and config.election_after_s < least:
-        raise ConfigError(f"election_after_s: {least:g} at least expected, {LEAST_HEARTBEATS:g} heartbeats")
+    shortest = MIN_ELECTION_HEARTBEATS * config.heartbeat_s
+    if config.election_after_s is not None and config.election_after_s < shortest:
+        raise ConfigError(
+            f"election_after_s: {shortest:g} at least expected, {MIN_ELECTION_HEARTBEATS:g} heartbeats"
+        )
     return config
--- a/thistlelever/distributor/follower.py
+++ b/thistlelever/distributor/follower.py
@@ -23,9 +23,9 @@
 from thistlelever.ground.log import Log
 
 FOLLOW_PATH = "/v1/follow"
-CONNECT_WITHIN = 0.5
+CONNECT_TIMEOUT_S = 0.5
 # How much longer than the heartbeat an answer may take; a whole content of 22,000 engines is 1.6 MB.
-PATIENCE = 1.0
+REPLY_MARGIN_S = 1.0
 
 
 class Peers(NamedTuple):
@@ -48,27 +48,27 @@
         self.failover = Failover(len(self.distributors), f"distributor-{self.index}", self.index)
         # The highest version that anybody has shown: its term names the publisher.
         self.highest_seen = NO_VERSION
-        self.heard_at, self.age_when_heard = -float("inf"), float("inf")
+        self.last_contact_at, self.age_at_contact = -float("inf"), float("inf")
         # Set while this distributor publishes: it then follows nobody.
         self.publishing = False
-        self.poll: asyncio.Task[None] | None = None
+        self.poll_task: asyncio.Task[None] | None = None
         self.following: int | None = None
 
     def age(self) -> float:
         """Seconds since the content was known to be the newest."""
         if self.publishing:
             return 0.0
-        return clock.now() - self.heard_at + self.age_when_heard
+        return clock.now() - self.last_contact_at + self.age_at_contact
 
     def observe(self, version: Version) -> None:
         """Somebody has shown a version. Of a higher term, its publisher is followed at once."""
         if version > self.highest_seen:
             newer_term = version.term > self.highest_seen.term
             self.highest_seen = version
-            if newer_term and self.poll:
-                self.poll.cancel()
+            if newer_term and self.poll_task:
+                self.poll_task.cancel()
 
-    def publisher(self) -> int | None:
+    def publisher_index(self) -> int | None:
         """The place of the publisher as far as it is known here."""
         highest = max(self.highest_seen, self.catalog.replica.highest())
         return highest.term % TERMS_PER_ROUND if highest.term else None
@@ -79,66 +79,66 @@
             if self.publishing:
                 await asyncio.sleep(self.heartbeat)
                 continue
-            self.poll = asyncio.get_running_loop().create_task(self.follow_once())
+            self.poll_task = asyncio.get_running_loop().create_task(self.follow_once())
             try:
-                await self.poll
+                await self.poll_task
             except asyncio.CancelledError:
-                if not self.poll.cancelled() or asyncio.current_task().cancelling():
-                    self.poll.cancel()
+                if not self.poll_task.cancelled() or asyncio.current_task().cancelling():
+                    self.poll_task.cancel()
                     raise
 
     async def follow_once(self) -> None:
         """Follow the publisher for as long as it answers, else ask another distributor once."""
-        publisher = self.publisher()
+        publisher = self.publisher_index()
         if publisher is not None and publisher != self.index and publisher < len(self.distributors):
             try:
                 await self.follow(publisher)
             except DistributorError as error:
-                self.note_failure(publisher, error)
+                self.report_failure(publisher, error)
         other = self.failover.current
         delay = self.failover.failed()
         if other not in (self.index, publisher):
             try:
-                self.receive(await self.ask(other))
+                self.handle_reply(await self.poll_once(other))
                 delay = min(delay, self.heartbeat / 2)
             except DistributorError as error:
-                self.note_failure(other, error)
+                self.report_failure(other, error)
         await asyncio.sleep(delay)
 
-    def note_failure(self, other: int, error: DistributorError) -> None:
+    def report_failure(self, other: int, error: DistributorError) -> None:
         """Count and log that another could not be followed."""
         self.counts["follow failures"] += 1
         self.log("follow failed", distributor=other, why=str(error))
 
     async def follow(self, other: int) -> None:
         """Poll one distributor until it fails."""
-        connection = await DistributorConnection.open(self.distributors[other], CONNECT_WITHIN)
+        connection = await DistributorConnection.open(self.distributors[other], CONNECT_TIMEOUT_S)
         self.following = other
-        within = self.heartbeat + PATIENCE
+        timeout = self.heartbeat + REPLY_MARGIN_S
         try:
             while not self.publishing:
-                request = self.request(self.heartbeat)
-                self.receive(await connection.call(FOLLOW_PATH, request, codec.Reply, within))
+                request = self.build_request(self.heartbeat)
+                self.handle_reply(await connection.call(FOLLOW_PATH, request, codec.Reply, timeout))
         finally:
             self.following = None
             connection.close()
 
-    async def ask(self, other: int) -> codec.Reply:
+    async def poll_once(self, other: int) -> codec.Reply:
         """One question to a distributor for what differs from what is held here."""
-        connection = await DistributorConnection.open(self.distributors[other], CONNECT_WITHIN)
+        connection = await DistributorConnection.open(self.distributors[other], CONNECT_TIMEOUT_S)
         try:
-            within = self.heartbeat + PATIENCE
-            return await connection.call(FOLLOW_PATH, self.request(0.0), codec.Reply, within)
+            timeout = self.heartbeat + REPLY_MARGIN_S
+            return await connection.call(FOLLOW_PATH, self.build_request(0.0), codec.Reply, timeout)
         finally:
             connection.close()
 
-    def request(self, wait: float) -> codec.FollowRequest:
+    def build_request(self, wait: float) -> codec.FollowRequest:
         """The next poll, which may wait `wait` seconds for a newer version."""
         replica = self.catalog.replica
         digest = codec.digest_bytes(replica.digest)
         return codec.FollowRequest(self.index, replica.version, digest, replica.floor, wait)
 
-    def receive(self, reply: codec.Reply) -> None:
+    def handle_reply(self, reply: codec.Reply) -> None:
         """Take what another tells; `DistributorBehindError` where it is older than what is held."""
         if reply.update is not None:
             update = codec.update_from_body(reply.update)
@@ -148,4 +148,4 @@
                 self.log("update refused", version=str(update.version), outcome=outcome.value)
                 raise DistributorBehindError(f"its update was {outcome.value}")
         self.failover.succeeded()
-        self.heard_at, self.age_when_heard = clock.now(), reply.age
+        self.last_contact_at, self.age_at_contact = clock.now(), reply.age
--- a/thistlelever/distributor/handlers.py
+++ b/thistlelever/distributor/handlers.py
@@ -37,7 +37,7 @@
     started: float = 0.0
     weight: float = 1.0
 
-    def record(self) -> EngineRecord:
+    def to_record(self) -> EngineRecord:
         """The record that is distributed."""
         return EngineRecord(
             self.id,
@@ -62,12 +62,12 @@
     documents: dict[str, str | None] = {}
     expected: VersionText | None = None
 
-    def upserted(self) -> list[Record]:
+    def upserted_records(self) -> list[Record]:
         """The records that a change brings."""
         documents = [document(name, text) for name, text in self.documents.items() if text is not None]
-        return [*(engine.record() for engine in self.upserts), *documents]
+        return [*(engine.to_record() for engine in self.upserts), *documents]
 
-    def removed(self) -> list[str]:
+    def removed_ids(self) -> list[str]:
         """The ids that a change removes."""
         documents = [document(name, "").id for name, text in self.documents.items() if text is None]
         return [*self.removals, *documents]
@@ -80,32 +80,32 @@
     above: VersionText = "0.0"
 
 
-class Handler(RequestHandler):
+class BaseHandler(RequestHandler):
     """What all calls share."""
 
     def initialize(self, distributor: Distributor) -> None:
         """Tornado's way to hand a handler its parts."""
         self.distributor = distributor
 
-    def answer(self, body: codec.Body) -> None:
+    def reply_msgpack(self, body: codec.Body) -> None:
         """Answer with MessagePack."""
         self.set_header("Content-Type", "application/msgpack")
         data = codec.encode(body)
         self.distributor.counts["bytes sent"] += len(data)
         self.finish(data)
 
-    def refuse(self, status: int, why: str, **facts) -> None:
+    def reply_error(self, status: int, message: str, **fields) -> None:
         """Answer with an error, as JSON."""
         self.set_status(status)
-        self.finish({"error": why, **facts})
+        self.finish({"error": message, **fields})
 
-    def body_as(self, kind: type[codec.Kind]) -> codec.Kind | None:
+    def decode_body(self, kind: type[codec.Kind]) -> codec.Kind | None:
         """The request's body; None where it is none, and the call is answered."""
         try:
             return codec.decode(self.request.body, kind)
         except codec.ProtocolError as error:
             self.distributor.counts["requests out of form"] += 1
-            self.refuse(HTTPStatus.BAD_REQUEST, str(error))
+            self.reply_error(HTTPStatus.BAD_REQUEST, str(error))
             return None
 
     def log_exception(self, kind, error, trace) -> None:
@@ -113,7 +113,7 @@
         self.distributor.log("request failed", path=self.request.path, why=repr(error))
 
 
-class WatchHandler(Handler):
+class WatchHandler(BaseHandler):
     """A front watches its subset."""
 
     session: Session | None = None
@@ -121,11 +121,11 @@
     def on_connection_close(self) -> None:
         """The front has gone while its watch was held back."""
         if self.session is not None:
-            self.distributor.sessions.left(self.session)
+            self.distributor.sessions.disconnect(self.session)
 
     async def post(self) -> None:
         """Wait for what differs, and tell it."""
-        request = self.body_as(codec.WatchRequest)
+        request = self.decode_body(codec.WatchRequest)
         if request is None:
             return
         # A front's word makes no publisher step down: it may come from another tier, or hold what all
@@ -136,45 +136,45 @@
             update, fronts = await distributor.sessions.watch(self.session, request)
         except BusyError as error:
             self.set_header("Retry-After", f"{error.retry_after:.3f}")
-            self.refuse(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
+            self.reply_error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
             return
         except BehindError as error:
-            self.refuse(HTTPStatus.CONFLICT, str(error))
+            self.reply_error(HTTPStatus.CONFLICT, str(error))
             return
         body = None if update is None else codec.update_to_body(update)
-        self.answer(codec.Reply(body, distributor.follower.age(), fronts))
+        self.reply_msgpack(codec.Reply(body, distributor.follower.age(), fronts))
 
 
-class FollowHandler(Handler):
+class FollowHandler(BaseHandler):
     """Another distributor follows this one."""
 
     async def post(self) -> None:
         """Wait for a newer version, and tell it."""
-        request = self.body_as(codec.FollowRequest)
+        request = self.decode_body(codec.FollowRequest)
         if request is None:
             return
         distributor, replica = self.distributor, self.distributor.catalog.replica
         distributor.role.observe(max(request.version, request.floor))
-        distributor.role.holds(request.index, request.version)
+        distributor.role.record_held(request.index, request.version)
         if request.version > replica.version:
-            self.refuse(HTTPStatus.CONFLICT, f"{replica.version} is held here")
+            self.reply_error(HTTPStatus.CONFLICT, f"{replica.version} is held here")
             return
         if request.version == replica.version and request.wait > 0:
-            newer = asyncio.ensure_future(distributor.newer.wait())
-            await asyncio.wait((newer,), timeout=min(request.wait, distributor.config.heartbeat_s))
-            newer.cancel()
+            waiter = asyncio.ensure_future(distributor.next_version.wait())
+            await asyncio.wait((waiter,), timeout=min(request.wait, distributor.config.heartbeat_s))
+            waiter.cancel()
         digest = codec.digest_from(request.digest)
         update = None
         if (request.version, digest) != (replica.version, replica.digest):
             update = distributor.catalog.history.since(request.version, digest) or replica.snapshot()
         body = None if update is None else codec.update_to_body(update)
-        self.answer(codec.Reply(body, distributor.follower.age()))
+        self.reply_msgpack(codec.Reply(body, distributor.follower.age()))
 
 
-class VersionHandler(Handler):
+class VersionHandler(BaseHandler):
     """What a claimant or a publisher asks and tells."""
 
-    def versions(self, granted: bool = True) -> codec.VersionReply:
+    def version_reply(self, granted: bool = True) -> codec.VersionReply:
         """What is held and what was seen here."""
         replica, follower = self.distributor.catalog.replica, self.distributor.follower
         highest = max(replica.highest(), follower.highest_seen)
@@ -186,10 +186,10 @@
 
     def post(self) -> None:
         """Note the version; tell what is held."""
-        request = self.body_as(codec.AnnounceRequest)
+        request = self.decode_body(codec.AnnounceRequest)
         if request is not None:
             self.distributor.role.observe(request.version)
-            self.answer(self.versions())
+            self.reply_msgpack(self.version_reply())
 
 
 class HighestHandler(VersionHandler):
@@ -197,8 +197,8 @@
 
     def post(self) -> None:
         """Tell what was seen."""
-        if self.body_as(codec.HighestRequest) is not None:
-            self.answer(self.versions())
+        if self.decode_body(codec.HighestRequest) is not None:
+            self.reply_msgpack(self.version_reply())
 
 
 class PromiseHandler(VersionHandler):
@@ -206,7 +206,7 @@
 
     async def post(self) -> None:
         """Promise, or refuse for a higher term."""
-        request = self.body_as(codec.PromiseRequest)
+        request = self.decode_body(codec.PromiseRequest)
         if request is None:
             return
         distributor = self.distributor
@@ -214,14 +214,14 @@
         if granted:
             distributor.role.observe(Version(request.term, 0))
             try:
-                await distributor.memory.keep(Version(request.term, 0))
+                await distributor.promises.save(Version(request.term, 0))
             except StoreError as error:
                 distributor.log("promise not kept on disk", why=str(error))
                 granted = False
-        self.answer(self.versions(granted))
+        self.reply_msgpack(self.version_reply(granted))
 
 
-class PublishHandler(Handler):
+class PublishHandler(BaseHandler):
     """A change by an operator or a platform."""
 
     async def post(self) -> None:
@@ -231,24 +231,24 @@
             body = msgspec.json.decode(self.request.body, type=PublishBody)
             expected = parse(body.expected) if body.expected else None
             if body.engines is None:
-                version = role.publish(body.upserted(), body.removed(), expected)
+                version = role.publish(body.upserted_records(), body.removed_ids(), expected)
             else:
-                version = role.replace_all([engine.record() for engine in body.engines], expected)
+                version = role.replace_all([engine.to_record() for engine in body.engines], expected)
         except msgspec.DecodeError as error:
-            self.refuse(HTTPStatus.BAD_REQUEST, f"no change: {error}")
+            self.reply_error(HTTPStatus.BAD_REQUEST, f"no change: {error}")
             return
         except PublishRefusedError as error:
             present = self.distributor.catalog.version
             self.distributor.log("publish refused", why=str(error), version=str(present))
-            self.refuse(HTTPStatus.CONFLICT, str(error), version=str(present))
+            self.reply_error(HTTPStatus.CONFLICT, str(error), version=str(present))
             return
-        confirmed = await role.confirmed(version)
+        confirmed = await role.wait_confirmed(version)
         if not confirmed:
             self.set_status(HTTPStatus.ACCEPTED)
         self.finish({"version": str(version), "confirmed": confirmed})
 
 
-class PromoteHandler(Handler):
+class PromoteHandler(BaseHandler):
     """An operator makes this distributor the publisher."""
 
     async def post(self) -> None:
@@ -257,15 +257,15 @@
             body = msgspec.json.decode(self.request.body, type=PromoteBody)
             term = await self.distributor.role.claim(parse(body.above))
         except msgspec.DecodeError as error:
-            self.refuse(HTTPStatus.BAD_REQUEST, f"no promotion: {error}")
+            self.reply_error(HTTPStatus.BAD_REQUEST, f"no promotion: {error}")
             return
         except ClaimFailedError as error:
-            self.refuse(HTTPStatus.CONFLICT, str(error))
+            self.reply_error(HTTPStatus.CONFLICT, str(error))
             return
         self.finish({"term": term, "version": str(self.distributor.catalog.version)})
 
 
-class StatusHandler(Handler):
+class StatusHandler(BaseHandler):
     """Version, role, fronts and counters."""
 
     def get(self) -> None:
@@ -273,7 +273,7 @@
         self.finish(self.distributor.status())
 
 
-class CatalogHandler(Handler):
+class CatalogHandler(BaseHandler):
     """The whole list."""
 
     def get(self) -> None:
@@ -288,7 +288,7 @@
         self.finish(msgspec.json.encode(body))
 
 
-def application(distributor: Distributor) -> Application:
+def build_application(distributor: Distributor) -> Application:
     """All calls that a distributor answers."""
     handlers = {
         WATCH_PATH: WatchHandler,
--- a/thistlelever/distributor/service.py
+++ b/thistlelever/distributor/service.py
@@ -19,7 +19,7 @@
 from thistlelever.distributor.config import DistributorConfig
 from thistlelever.distributor.content_writer import ContentWriter
 from thistlelever.distributor.follower import Follower, Peers
-from thistlelever.distributor.promises import PromiseMemory
+from thistlelever.distributor.promises import PromiseStore
 from thistlelever.distributor.publishing import DocumentCheck, PublisherRole
 from thistlelever.distributor.sessions import Sessions
 from thistlelever.distributor.store import ContentStore
@@ -28,40 +28,43 @@
 from thistlelever.ground.operator import parse_address
 from thistlelever.subsetting import SubsetParameters
 
-SWEEP_EVERY = 5.0
+SWEEP_INTERVAL_S = 5.0
 # Counters are written to the log this often, where they have changed.
-COUNTS_EVERY = 60.0
-BACKLOG = 1_024
-NO_CHECKS: Mapping[str, DocumentCheck] = MappingProxyType({})
+COUNTS_INTERVAL_S = 60.0
+LISTEN_BACKLOG = 1_024
+NO_DOCUMENT_CHECKS: Mapping[str, DocumentCheck] = MappingProxyType({})
 
 
 class Distributor:
     """All parts of one distributor."""
 
     def __init__(
-        self, config: DistributorConfig, log: Log, checks: Mapping[str, DocumentCheck] = NO_CHECKS
+        self,
+        config: DistributorConfig,
+        log: Log,
+        document_checks: Mapping[str, DocumentCheck] = NO_DOCUMENT_CHECKS,
     ) -> None:
         """Put together, with what is on disk; nothing listens before `open`."""
         self.config, self.log = config, log
         subset = config.subset
-        terms = SubsetParameters(
+        parameters = SubsetParameters(
             subset.engines, subset.home_share, subset.least, subset.fronts, subset.zone_fronts
         )
         self.counts: Counter[str] = Counter()
-        self.catalog = Catalog(terms, config.history)
+        self.catalog = Catalog(parameters, config.history)
         self.writer: ContentWriter | None = None
-        kept = self.restore(config.store) if config.store else False
-        self.memory = PromiseMemory(self.catalog.replica, self.writer, kept)
+        restored = self.restore(config.store) if config.store else False
+        self.promises = PromiseStore(self.catalog.replica, self.writer, restored)
         addresses = tuple(parse_address(text) for text in config.distributors)
         peers = Peers(config.index, addresses, config.heartbeat_s)
         self.follower = Follower(self.catalog, peers, self.counts, log)
-        self.role = PublisherRole(self.catalog, self.follower, log, self.memory, checks)
+        self.role = PublisherRole(self.catalog, self.follower, log, self.promises, document_checks)
         admission = SnapshotAdmission(config.snapshots_per_s, config.index, clock.now())
         self.sessions = Sessions(self.catalog, admission, self.counts)
         # Followers whose long poll waits for the next version.
-        self.newer = asyncio.Event()
-        self.catalog.on_change.append(self.note)
-        self.stop = asyncio.Event()
+        self.next_version = asyncio.Event()
+        self.catalog.on_change.append(self.on_catalog_change)
+        self.stop_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.server: HTTPServer | None = None
 
@@ -69,46 +72,46 @@
         """Begin with what is on disk; whether that is anything. `StoreError` where it is damaged: to serve it
         would be worse."""
         store = ContentStore(path)
-        kept = store.read()
-        if kept is not None:
-            self.catalog.receive(kept)
+        restored = store.read()
+        if restored is not None:
+            self.catalog.receive(restored)
         self.catalog.replica.floor = store.read_floor()
         self.writer = ContentWriter(store, self.catalog.replica, self.log)
         return self.catalog.replica.highest() > NO_VERSION
 
-    def note(self, update: object, change: Change) -> None:
+    def on_catalog_change(self, update: object, change: Change) -> None:
         """The catalog has changed: to disk, and to who follows."""
         if self.writer:
-            self.writer.put(update)
+            self.writer.enqueue(update)
         # Who waits now is woken; who comes later waits for the next change.
-        self.newer.set()
-        self.newer = asyncio.Event()
+        self.next_version.set()
+        self.next_version = asyncio.Event()
 
     async def open(self) -> None:
         """Listen and start to work."""
-        from thistlelever.distributor.handlers import application
+        from thistlelever.distributor.handlers import build_application
 
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop.set)
+            loop.add_signal_handler(number, self.stop_requested.set)
         host, port = parse_address(self.config.listen)
-        self.server = HTTPServer(application(self), no_keep_alive=False)
-        self.server.listen(port, host, backlog=BACKLOG)
-        works = [
+        self.server = HTTPServer(build_application(self), no_keep_alive=False)
+        self.server.listen(port, host, backlog=LISTEN_BACKLOG)
+        jobs = [
             self.follower.run(),
             self.sessions.run(),
             self.role.announce(),
-            self.sweeping(),
-            self.counting(),
+            self.run_sweeps(),
+            self.run_count_log(),
         ]
         if self.writer:
-            works.append(self.writer.run())
+            jobs.append(self.writer.run())
         election = self.election()
         if election:
-            works.append(self.role.elect(election))
+            jobs.append(self.role.elect(election))
         if self.config.publisher:
-            works.append(self.role.claim_at_start(election))
-        self.tasks = [loop.create_task(self.watched(work)) for work in works]
+            jobs.append(self.role.claim_at_start(election))
+        self.tasks = [loop.create_task(self.supervise(job)) for job in jobs]
         self.log("ready", listen=self.config.listen, version=str(self.catalog.version))
 
     def election(self) -> Election | None:
@@ -118,26 +121,26 @@
             return None
         return Election(config.index, len(config.distributors), config.election_after_s)
 
-    async def watched(self, work) -> None:
+    async def supervise(self, job) -> None:
         """A part that fails takes the process with it: one that half works is not told apart from a whole
         one."""
         try:
-            await work
+            await job
         except Exception as error:
             self.log("failed", why=repr(error))
-            self.stop.set()
+            self.stop_requested.set()
             raise
 
-    async def sweeping(self) -> None:
+    async def run_sweeps(self) -> None:
         """Forget fronts that have gone."""
         while True:
-            await asyncio.sleep(SWEEP_EVERY)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sessions.sweep()
 
-    async def counting(self) -> None:
+    async def run_count_log(self) -> None:
         """Write the counters, with what they add up to."""
         while True:
-            await asyncio.sleep(COUNTS_EVERY)
+            await asyncio.sleep(COUNTS_INTERVAL_S)
             report = self.status()
             fronts, lagging = len(report.pop("fronts")), len(report.pop("lagging"))
             self.log("counts", fronts=fronts, lagging=lagging, cpu=round(process_time(), 3), **report)
@@ -145,7 +148,7 @@
     async def run(self) -> int:
         """Serve until SIGTERM; the exit code."""
         await self.open()
-        await self.stop.wait()
+        await self.stop_requested.wait()
         return await self.close()
 
     async def close(self) -> int:
@@ -170,7 +173,7 @@
         fronts = {
             name: {
                 "version": str(session.version),
-                "seen_s": round(now - session.seen_at, 3),
+                "seen_s": round(now - session.last_request_at, 3),
                 "engines": len(session.subset.ids),
             }
             for name, session in self.sessions.by_front.items()
@@ -185,20 +188,22 @@
             "engines": len(replica.records) - len(self.catalog.documents),
             "documents": sorted(record.name for record in self.catalog.documents.values()),
             "age_s": round(follower.age(), 3) if replica.version > NO_VERSION else None,
-            "publisher": follower.publisher(),
+            "publisher": follower.publisher_index(),
             "following": follower.following,
             "fronts": fronts,
-            "lagging": sorted(name for name, session in fronts.items() if session["seen_s"] > self.lag()),
-            "store": {"path": self.config.store, "failing": self.writer.failing} if self.writer else None,
+            "lagging": sorted(
+                name for name, session in fronts.items() if session["seen_s"] > self.lag_threshold()
+            ),
+            "store": {"path": self.config.store, "failing": self.writer.failure} if self.writer else None,
             "counts": dict(sorted(self.counts.items())),
         }
 
-    def lag(self) -> float:
+    def lag_threshold(self) -> float:
         """A front that has not asked for two heartbeats lags."""
         return 2 * self.config.heartbeat_s
 
 
-async def serve(config: DistributorConfig, log: Log, checks: Mapping[str, DocumentCheck]) -> int:
-    """Run one distributor until SIGTERM; the exit code. `checks` are those of the documents that it lets
-    through, by name."""
-    return await Distributor(config, log, checks).run()
+async def serve(config: DistributorConfig, log: Log, document_checks: Mapping[str, DocumentCheck]) -> int:
+    """Run one distributor until SIGTERM; the exit code. `document_checks` are those of the documents that it
+    lets through, by name."""
+    return await Distributor(config, log, document_checks).run()
--- a/thistlelever/distributor/store.py
+++ b/thistlelever/distributor/store.py
@@ -25,12 +25,12 @@
     "create table if not exists floor (place integer primary key check (place = 0), version blob not null)",
 )
 # A writer of another process is waited for this long.
-BUSY_MS = 1_000
+BUSY_TIMEOUT_MS = 1_000
 
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(EngineRecord).decode
-_head = msgspec.msgpack.Decoder(tuple[int, int, bytes]).decode
-_version = msgspec.msgpack.Decoder(Version).decode
+_decode_record = msgspec.msgpack.Decoder(EngineRecord).decode
+_decode_head = msgspec.msgpack.Decoder(tuple[int, int, bytes]).decode
+_decode_version = msgspec.msgpack.Decoder(Version).decode
 
 
 class StoreError(Exception):
@@ -45,7 +45,7 @@
         self.path = path
         try:
             self.connection = apsw.Connection(path)
-            self.connection.set_busy_timeout(BUSY_MS)
+            self.connection.set_busy_timeout(BUSY_TIMEOUT_MS)
             self.connection.pragma("journal_mode", "wal")
             self.connection.pragma("synchronous", "full")
             for statement in SCHEMA:
@@ -60,10 +60,10 @@
             if head is None:
                 return None
             rows = self.connection.execute("select record from engines order by id")
-            records: tuple[Record, ...] = tuple(_record(row[0]) for row in rows)
+            records: tuple[Record, ...] = tuple(_decode_record(row[0]) for row in rows)
             rows = self.connection.execute("select id, content from documents order by id")
             records += tuple(DocumentRecord(*row) for row in rows)
-            term, number, digest = _head(head)
+            term, number, digest = _decode_head(head)
         except (apsw.Error, msgspec.DecodeError) as error:
             raise StoreError(f"{self.path}: damaged: {error}") from None
         if digest_of(records) != int.from_bytes(digest, "big"):
@@ -97,7 +97,7 @@
         """The version below which this distributor has promised to accept nothing."""
         try:
             floor = self.connection.execute("select version from floor").get
-            return NO_VERSION if floor is None else _version(floor)
+            return NO_VERSION if floor is None else _decode_version(floor)
         except (apsw.Error, msgspec.DecodeError) as error:
             raise StoreError(f"{self.path}: damaged: {error}") from None
 
