--- a/thistlelever/distributor/__init__.py
+++ b/thistlelever/distributor/__init__.py
@@ -1,6 +1,5 @@
-"""The distributor: a process that holds the whole engine list and tells each front the part that it needs.
+"""The distributor: a process that holds the whole engine list and sends each front the subset that it needs.
 
-For: the control tier between whoever publishes the list and the fronts. Uses `distribution` and
-`subsetting` for all that is decided, Tornado for HTTP. Never takes a query, and is never imported by a
-front.
-"""
+It stands between whoever publishes the list and the fronts, and never takes a query. All decisions are made
+by `distribution` and `subsetting`; this package adds the HTTP interface (Tornado), the connections between
+distributors and the storage. Fronts never import it."""
--- a/thistlelever/distributor/admission.py
+++ b/thistlelever/distributor/admission.py
@@ -1,25 +1,28 @@
-"""How many whole subsets a distributor tells a second, so that a mass start does not bring it down."""
+"""Rate limit on expensive answers, so that many fronts starting at once do not overload a distributor."""
 
 from __future__ import annotations
 
 from zlib import crc32
 
-# What is left unused is kept for so many seconds.
+# Unused tokens accumulate for up to this many seconds.
 BURST_S = 1.0
 
 
 class SnapshotAdmission:
-    """A token bucket. Who finds it empty is told when to come again: when its token would be there, and a
-    part of a second more by jitter, so that those who were refused together do not return together."""
+    """A token bucket for answers that carry a whole subset. A refused front gets a delay after which to
+    retry: the time until a token is available for it, plus up to a second of pseudo-random jitter, so that
+    fronts refused together do not retry together."""
 
     def __init__(self, per_second: float, seed: int, now: float) -> None:
-        """`per_second` answers in the long run; `now` in seconds."""
+        """Starts with a full bucket. `per_second` is the sustained rate of answers, `seed` determines the
+        jitter, and `now` is in seconds."""
         self.per_second, self.seed = per_second, seed
         self.tokens, self.refilled_at = per_second * BURST_S, now
         self.refused_since_empty, self.jitter_draws = 0, 0
 
     def admit(self, now: float) -> float:
-        """0.0 for an answer that may be sent now, else seconds after which to come again."""
+        """Takes a token and returns 0.0, or returns the number of seconds after which to retry if the bucket
+        is empty. `now` is in seconds."""
         gained = (now - self.refilled_at) * self.per_second
         self.tokens = min(self.tokens + gained, self.per_second * BURST_S)
         self.refilled_at = now
@@ -31,6 +34,6 @@
         return (self.refused_since_empty + self.jitter() * self.per_second) / self.per_second
 
     def jitter(self) -> float:
-        """The next number from 0.0 to 1.0."""
+        """Returns the next pseudo-random number, from 0.0 to 1.0."""
         self.jitter_draws += 1
         return crc32(b"%d admission %d" % (self.seed, self.jitter_draws)) / 2**32
--- a/thistlelever/distributor/catalog.py
+++ b/thistlelever/distributor/catalog.py
@@ -1,5 +1,5 @@
-"""The whole engine list as one distributor holds it: the newest version, the last changes, and the ring from
-which subsets are taken."""
+"""The whole engine list as one distributor holds it: the newest version, the most recent changes, and the
+ring from which subsets are selected."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
 
 
 class Change(NamedTuple):
-    """What an update changed: engines whose records differ, and whether engines came, went or began or
-    ceased to drain, so that subsets may differ."""
+    """The effect of an update: `engines` are the ids of the records that differ, and `subsets_may_differ` is
+    True if an engine was added or removed or changed in a field that decides which fronts hold it."""
 
     engines: frozenset[str]
     subsets_may_differ: bool
 
 
 class Catalog:
-    """`on_change` is called after each update that is in force here."""
+    """The replica, its history and the ring, kept in step. The callbacks in `on_change` are called after each
+    update that was applied."""
 
     def __init__(self, parameters: SubsetParameters, history: int) -> None:
-        """An empty list; `history` changes are kept."""
+        """Starts with an empty list. `history` is the number of changes to keep."""
         self.replica = Replica(strict=True)
         self.history = History(history)
         self.ring = EngineRing(parameters)
-        # The documents, which every front holds.
+        # Documents by record id; every front holds all of them.
         self.documents: dict[str, DocumentRecord] = {}
         self.on_change: list[Callable[[Update, Change], None]] = []
 
     @property
     def version(self) -> Version:
-        """The version that is in force."""
+        """The version in force."""
         return self.replica.version
 
     def engine_records(self, engines: tuple[str, ...]) -> list[EngineRecord]:
-        """The records of these engines, of those that there are."""
+        """Returns the records of these engines, in the same order; unknown ids are left out."""
         return list(engines_of(self.records_by_id(engines).values()))
 
     def receive(
         self, update: Update, apply: Callable[[Replica, Update], Outcome] = Replica.receive
     ) -> Outcome:
-        """Take an update from another distributor; `take` says how the replica is given it."""
+        """Applies an update from another distributor and returns its outcome. `apply` is the function that
+        passes the update to the replica."""
         before = self.affected_records(update)
         outcome = apply(self.replica, update)
         if outcome is Outcome.APPLIED:
@@ -58,19 +60,21 @@
         return outcome
 
     def affected_records(self, update: Update) -> dict[str, Record]:
-        """What is held now of the engines that an update names; of a snapshot, all that is held."""
+        """Returns the present records that an update may change: those that a delta names, or all of them for
+        a snapshot."""
         if isinstance(update, Snapshot):
             return self.replica.records
         names = [record.id for record in update.upserts] + [removal.id for removal in update.removals]
         return self.records_by_id(names)
 
     def records_by_id(self, names: Iterable[str]) -> dict[str, Record]:
-        """The records of these ids, of those that there are."""
+        """Returns the records with these ids; unknown ids are left out."""
         records = self.replica.records
         return {name: records[name] for name in names if name in records}
 
     def process_applied(self, update: Update, before: dict[str, Record]) -> None:
-        """Bring the ring up to date with an update that the replica has applied, and tell who listens."""
+        """Updates the ring and the documents after the replica has applied an update, and calls the
+        callbacks. `before` holds the records that the update could change, as they were."""
         held = self.replica.records
         named = (*before, *(record.id for record in upserts_of(update)))
         engines = frozenset(engine for engine in named if before.get(engine) != held.get(engine))
@@ -82,7 +86,8 @@
             listener(update, change)
 
     def index_record(self, name: str, old: Record | None, new: Record | None) -> bool:
-        """Bring ring and documents up to date with one record; whether subsets may differ."""
+        """Updates the ring or the documents with one record that changed from `old` to `new`, where None
+        means absent. Returns whether subsets may differ."""
         if isinstance(old or new, DocumentRecord):
             self.documents.pop(name, None)
             if new is not None:
@@ -96,10 +101,10 @@
 
 
 def upserts_of(update: Update) -> tuple[Record, ...]:
-    """The records that an update brings."""
+    """Returns the records that an update contains."""
     return update.records if isinstance(update, Snapshot) else update.upserts
 
 
 def placement_fields(record: EngineRecord) -> tuple[str, int, str, bool]:
-    """What of a record decides which fronts hold it."""
+    """Returns the fields of a record that decide which fronts hold it."""
     return record.zone, record.cell, record.kind, record.draining
--- a/thistlelever/distributor/claiming.py
+++ b/thistlelever/distributor/claiming.py
@@ -1,4 +1,4 @@
-"""How a distributor asks the others for the publisher's role: the calls of `distribution.claim.Claim`."""
+"""Claims the publisher's role: performs the calls that `distribution.claim.Claim` needs."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from thistlelever.distributor.store import StoreError
 
 HIGHEST_PATH, PROMISE_PATH, ANNOUNCE_PATH = "/v1/highest", "/v1/promise", "/v1/announce"
-# How long another distributor may take to connect and to answer a claim, each.
+# Timeout for connecting to another distributor, and again for its reply to a claim.
 CLAIM_TIMEOUT_S = 1.0
 
 
 class ClaimFailedError(Exception):
-    """No majority, or a higher term is promised elsewhere; the text says which."""
+    """There is no majority, or a higher term has been promised elsewhere; the text gives the reason."""
 
 
 async def call_distributor(address: Address, path: str, request: codec.Request) -> codec.VersionReply | None:
-    """One call to another distributor; None where it does not answer in time."""
+    """Makes one call to another distributor. Returns None if it does not reply in time."""
     try:
         connection = await DistributorConnection.open(address, CLAIM_TIMEOUT_S)
     except DistributorError:
@@ -40,7 +40,8 @@
 async def call_others(
     distributors: tuple[Address, ...], index: int, path: str, request: codec.Request
 ) -> dict[int, codec.VersionReply]:
-    """The same call to all others at once; the answers of those that gave one, by place."""
+    """Makes the same call to all other distributors concurrently. Returns the replies by distributor index;
+    distributors that did not reply are left out."""
     others = [place for place in range(len(distributors)) if place != index]
     answers = await asyncio.gather(
         *(call_distributor(distributors[place], path, request) for place in others)
@@ -51,10 +52,10 @@
 async def claim_term(
     follower: Follower, above: Version, promises: PromiseStore, election: Election | None
 ) -> int:
-    """Claim the role: returns a term higher than that of `above` once a majority has promised it and this
-    distributor holds the newest content that the majority holds; `ClaimFailedError` otherwise. `promises`
-    keeps its own promise. With `election` nothing is claimed while another distributor hears the
-    publisher."""
+    """Claims the role and returns the term, which is higher than that of `above`, once a majority has
+    promised it and this distributor holds the newest content of that majority. Raises `ClaimFailedError`
+    otherwise. `promises` stores this distributor's own promise. If `election` is given, nothing is claimed
+    while another distributor still has contact with the publisher."""
     index, distributors, replica = follower.index, follower.distributors, follower.catalog.replica
     claim = Claim(index, len(distributors), promises_intact=promises.is_intact())
     claim.observe(max(follower.highest_seen, above))
@@ -86,7 +87,7 @@
 
 
 async def request_promises(follower: Follower, claim: Claim, term: int) -> None:
-    """Ask all others to promise the term."""
+    """Requests a promise of the term from all other distributors and records their replies."""
     request = codec.PromiseRequest(follower.index, term)
     answers = await call_others(follower.distributors, follower.index, PROMISE_PATH, request)
     for place, answer in answers.items():
@@ -98,8 +99,9 @@
 
 
 async def copy_content(follower: Follower, source: int) -> None:
-    """Bring the replica to what the newest holder among those that promised has. That is older than the term
-    which this distributor has promised itself, so that its floor does not count here."""
+    """Copies the newest content among the distributors that promised, from the distributor `source`. That
+    content is older than the term that this distributor has itself promised, so it is applied regardless of
+    the floor. Raises `ClaimFailedError` if that fails."""
     try:
         reply = await follower.poll_once(source)
     except DistributorError as error:
--- a/thistlelever/distributor/config.py
+++ b/thistlelever/distributor/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a distributor: one JSON file, read and checked here."""
+"""The configuration of a distributor: reads and validates one JSON file."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 Seconds = Annotated[float, Meta(gt=0, le=3_600)]
 
-
-# A follower hears of its publisher once a heartbeat, and of its loss a patience later.
+# The minimum of `election_after_s`, in heartbeats. A follower has contact with its publisher once per
+# heartbeat, and notices the loss of it only after the reply timeout on top of that.
 MIN_ELECTION_HEARTBEATS = 2.5
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names the key."""
+    """The configuration is invalid; the text names the key."""
 
 
 class SubsetSection(Struct, frozen=True, forbid_unknown_fields=True):
-    """How many engines a front holds, what share of them in its own zone, at least how many of each kind
-    that some query class needs, how many fronts the tier has, and how many its largest zone has: 0 where
-    fronts are not told their rank in their zone."""
+    """How subsets are selected: `engines` is the number of engines per front, `home_share` the share of them
+    in the front's own zone, and `least` the minimum number of each kind that some query class needs. `fronts`
+    is the number of fronts in the tier and `zone_fronts` that of its largest zone, or 0 if fronts have no
+    rank within their zone."""
 
     fronts: Annotated[int, Meta(ge=1, le=100_000)]
     engines: Annotated[int, Meta(ge=1, le=4_096)] = 96
@@ -33,8 +34,9 @@
 
 
 class DistributorConfig(Struct, frozen=True, forbid_unknown_fields=True):
-    """One distributor. `distributors` holds the addresses of all, this one at place `index`; `publisher` is
-    whether it claims the publisher's role when it starts; `store` is the file that keeps its content."""
+    """The configuration of one distributor. `distributors` holds the addresses of all distributors, this one
+    at `index`. With `publisher` it claims the publisher's role when it starts. `store` is the path of the
+    file that keeps its content; without it nothing is kept across restarts."""
 
     name: Annotated[str, Meta(min_length=1, max_length=128)]
     index: Annotated[int, Meta(ge=0, le=63)]
@@ -44,16 +46,17 @@
     publisher: bool = False
     store: str | None = None
     heartbeat_s: Seconds = 2.0
-    # A publisher that nobody has heard for so long is replaced by itself; None: by an operator.
+    # A publisher that no distributor has had contact with for this long is replaced automatically; None: only
+    # an operator replaces it.
     election_after_s: Seconds | None = None
-    # Fronts that are told their whole subset, or that name all that they hold, a second.
+    # Maximum rate of answers with a whole subset and of requests that list all held records.
     snapshots_per_s: Annotated[float, Meta(ge=1, le=10_000)] = 50.0
-    # Changes that are kept so that others can catch up by a delta.
+    # Number of changes kept, so that followers can catch up with a delta instead of a snapshot.
     history: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
 
 
 def load(path: str) -> DistributorConfig:
-    """The configuration in a file; `ConfigError` with the path of the key at fault."""
+    """Reads the configuration from a file. Raises `ConfigError`, with the path of the invalid key."""
     try:
         with open(path, "rb") as file:
             return read(file.read())
@@ -62,7 +65,8 @@
 
 
 def read(data: bytes) -> DistributorConfig:
-    """The configuration that the bytes hold."""
+    """Parses and validates a configuration in JSON. Raises `ConfigError`, with the path of the invalid
+    key."""
     try:
         config = msgspec.json.decode(data, type=DistributorConfig)
     except msgspec.ValidationError as error:
--- a/thistlelever/distributor/content_writer.py
+++ b/thistlelever/distributor/content_writer.py
@@ -1,5 +1,6 @@
-"""Keeps the content on disk behind the event loop's back. Where the disk fails the distributor goes on
-without it and says so; what was missed is made up for by writing the whole content."""
+"""Writes the content to disk on a thread of its own. If the disk fails, the distributor continues without it
+and logs the failure; once the disk works again, the whole content is written to make up for the updates
+missed."""
 
 from __future__ import annotations
 
@@ -12,17 +13,17 @@
 from thistlelever.distributor.store import ContentStore, StoreError
 from thistlelever.ground.log import Log
 
-# Updates that may wait for the disk; beyond it the whole content is written instead.
+# Maximum length of the queue; beyond it the whole content is written instead.
 MAX_PENDING_UPDATES = 1_000
-# Between two attempts after one that failed.
+# Delay after a failed write before the next attempt.
 RETRY_DELAY_S = 1.0
 
 
 class ContentWriter:
-    """One thread that writes updates in order."""
+    """Writes updates in order, on one thread."""
 
     def __init__(self, store: ContentStore, replica: Replica, log: Log) -> None:
-        """Nothing is written before `run`."""
+        """Writes nothing before `run`."""
         self.store, self.replica, self.log = store, replica, log
         self.executor = ThreadPoolExecutor(1, thread_name_prefix="content-store")
         self.pending: list[Update] = []
@@ -31,20 +32,20 @@
         self.written = 0
 
     def enqueue(self, update: Update) -> None:
-        """Write an update soon."""
+        """Queues an update for writing."""
         if len(self.pending) >= MAX_PENDING_UPDATES:
-            # The first one may be under way.
+            # The first one may already be in progress on the writer thread.
             del self.pending[1:]
             self.needs_snapshot = True
         self.pending.append(update)
         self.wakeup.set()
 
     async def write_floor(self, floor: Version) -> None:
-        """Return once a promise is on disk; `StoreError` where it can't be kept."""
+        """Stores a promise and returns once it is on disk. Raises `StoreError` if that fails."""
         await asyncio.get_running_loop().run_in_executor(self.executor, self.store.write_floor, floor)
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Writes until cancelled."""
         while True:
             await self.wakeup.wait()
             self.wakeup.clear()
@@ -53,8 +54,9 @@
                 self.wakeup.set()
 
     async def write_pending(self) -> bool:
-        """Write what waits; whether the disk took it. An update leaves the queue once it is written: one that
-        a cancellation interrupts is written again, which changes nothing."""
+        """Writes the queued updates and returns whether that succeeded. An update leaves the queue only after
+        it was written. If a cancellation interrupts the wait, the same update is written again later, which
+        is idempotent."""
         loop = asyncio.get_running_loop()
         try:
             while self.pending:
@@ -71,13 +73,14 @@
         return True
 
     def report_failure(self, failure: str) -> None:
-        """Say once that the disk fails, and once that it does no more."""
+        """Records the present failure (empty if there is none) and logs each change between failing and
+        working once."""
         if bool(failure) != bool(self.failure):
             self.log("content not kept" if failure else "content kept again", why=failure)
         self.failure = failure
 
     async def close(self) -> None:
-        """Write what waits, once, and release the file."""
+        """Tries once to write the queued updates, and closes the file."""
         await self.write_pending()
         await asyncio.get_running_loop().run_in_executor(self.executor, self.store.close)
         self.executor.shutdown(wait=False)
--- a/thistlelever/distributor/follower.py
+++ b/thistlelever/distributor/follower.py
@@ -1,5 +1,5 @@
-"""Keeps a distributor at the newest version: follows the publisher, or another distributor while the
-publisher can't be reached."""
+"""Keeps a distributor at the newest version: follows the publisher, or polls other distributors while the
+publisher is unreachable."""
 
 from __future__ import annotations
 
@@ -24,13 +24,14 @@
 
 FOLLOW_PATH = "/v1/follow"
 CONNECT_TIMEOUT_S = 0.5
-# How much longer than the heartbeat an answer may take; a whole content of 22,000 engines is 1.6 MB.
+# Time in seconds that a reply may take beyond the heartbeat. The whole content is about 1.6 MB for 22,000
+# engines.
 REPLY_MARGIN_S = 1.0
 
 
 class Peers(NamedTuple):
-    """All distributors by their addresses, this one at `index`; how long a poll may be held back, in
-    seconds."""
+    """The addresses of all distributors, this one at `index`, and the longest time in seconds that a long
+    poll is held open."""
 
     index: int
     addresses: tuple[Address, ...]
@@ -38,30 +39,31 @@
 
 
 class Follower:
-    """One long poll after the other, until cancelled. While the publisher can't be reached, each poll goes to
-    the next of the others."""
+    """Runs one long poll after another until cancelled. While the publisher is unreachable, each poll goes to
+    the next of the other distributors."""
 
     def __init__(self, catalog: Catalog, peers: Peers, counts: Counter[str], log: Log) -> None:
-        """Nobody is asked before `run`."""
+        """Makes no call before `run`."""
         self.catalog, self.counts, self.log = catalog, counts, log
         self.index, self.distributors, self.heartbeat = peers
         self.failover = Failover(len(self.distributors), f"distributor-{self.index}", self.index)
-        # The highest version that anybody has shown: its term names the publisher.
+        # The highest version seen in any message; its term identifies the publisher.
         self.highest_seen = NO_VERSION
         self.last_contact_at, self.age_at_contact = -float("inf"), float("inf")
-        # Set while this distributor publishes: it then follows nobody.
+        # True while this distributor is the publisher and therefore follows none.
         self.publishing = False
         self.poll_task: asyncio.Task[None] | None = None
         self.following: int | None = None
 
     def age(self) -> float:
-        """Seconds since the content was known to be the newest."""
+        """Returns the number of seconds since the content was last known to be the newest."""
         if self.publishing:
             return 0.0
         return clock.now() - self.last_contact_at + self.age_at_contact
 
     def observe(self, version: Version) -> None:
-        """Somebody has shown a version. Of a higher term, its publisher is followed at once."""
+        """Records a version seen in a message. If its term is the highest so far, the publisher of that term
+        is followed at once."""
         if version > self.highest_seen:
             newer_term = version.term > self.highest_seen.term
             self.highest_seen = version
@@ -69,12 +71,12 @@
                 self.poll_task.cancel()
 
     def publisher_index(self) -> int | None:
-        """The place of the publisher as far as it is known here."""
+        """Returns the index of the publisher as far as it is known here, or None."""
         highest = max(self.highest_seen, self.catalog.replica.highest())
         return highest.term % TERMS_PER_ROUND if highest.term else None
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follows until cancelled."""
         while True:
             if self.publishing:
                 await asyncio.sleep(self.heartbeat)
@@ -88,7 +90,7 @@
                     raise
 
     async def follow_once(self) -> None:
-        """Follow the publisher for as long as it answers, else ask another distributor once."""
+        """Follows the publisher for as long as it replies, then polls one other distributor once."""
         publisher = self.publisher_index()
         if publisher is not None and publisher != self.index and publisher < len(self.distributors):
             try:
@@ -106,12 +108,12 @@
         await asyncio.sleep(delay)
 
     def report_failure(self, other: int, error: DistributorError) -> None:
-        """Count and log that another could not be followed."""
+        """Counts and logs that another distributor could not be followed."""
         self.counts["follow failures"] += 1
         self.log("follow failed", distributor=other, why=str(error))
 
     async def follow(self, other: int) -> None:
-        """Poll one distributor until it fails."""
+        """Sends long polls to one distributor until one fails. Raises `DistributorError`."""
         connection = await DistributorConnection.open(self.distributors[other], CONNECT_TIMEOUT_S)
         self.following = other
         timeout = self.heartbeat + REPLY_MARGIN_S
@@ -124,7 +126,8 @@
             connection.close()
 
     async def poll_once(self, other: int) -> codec.Reply:
-        """One question to a distributor for what differs from what is held here."""
+        """Requests from a distributor, without a wait, what differs from the content held here. Raises
+        `DistributorError`."""
         connection = await DistributorConnection.open(self.distributors[other], CONNECT_TIMEOUT_S)
         try:
             timeout = self.heartbeat + REPLY_MARGIN_S
@@ -133,13 +136,14 @@
             connection.close()
 
     def build_request(self, wait: float) -> codec.FollowRequest:
-        """The next poll, which may wait `wait` seconds for a newer version."""
+        """Returns the next poll, which may be held open for `wait` seconds until there is a newer version."""
         replica = self.catalog.replica
         digest = codec.digest_bytes(replica.digest)
         return codec.FollowRequest(self.index, replica.version, digest, replica.floor, wait)
 
     def handle_reply(self, reply: codec.Reply) -> None:
-        """Take what another tells; `DistributorBehindError` where it is older than what is held."""
+        """Applies the update in a reply. Raises `DistributorBehindError` if it is older than the content held
+        here, conflicts with it or is damaged."""
         if reply.update is not None:
             update = codec.update_from_body(reply.update)
             outcome = self.catalog.receive(update)
--- a/thistlelever/distributor/handlers.py
+++ b/thistlelever/distributor/handlers.py
@@ -1,4 +1,4 @@
-"""The distributor's HTTP interface: MessagePack for fronts and distributors, JSON for operators."""
+"""The distributor's HTTP interface: MessagePack for fronts and other distributors, JSON for operators."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class EngineBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """An engine as operators and platforms write it."""
+    """An engine in a request by an operator or a platform."""
 
     id: str
     zone: str
@@ -38,7 +38,7 @@
     weight: float = 1.0
 
     def to_record(self) -> EngineRecord:
-        """The record that is distributed."""
+        """Returns the record to distribute."""
         return EngineRecord(
             self.id,
             self.zone,
@@ -52,55 +52,55 @@
 
 
 class PublishBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A change (`upserts`, `removals`, `documents`), or a whole list (`engines`). `expected` is the version
-    that it was made for."""
+    """A change (`upserts`, `removals`, `documents`) or a whole list (`engines`). `expected` is the version
+    that the change was made for."""
 
     upserts: tuple[EngineBody, ...] = ()
     removals: tuple[str, ...] = ()
     engines: tuple[EngineBody, ...] | None = None
-    # Documents by name, as text; None removes one.
+    # Texts of documents by name; None removes the document.
     documents: dict[str, str | None] = {}
     expected: VersionText | None = None
 
     def upserted_records(self) -> list[Record]:
-        """The records that a change brings."""
+        """Returns the records that the change adds or replaces."""
         documents = [document(name, text) for name, text in self.documents.items() if text is not None]
         return [*(engine.to_record() for engine in self.upserts), *documents]
 
     def removed_ids(self) -> list[str]:
-        """The ids that a change removes."""
+        """Returns the ids that the change removes."""
         documents = [document(name, "").id for name, text in self.documents.items() if text is None]
         return [*self.removals, *documents]
 
 
 class PromoteBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A promotion. The new term is higher than that of `above`, which fronts may hold though all distributors
-    were restored to older versions."""
+    """A promotion. The new term is higher than that of `above`: fronts may hold that version although all
+    distributors were restored to older ones."""
 
     above: VersionText = "0.0"
 
 
 class BaseHandler(RequestHandler):
-    """What all calls share."""
+    """Decoding, replies and logging shared by all handlers."""
 
     def initialize(self, distributor: Distributor) -> None:
-        """Tornado's way to hand a handler its parts."""
+        """Receives the route's keyword arguments from Tornado."""
         self.distributor = distributor
 
     def reply_msgpack(self, body: codec.Body) -> None:
-        """Answer with MessagePack."""
+        """Sends a reply in MessagePack."""
         self.set_header("Content-Type", "application/msgpack")
         data = codec.encode(body)
         self.distributor.counts["bytes sent"] += len(data)
         self.finish(data)
 
     def reply_error(self, status: int, message: str, **fields) -> None:
-        """Answer with an error, as JSON."""
+        """Sends an error in JSON, with further fields beside its text."""
         self.set_status(status)
         self.finish({"error": message, **fields})
 
     def decode_body(self, kind: type[codec.Kind]) -> codec.Kind | None:
-        """The request's body; None where it is none, and the call is answered."""
+        """Decodes the request's body. If it is invalid, replies with status 400 and returns None."""
         try:
             return codec.decode(self.request.body, kind)
         except codec.ProtocolError as error:
@@ -109,7 +109,7 @@
             return None
 
     def log_exception(self, kind, error, trace) -> None:
-        """One line in the distributor's own log."""
+        """Logs an unhandled exception as one line of the distributor's own log."""
         self.distributor.log("request failed", path=self.request.path, why=repr(error))
 
 
@@ -119,17 +119,17 @@
     session: Session | None = None
 
     def on_connection_close(self) -> None:
-        """The front has gone while its watch was held back."""
+        """Ends the session if the front disconnects while its watch is held open."""
         if self.session is not None:
             self.distributor.sessions.disconnect(self.session)
 
     async def post(self) -> None:
-        """Wait for what differs, and tell it."""
+        """Waits until there is a difference to the records that the front holds, and sends it."""
         request = self.decode_body(codec.WatchRequest)
         if request is None:
             return
-        # A front's word makes no publisher step down: it may come from another tier, or hold what all
-        # distributors have lost.
+        # A version that a front holds must not make the publisher step down: the front may belong to another
+        # tier, or hold a version that all distributors have lost.
         distributor = self.distributor
         try:
             self.session = distributor.sessions.open(request)
@@ -149,7 +149,7 @@
     """Another distributor follows this one."""
 
     async def post(self) -> None:
-        """Wait for a newer version, and tell it."""
+        """Waits for a newer version and sends the difference, as a delta if the history allows it."""
         request = self.decode_body(codec.FollowRequest)
         if request is None:
             return
@@ -172,20 +172,20 @@
 
 
 class VersionHandler(BaseHandler):
-    """What a claimant or a publisher asks and tells."""
+    """Base of the handlers that reply with the versions held and seen here."""
 
     def version_reply(self, granted: bool = True) -> codec.VersionReply:
-        """What is held and what was seen here."""
+        """Returns the versions held and seen here, and whether the request was granted."""
         replica, follower = self.distributor.catalog.replica, self.distributor.follower
         highest = max(replica.highest(), follower.highest_seen)
         return codec.VersionReply(replica.version, highest, follower.age(), granted)
 
 
 class AnnounceHandler(VersionHandler):
-    """The publisher tells that it publishes."""
+    """The publisher announces itself."""
 
     def post(self) -> None:
-        """Note the version; tell what is held."""
+        """Records the publisher's version and replies with the versions held and seen here."""
         request = self.decode_body(codec.AnnounceRequest)
         if request is not None:
             self.distributor.role.observe(request.version)
@@ -193,19 +193,20 @@
 
 
 class HighestHandler(VersionHandler):
-    """The highest version held or promised here."""
+    """A claimant asks for the highest version held or promised here."""
 
     def post(self) -> None:
-        """Tell what was seen."""
+        """Replies with the versions held and seen here."""
         if self.decode_body(codec.HighestRequest) is not None:
             self.reply_msgpack(self.version_reply())
 
 
 class PromiseHandler(VersionHandler):
-    """A promise to accept nothing of an earlier term; on disk, where there is one, before it is given."""
+    """A claimant asks for a promise to accept nothing of an earlier term. If there is a store, the promise is
+    on disk before the reply is sent."""
 
     async def post(self) -> None:
-        """Promise, or refuse for a higher term."""
+        """Promises the term, or refuses because of a higher one or because the promise can't be stored."""
         request = self.decode_body(codec.PromiseRequest)
         if request is None:
             return
@@ -222,10 +223,11 @@
 
 
 class PublishHandler(BaseHandler):
-    """A change by an operator or a platform."""
+    """An operator or a platform publishes a change."""
 
     async def post(self) -> None:
-        """Publish; 202 where no majority holds the version yet."""
+        """Publishes the change. The status is 202 if no majority holds the version yet, 400 for an invalid
+        body and 409 if the change is refused."""
         role = self.distributor.role
         try:
             body = msgspec.json.decode(self.request.body, type=PublishBody)
@@ -252,7 +254,7 @@
     """An operator makes this distributor the publisher."""
 
     async def post(self) -> None:
-        """Claim the role."""
+        """Claims the role. The status is 400 for an invalid body and 409 if the claim fails."""
         try:
             body = msgspec.json.decode(self.request.body, type=PromoteBody)
             term = await self.distributor.role.claim(parse(body.above))
@@ -266,18 +268,18 @@
 
 
 class StatusHandler(BaseHandler):
-    """Version, role, fronts and counters."""
+    """An operator asks for version, role, fronts and counters."""
 
     def get(self) -> None:
-        """Tell it as JSON."""
+        """Replies with the status."""
         self.finish(self.distributor.status())
 
 
 class CatalogHandler(BaseHandler):
-    """The whole list."""
+    """An operator asks for the whole list."""
 
     def get(self) -> None:
-        """Tell it as JSON."""
+        """Replies with the version, all engines and all documents."""
         replica = self.distributor.catalog.replica
         engines = [record._asdict() for record in engines_of(replica.records.values())]
         for engine in engines:
@@ -289,7 +291,7 @@
 
 
 def build_application(distributor: Distributor) -> Application:
-    """All calls that a distributor answers."""
+    """Returns the Tornado application with all routes."""
     handlers = {
         WATCH_PATH: WatchHandler,
         FOLLOW_PATH: FollowHandler,
--- a/thistlelever/distributor/promises.py
+++ b/thistlelever/distributor/promises.py
@@ -1,4 +1,4 @@
-"""Whether this distributor remembers what it promised, and how it keeps a promise."""
+"""Storage of this distributor's promises, and whether they survived its restart."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class PromiseStore:
-    """A promise is on disk before it is told. `restored` is whether the store held anything when this process
-    started: with an empty one, or with none, promises of a former life may be forgotten."""
+    """Stores a promise before it is sent. `restored` is whether the store held anything when this process
+    started: if it was empty, or if there is none, promises made before the restart may be lost."""
 
     def __init__(self, replica: Replica, writer: ContentWriter | None, restored: bool) -> None:
-        """`writer` is None where there is no store."""
+        """`writer` is None if there is no store."""
         self.replica, self.writer, self.restored = replica, writer, restored
 
     def is_intact(self) -> bool:
-        """Whether this distributor's own answer counts in a claim. In a new tier it does once it has promised
-        something in this life."""
+        """Returns whether this distributor's own reply counts in a claim. In a new tier it counts once the
+        distributor has promised something since it started."""
         return self.writer is not None and (self.restored or self.replica.floor > NO_VERSION)
 
     async def save(self, floor: Version) -> None:
-        """Keep a promise; `StoreError` where the disk does not take it."""
+        """Stores a promise, if there is a store. Raises `StoreError` if that fails."""
         if self.writer:
             await self.writer.write_floor(floor)
--- a/thistlelever/distributor/publishing.py
+++ b/thistlelever/distributor/publishing.py
@@ -1,4 +1,5 @@
-"""The publisher's role at one distributor: claimed, used, and given up to whoever holds a higher term."""
+"""The publisher's role at one distributor: claims it, publishes changes, and gives it up once a higher term
+is seen."""
 
 from __future__ import annotations
 
@@ -19,19 +20,19 @@
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 
-# How long a publish waits for a majority to hold its version.
+# Timeout for a majority to hold a published version.
 CONFIRM_TIMEOUT_S = 2.0
-# Between two attempts to claim the role at a start.
+# Delay between two attempts to claim the role at the start.
 CLAIM_RETRY_DELAY_S = 1.0
-# The loss of the publisher is looked for this often, in heartbeats.
+# Interval between checks for the loss of the publisher, in heartbeats.
 ELECTION_CHECK_HEARTBEATS = 0.1
 
-# Raises `ValueError`, with the path of the fault, for a text that can't be the document.
+# Raises `ValueError`, with the path of the invalid key, for a text that is not valid as the document.
 DocumentCheck = Callable[[str], None]
 
 
 class PublisherRole:
-    """`publisher` is set while this distributor has the role."""
+    """The role of this distributor. `publisher` is not None while it has the role."""
 
     def __init__(
         self,
@@ -41,20 +42,20 @@
         promises: PromiseStore,
         document_checks: Mapping[str, DocumentCheck],
     ) -> None:
-        """Without the role until `claim`. `document_checks` has one for each document that may be
-        published."""
+        """Starts without the role. `document_checks` holds one check for each document that may be published,
+        by name."""
         self.document_checks = document_checks
         self.catalog, self.follower, self.log = catalog, follower, log
         self.promises = promises
         self.publisher: Publisher | None = None
-        # The newest version that each follower has shown to hold, and who waits for them to move.
+        # The newest version that each follower is known to hold; the event is set when one of them changes.
         self.held_versions: dict[int, Version] = {}
         self.held_changed = asyncio.Event()
         self.claim_lock = asyncio.Lock()
 
     async def claim(self, above: Version = NO_VERSION, election: Election | None = None) -> int:
-        """Take the role over: the new term, higher than that of `above`. `ClaimFailedError` where that is not
-        possible."""
+        """Takes over the role and returns the new term, which is higher than that of `above`. If this
+        distributor already publishes in such a term, that term is returned. Raises `ClaimFailedError`."""
         async with self.claim_lock:
             if self.publisher and self.publisher.term > above.term:
                 return self.publisher.term
@@ -63,7 +64,7 @@
             try:
                 self.publisher = Publisher(catalog.replica, catalog.history, term)
             except ValueError as error:
-                # Something newer came while the others were asked.
+                # A newer version arrived during the calls to the others.
                 raise ClaimFailedError(str(error)) from None
             self.follower.publishing = True
             self.held_versions.clear()
@@ -73,7 +74,8 @@
             return term
 
     async def claim_at_start(self, election: Election | None) -> None:
-        """Claim until a majority answers; with `election` only while nobody hears another publisher."""
+        """Claims until it succeeds. With `election`, stops after a failed claim if this distributor
+        has had contact with another publisher within the election's timeout."""
         while self.publisher is None:
             try:
                 await self.claim(election=election)
@@ -84,7 +86,7 @@
                     return
 
     async def elect(self, election: Election) -> None:
-        """Claim whenever the publisher is lost, until cancelled."""
+        """Claims whenever the publisher is lost, until cancelled."""
         while True:
             await asyncio.sleep(self.follower.heartbeat * ELECTION_CHECK_HEARTBEATS)
             follower = self.follower
@@ -99,7 +101,7 @@
                 self.log("claim failed", why=str(error))
 
     def observe(self, version: Version) -> None:
-        """Somebody has shown a version: the role is lost to a higher term."""
+        """Records a version seen in a message, and gives up the role if its term is higher."""
         self.follower.observe(version)
         if self.publisher is None:
             return
@@ -109,7 +111,7 @@
             self.publisher, self.follower.publishing = None, False
 
     def record_held(self, index: int, version: Version) -> None:
-        """A follower has shown what it holds."""
+        """Records the version that a follower holds."""
         if version > self.held_versions.get(index, NO_VERSION):
             self.held_versions[index] = version
             self.held_changed.set()
@@ -117,7 +119,8 @@
     def publish(
         self, upserts: Sequence[Record], removals: Sequence[str], expected: Version | None
     ) -> Version:
-        """Put a change in force; `PublishRefusedError` leaves the old version."""
+        """Puts a change in force and returns the version. Raises `PublishRefusedError`, which leaves the
+        present version in force."""
         publisher = self.require_publisher()
         for record in documents_of(upserts):
             self.check_document(record)
@@ -125,7 +128,7 @@
         return self.finish_publish(publisher.publish(upserts, removals, expected), before)
 
     def check_document(self, record: DocumentRecord) -> None:
-        """Refuse a document that its check finds fault with, or that there is no check for."""
+        """Raises `PublishRefusedError` for a document that fails its check or has none."""
         check = self.document_checks.get(record.name)
         if check is None:
             known = ", ".join(sorted(self.document_checks)) or "none"
@@ -136,26 +139,28 @@
             raise PublishRefusedError(f"documents.{record.name}: {error}") from None
 
     def replace_all(self, records: Sequence[Record], expected: Version | None) -> Version:
-        """Put a whole list in force, as a change against the present one."""
+        """Puts a whole list in force, as a delta to the present one, and returns the version. Raises
+        `PublishRefusedError`."""
         publisher = self.require_publisher()
         before = dict(self.catalog.replica.records)
         return self.finish_publish(publisher.replace_all(records, expected), before)
 
     def require_publisher(self) -> Publisher:
-        """The publisher; `PublishRefusedError` where this distributor is none."""
+        """Returns the publisher. Raises `PublishRefusedError` if this distributor does not have the role."""
         if self.publisher is None:
             publisher = self.follower.publisher_index()
             raise PublishRefusedError(f"role: this distributor does not publish; distributor {publisher} may")
         return self.publisher
 
     def finish_publish(self, delta: Delta | None, before: dict[str, Record]) -> Version:
-        """Tell who listens of a change that is in force; the version."""
+        """Updates the catalog after a change, if there was any, and returns the version."""
         if delta is not None:
             self.catalog.process_applied(delta, before)
         return self.catalog.version
 
     async def wait_confirmed(self, version: Version) -> bool:
-        """Whether a majority of the distributors, this one included, holds a version before long."""
+        """Waits until a majority of the distributors, including this one, holds a version. Returns False if
+        that takes longer than CONFIRM_TIMEOUT_S."""
         needed = majority(len(self.follower.distributors)) - 1
         deadline = asyncio.get_running_loop().time() + CONFIRM_TIMEOUT_S
         while sum(held >= version for held in self.held_versions.values()) < needed:
@@ -170,8 +175,8 @@
         return True
 
     async def announce(self) -> None:
-        """While this distributor publishes, tell all others so, until cancelled: who follows another one
-        learns of the newer term."""
+        """While this distributor publishes, announces its version to all others every heartbeat, until
+        cancelled. A distributor that follows another publisher learns of the newer term this way."""
         while True:
             if self.publisher:
                 follower = self.follower
--- a/thistlelever/distributor/service.py
+++ b/thistlelever/distributor/service.py
@@ -1,4 +1,4 @@
-"""One distributor, put together from its parts; its life from start to stop."""
+"""One distributor: assembles its components, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 from thistlelever.subsetting import SubsetParameters
 
 SWEEP_INTERVAL_S = 5.0
-# Counters are written to the log this often, where they have changed.
+# Interval between log lines with the counters.
 COUNTS_INTERVAL_S = 60.0
 LISTEN_BACKLOG = 1_024
 NO_DOCUMENT_CHECKS: Mapping[str, DocumentCheck] = MappingProxyType({})
 
 
 class Distributor:
-    """All parts of one distributor."""
+    """The components of one distributor and its background tasks."""
 
     def __init__(
         self,
@@ -44,7 +44,8 @@
         log: Log,
         document_checks: Mapping[str, DocumentCheck] = NO_DOCUMENT_CHECKS,
     ) -> None:
-        """Put together, with what is on disk; nothing listens before `open`."""
+        """Creates the components and loads the stored content; nothing listens before `open`. Raises
+        `StoreError`."""
         self.config, self.log = config, log
         subset = config.subset
         parameters = SubsetParameters(
@@ -61,7 +62,7 @@
         self.role = PublisherRole(self.catalog, self.follower, log, self.promises, document_checks)
         admission = SnapshotAdmission(config.snapshots_per_s, config.index, clock.now())
         self.sessions = Sessions(self.catalog, admission, self.counts)
-        # Followers whose long poll waits for the next version.
+        # Set at the next change; the long polls of followers wait for it.
         self.next_version = asyncio.Event()
         self.catalog.on_change.append(self.on_catalog_change)
         self.stop_requested = asyncio.Event()
@@ -69,8 +70,8 @@
         self.server: HTTPServer | None = None
 
     def restore(self, path: str) -> bool:
-        """Begin with what is on disk; whether that is anything. `StoreError` where it is damaged: to serve it
-        would be worse."""
+        """Loads the stored content and returns whether there was any. Raises `StoreError` if the file is
+        damaged: serving damaged content would be worse than not starting."""
         store = ContentStore(path)
         restored = store.read()
         if restored is not None:
@@ -80,15 +81,15 @@
         return self.catalog.replica.highest() > NO_VERSION
 
     def on_catalog_change(self, update: object, change: Change) -> None:
-        """The catalog has changed: to disk, and to who follows."""
+        """Queues the update for writing and wakes the followers' long polls."""
         if self.writer:
             self.writer.enqueue(update)
-        # Who waits now is woken; who comes later waits for the next change.
+        # Wakes the present waiters; later ones wait for the next change.
         self.next_version.set()
         self.next_version = asyncio.Event()
 
     async def open(self) -> None:
-        """Listen and start to work."""
+        """Opens the listener and starts the background tasks."""
         from thistlelever.distributor.handlers import build_application
 
         loop = asyncio.get_running_loop()
@@ -115,15 +116,16 @@
         self.log("ready", listen=self.config.listen, version=str(self.catalog.version))
 
     def election(self) -> Election | None:
-        """When this distributor claims the role by itself; None where an operator has to say so."""
+        """Returns the rules by which this distributor claims the role by itself, or None if only an operator
+        makes it claim."""
         config = self.config
         if config.election_after_s is None:
             return None
         return Election(config.index, len(config.distributors), config.election_after_s)
 
     async def supervise(self, job) -> None:
-        """A part that fails takes the process with it: one that half works is not told apart from a whole
-        one."""
+        """Runs a background task. If it fails, the whole process stops: otherwise a distributor that works
+        only in part would look healthy."""
         try:
             await job
         except Exception as error:
@@ -132,13 +134,13 @@
             raise
 
     async def run_sweeps(self) -> None:
-        """Forget fronts that have gone."""
+        """Removes expired sessions of fronts, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sessions.sweep()
 
     async def run_count_log(self) -> None:
-        """Write the counters, with what they add up to."""
+        """Logs the counters, which are cumulative, until cancelled."""
         while True:
             await asyncio.sleep(COUNTS_INTERVAL_S)
             report = self.status()
@@ -146,13 +148,13 @@
             self.log("counts", fronts=fronts, lagging=lagging, cpu=round(process_time(), 3), **report)
 
     async def run(self) -> int:
-        """Serve until SIGTERM; the exit code."""
+        """Serves until SIGTERM and returns the exit code."""
         await self.open()
         await self.stop_requested.wait()
         return await self.close()
 
     async def close(self) -> int:
-        """Stop; 1 where a part has failed."""
+        """Stops all components. Returns the exit code: 1 if a background task has failed, else 0."""
         self.server.stop()
         failed = any(task.done() and not task.cancelled() and task.exception() for task in self.tasks)
         for task in self.tasks:
@@ -167,7 +169,7 @@
         return int(failed)
 
     def status(self) -> dict:
-        """What operators ask first."""
+        """Returns the status for operators: versions, role, fronts, storage and counters."""
         follower, role = self.follower, self.role
         replica, now = self.catalog.replica, clock.now()
         fronts = {
@@ -199,11 +201,12 @@
         }
 
     def lag_threshold(self) -> float:
-        """A front that has not asked for two heartbeats lags."""
+        """Returns the number of seconds without a request after which a front counts as lagging: two
+        heartbeats."""
         return 2 * self.config.heartbeat_s
 
 
 async def serve(config: DistributorConfig, log: Log, document_checks: Mapping[str, DocumentCheck]) -> int:
-    """Run one distributor until SIGTERM; the exit code. `document_checks` are those of the documents that it
-    lets through, by name."""
+    """Runs one distributor until SIGTERM and returns the exit code. `document_checks` holds one check for
+    each document that may be published, by name."""
     return await Distributor(config, log, document_checks).run()
--- a/thistlelever/distributor/sessions.py
+++ b/thistlelever/distributor/sessions.py
@@ -1,4 +1,4 @@
-"""What each connected front was told, and the answers to its watches."""
+"""The sessions of the fronts: which records each front holds, and the replies to its watches."""
 
 from __future__ import annotations
 
@@ -18,47 +18,48 @@
 from thistlelever.ground import clock
 from thistlelever.subsetting import FrontIdentity, Requirement, Subset
 
-# An answer with more records than this counts as a whole subset.
+# An answer with more records than this counts as a whole subset for the rate limit.
 LARGE_UPDATE_RECORDS = 16
-# The longest that a watch is held back, whatever its front asks for.
+# Maximum time that a watch is held open, in seconds, whatever the front requests.
 MAX_WAIT_S = 30.0
-# A watch without news is held back for this part of its time at least.
+# A watch without changes is held open for at least this share of its time.
 MIN_WAIT_SHARE = 0.7
-# A front that does not wait for an answer and has not asked for so long is forgotten.
+# The session of a front without an open watch expires after this many seconds without a request.
 SESSION_EXPIRY_S = 10.0
-# When the list has changed, fronts are looked at for so many seconds in one turn of the loop; changes that
-# come closer together than this are told together.
+# After a change, sessions are checked for at most MAX_SLICE_S seconds before yielding to the event loop.
+# Changes within COALESCE_S seconds are handled together.
 MAX_SLICE_S, COALESCE_S = 0.005, 0.02
-# The bound on how many fronts share an engine is worked out anew after changes of this share of all engines.
+# The maximum number of fronts that share an engine is computed again after changes of this share of all
+# engines.
 MAX_FRONTS_REFRESH_SHARE = 0.01
-# How long one that holds nothing yet asks fronts to stay away.
+# Retry delay sent to fronts while the catalog is empty.
 EMPTY_RETRY_S = 0.5
-# How long one that has forgotten a front asks it to stay away.
+# Retry delay sent to a front whose session is unknown.
 UNKNOWN_FRONT_RETRY_S = 0.05
 
 
 class BusyError(Exception):
-    """The front is to come again after so many seconds."""
+    """The front has to retry later."""
 
     def __init__(self, retry_after: float) -> None:
-        """Come again after `retry_after` seconds."""
+        """The front has to retry after `retry_after` seconds."""
         super().__init__(f"come again in {retry_after:.3f} s")
         self.retry_after = retry_after
 
 
 class BehindError(Exception):
-    """The asker holds a newer version than this distributor."""
+    """The front holds a newer version than this distributor."""
 
     def __init__(self, version: Version) -> None:
-        """This distributor holds `version`."""
+        """`version` is the version that this distributor holds."""
         super().__init__(f"{version} is held here")
 
 
 class Session:
-    """One front: who it is, what it may hold, and what it was told."""
+    """One front: its identity, the selection of its subset, and the records it was sent."""
 
     def __init__(self, request: codec.WatchRequest) -> None:
-        """A front by its first watch of a connection."""
+        """Creates the session from the first watch of a connection."""
         self.identity = FrontIdentity(request.front, request.zone, request.rank, request.zone_rank)
         self.whole_cells = request.whole_cells
         self.requirements = tuple(
@@ -72,28 +73,28 @@
         self.watch_count = 0
         self.version, self.last_request_at = NO_VERSION, clock.now()
         self.subset, self.subset_revision, self.max_fronts_revision = Subset((), 0), -1, -1
-        # Done when something that concerns a watch that is held back has changed.
+        # The future that an open watch waits for; completed when a change concerns it.
         self.wakeup: asyncio.Future[None] | None = None
 
     def concerns(self, change: Change) -> bool:
-        """Whether a change touches an engine that the front holds."""
+        """Returns whether a change touches an engine that the front holds."""
         return not change.engines.isdisjoint(self.subset.ids) or not change.engines.isdisjoint(self.retained)
 
     def is_waiting(self) -> bool:
-        """Whether a watch of the front is held back."""
+        """Returns whether a watch of the front is held open."""
         return self.wakeup is not None and not self.wakeup.done()
 
     def wake(self) -> None:
-        """Let a watch that is held back look again."""
+        """Makes a watch that is held open check for differences again."""
         if self.is_waiting():
             self.wakeup.set_result(None)
 
 
 class Sessions:
-    """All fronts that this distributor serves."""
+    """The sessions of all fronts that this distributor serves."""
 
     def __init__(self, catalog: Catalog, admission: SnapshotAdmission, counts: Counter[str]) -> None:
-        """No front yet."""
+        """Starts without sessions. `counts` are the distributor's counters."""
         self.catalog, self.admission, self.counts = catalog, admission, counts
         self.by_front: dict[str, Session] = {}
         self.changes: list[Change] = []
@@ -101,13 +102,13 @@
         catalog.on_change.append(self.on_catalog_change)
 
     def on_catalog_change(self, update: Update, change: Change) -> None:
-        """The catalog has changed."""
+        """Queues a change of the catalog for `run`."""
         self.changes.append(change)
         self.changed.set()
 
     def open(self, request: codec.WatchRequest) -> Session:
-        """The session of a front that watches. `BehindError` where it holds something newer, `BusyError`
-        where it is to come again."""
+        """Returns the session for a watch. Raises `BehindError` if the front holds a newer version, and
+        `BusyError` if it has to retry later."""
         if request.version > self.catalog.version:
             raise BehindError(self.catalog.version)
         if not self.catalog.replica.records:
@@ -115,13 +116,14 @@
         if request.held is not None:
             self.admit_snapshot()
         elif request.front not in self.by_front:
-            # Forgotten: by a new connection the front tells all anew.
+            # The session has expired. The front reconnects and lists all records that it holds.
             raise BusyError(UNKNOWN_FRONT_RETRY_S)
         return self.session(request)
 
     async def watch(self, session: Session, request: codec.WatchRequest) -> tuple[Update | None, int]:
-        """The answer to a watch, as soon as something that concerns the front differs from what it holds, or
-        when its time is up; and how many fronts may send to any one of its engines."""
+        """Waits until the records that the front should hold differ from those it holds, or until the watch
+        times out. Returns the update, None if there is none, and the maximum number of fronts that may send
+        to any one of its engines."""
         deadline = clock.now() + min(request.wait, MAX_WAIT_S) * self.wait_share(session)
         while True:
             wanted = self.wanted_records(session)
@@ -133,14 +135,16 @@
             await asyncio.wait((session.wakeup,), timeout=remaining)
 
     def wait_share(self, session: Session) -> float:
-        """Which part of its time a watch is held back, by chance. Risk: fronts that were told together ask
-        together, and their watches run out in one moment, again and again."""
+        """Returns the share of its requested time that a watch is held open, which is pseudo-random. Without
+        it, fronts that got an update at the same moment would send their next watches together, and these
+        would time out together, again and again."""
         session.watch_count += 1
         draw = crc32(b"%d %b" % (session.watch_count, session.identity.name.encode())) / 2**32
         return MIN_WAIT_SHARE + (1 - MIN_WAIT_SHARE) * draw
 
     def session(self, request: codec.WatchRequest) -> Session:
-        """The front's session; a new one where it tells what it holds."""
+        """Returns the front's session; a new one if there is none or if the request lists the held
+        records."""
         session = self.by_front.get(request.front)
         if session is None or request.held is not None:
             if session:
@@ -151,7 +155,7 @@
         return session
 
     def build_update(self, session: Session, request: codec.WatchRequest, wanted: list[Record]) -> Update:
-        """What brings the front to the records wanted."""
+        """Returns the update from the records that the front holds to those in `wanted`."""
         catalog, version = self.catalog, self.catalog.version
         exists = catalog.replica.records.__contains__
         held = session.views.acknowledge(*held_version(request))
@@ -164,7 +168,8 @@
         return difference_from_digests(held_digests, version, wanted, exists, session.retained)
 
     def wanted_records(self, session: Session) -> list[Record]:
-        """The records that the front is to hold: its subset, what it retains, and all documents."""
+        """Returns the records that the front should hold: its subset, the engines it retains, and all
+        documents."""
         self.refresh_subset(session)
         inside = frozenset(session.subset.ids)
         outside = tuple(engine for engine in session.retained if engine not in inside)
@@ -173,9 +178,9 @@
         return [*records, *self.catalog.documents.values()]
 
     def refresh_subset(self, session: Session) -> None:
-        """Bring a front's subset up to date with the ring. How many fronts share its engines is worked out
-        anew only with other engines, or once many have changed: it costs more than the subset, and moves
-        slowly."""
+        """Updates the front's subset if the ring has changed. The number of fronts that share its engines is
+        computed again only if its engines changed or after many changes of the ring: it costs more than the
+        subset and changes slowly."""
         ring = self.catalog.ring
         if session.subset_revision == ring.revision:
             return
@@ -188,8 +193,8 @@
             session.max_fronts_revision = ring.revision
 
     def admit_snapshot(self) -> None:
-        """Let a front that names all that it holds, or that is told its whole subset, pass at a bounded rate:
-        either costs some hundred times a heartbeat."""
+        """Applies the rate limit to a request that lists all held records and to an answer with a whole
+        subset, either of which costs some hundred times as much as a heartbeat. Raises `BusyError`."""
         if retry_after := self.admission.admit(clock.now()):
             self.counts["snapshots refused"] += 1
             raise BusyError(retry_after)
@@ -197,7 +202,8 @@
     def finish_watch(
         self, session: Session, request: codec.WatchRequest, update: Update, wanted: list[Record]
     ) -> Update | None:
-        """Remember what goes out; `BusyError` for a whole subset that is not admitted."""
+        """Records what is sent to the front and returns the update, or None if nothing has changed. Raises
+        `BusyError` for a whole subset over the rate limit."""
         whole = not isinstance(update, Delta) or len(update.upserts) > LARGE_UPDATE_RECORDS
         if whole and request.held is None:
             self.admit_snapshot()
@@ -209,7 +215,7 @@
         return update
 
     async def run(self) -> None:
-        """Wake the watches that a change concerns, a few fronts a turn."""
+        """Wakes the watches that changes concern, until cancelled."""
         while True:
             await self.changed.wait()
             await asyncio.sleep(COALESCE_S)
@@ -218,13 +224,14 @@
             await self.wake_watches(changes)
 
     async def wake_watches(self, changes: list[Change]) -> None:
-        """Wake the watches that these changes concern."""
+        """Wakes the watches that these changes concern, yielding to the event loop after every MAX_SLICE_S
+        seconds of work."""
         engines = frozenset[str]().union(*(change.engines for change in changes))
         change = Change(engines, any(change.subsets_may_differ for change in changes))
         documents = any(name.startswith(DOCUMENT_PREFIX) for name in engines)
         began = perf_counter()
-        # Who does not wait looks anew when it next asks. Risk: fronts that went elsewhere, worked out at each
-        # change, cost so much that those that are here go elsewhere too.
+        # Fronts without an open watch are checked at their next request. Computing the subsets of fronts that
+        # moved to another distributor at each change would cost so much that the remaining ones move too.
         for session in [session for session in self.by_front.values() if session.is_waiting()]:
             if perf_counter() - began > MAX_SLICE_S:
                 await asyncio.sleep(0)
@@ -238,13 +245,13 @@
                     session.wake()
 
     def disconnect(self, session: Session) -> None:
-        """The connection of a front has ended while its watch was held back."""
+        """Removes the session of a front that disconnected while its watch was held open."""
         if self.by_front.get(session.identity.name) is session:
             del self.by_front[session.identity.name]
         session.wake()
 
     def sweep(self) -> None:
-        """Forget the fronts that no longer ask."""
+        """Removes the sessions of fronts that no longer send watches."""
         before = clock.now() - SESSION_EXPIRY_S
         for front, session in list(self.by_front.items()):
             if session.last_request_at < before and not session.is_waiting():
@@ -252,10 +259,10 @@
 
 
 def held_version(request: codec.WatchRequest) -> tuple[Version, int]:
-    """Version and digest of what the front holds."""
+    """Returns the version and the digest of the records that the front holds."""
     return request.version, codec.digest_from(request.digest)
 
 
 def has_changes(update: Update) -> bool:
-    """Whether an update changes any record."""
+    """Returns whether an update changes any record; a snapshot always counts as a change."""
     return not isinstance(update, Delta) or bool(update.upserts or update.removals)
--- a/thistlelever/distributor/store.py
+++ b/thistlelever/distributor/store.py
@@ -1,4 +1,4 @@
-"""The content of a distributor on disk: SQLite, one transaction for each change."""
+"""The content of a distributor on disk: an SQLite file, with one transaction per change."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "create table if not exists head (place integer primary key check (place = 0), version blob not null)",
     "create table if not exists floor (place integer primary key check (place = 0), version blob not null)",
 )
-# A writer of another process is waited for this long.
+# How long to wait for a lock held by another process.
 BUSY_TIMEOUT_MS = 1_000
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -34,14 +34,15 @@
 
 
 class StoreError(Exception):
-    """The file can't be read or written; the text says why."""
+    """The file can't be read or written; the text gives the reason."""
 
 
 class ContentStore:
-    """The newest version of the whole content. Its calls block: they belong on a thread of their own."""
+    """The newest version of the whole content and the promised floor. Its calls block and must not run on the
+    event loop's thread, except at the start."""
 
     def __init__(self, path: str) -> None:
-        """Open or make the file; `StoreError` where that fails."""
+        """Opens the file, which is created if it is missing. Raises `StoreError`."""
         self.path = path
         try:
             self.connection = apsw.Connection(path)
@@ -54,7 +55,8 @@
             raise StoreError(f"{path}: {error}") from None
 
     def read(self) -> Snapshot | None:
-        """What is kept; None where nothing is, `StoreError` where it is damaged."""
+        """Returns the stored content, or None if there is none. Raises `StoreError` if the file is
+        damaged."""
         try:
             head = self.connection.execute("select version from head").get
             if head is None:
@@ -71,7 +73,7 @@
         return Snapshot(Version(term, number), int.from_bytes(digest, "big"), records)
 
     def write(self, update: Update) -> None:
-        """Keep an update, whole or not at all."""
+        """Stores an update atomically. Raises `StoreError`."""
         try:
             with self.connection, closing(self.connection.cursor()) as cursor:
                 if isinstance(update, Delta):
@@ -94,7 +96,8 @@
             raise StoreError(f"{self.path}: {error}") from None
 
     def read_floor(self) -> Version:
-        """The version below which this distributor has promised to accept nothing."""
+        """Returns the version below which this distributor has promised to accept nothing. Raises
+        `StoreError`."""
         try:
             floor = self.connection.execute("select version from floor").get
             return NO_VERSION if floor is None else _decode_version(floor)
@@ -102,12 +105,12 @@
             raise StoreError(f"{self.path}: damaged: {error}") from None
 
     def write_floor(self, floor: Version) -> None:
-        """Keep a promise."""
+        """Stores a promise. Raises `StoreError`."""
         try:
             self.connection.execute("insert or replace into floor values (0, ?)", (_encode(floor),))
         except apsw.Error as error:
             raise StoreError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
-        """Release the file."""
+        """Closes the file."""
         self.connection.close()
