--- a/tests/distributor_stage.py
+++ b/tests/distributor_stage.py
@@ -20,8 +20,8 @@
 
 def engine(number, **fields):
     """An engine as it is published; its address follows from its number."""
-    facts = {"id": f"engine-{number:05}", "zone": f"zone-{number % 3}", "kind": "std"}
-    return facts | {"address": f"10.0.{number // 250}.{number % 250 + 1}:7000"} | fields
+    entry = {"id": f"engine-{number:05}", "zone": f"zone-{number % 3}", "kind": "std"}
+    return entry | {"address": f"10.0.{number // 250}.{number % 250 + 1}:7000"} | fields
 
 
 class Tier:
@@ -40,7 +40,7 @@
 
     async def start(self, index, **sections):
         """Start one distributor; index 0 publishes unless it is said otherwise."""
-        facts = {
+        entry = {
             "name": f"distributor-{index}",
             "index": index,
             "listen": f"{HOST}:{self.ports[index]}",
@@ -48,9 +48,9 @@
             "publisher": index == 0,
         }
         if self.stores:
-            facts["store"] = str(self.stores / f"distributor-{index}.db")
-        config = configuration.read(json.dumps(facts | self.sections | sections).encode())
-        distributor = Distributor(config, lambda event, **told: self.events.append((index, event, told)))
+            entry["store"] = str(self.stores / f"distributor-{index}.db")
+        config = configuration.read(json.dumps(entry | self.sections | sections).encode())
+        distributor = Distributor(config, lambda event, **fields: self.events.append((index, event, fields)))
         await distributor.open()
         self.running[index] = distributor
         return distributor
--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -328,7 +328,7 @@
         async with tier(1, engines=12, store=path) as stage:
             writer = stage.running[0].writer
             await stage.until(lambda: not writer.pending)
-            write, writer.store.write = writer.store.write, fail
+            write, writer.store.write = writer.store.write, fail_to_write
             await stage.publish(upserts=[engine(1, weight=2.0)])
             await stage.until(lambda: writer.failure)
             assert stage.running[0].status()["store"]["failing"]
@@ -342,7 +342,7 @@
     run_scenario(scenario())
 
 
-def fail(update):
+def fail_to_write(update):
     """A disk that takes nothing."""
     raise StoreError("no space left")
 
@@ -409,20 +409,20 @@
 def test_who_alone_does_not_hear_the_publisher_does_not_replace_it(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
-            lonely = stage.running[2]
-            lonely.follower.last_contact_at -= 100.0
+            isolated = stage.running[2]
+            isolated.follower.last_contact_at -= 100.0
             # It reaches the others' claims, and its own questions for news fail.
-            lonely.follower.poll_once = lonely.follower.follow = unreachable
-            lonely.follower.poll_task.cancel()
+            isolated.follower.poll_once = isolated.follower.follow = unreachable
+            isolated.follower.poll_task.cancel()
             await stage.until(lambda: any(event == "publisher lost" for _, event, _ in stage.events))
             await asyncio.sleep(2.5)
-            assert stage.running[0].role.publisher and not lonely.role.publisher
-            assert any("hears the publisher" in told.get("why", "") for _, _, told in stage.events)
+            assert stage.running[0].role.publisher and not isolated.role.publisher
+            assert any("hears the publisher" in fields.get("why", "") for _, _, fields in stage.events)
 
     run_scenario(scenario())
 
 
-async def unreachable(*words):
+async def unreachable(*arguments):
     """A way to another distributor that is broken."""
     raise DistributorError("unreachable")
 
--- a/tests/test_distributor_commands.py
+++ b/tests/test_distributor_commands.py
@@ -14,9 +14,9 @@
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "distributor.example.json"
 
 
-def run(*words, source=None):
+def run(*arguments, source=None):
     return subprocess.run(
-        [sys.executable, "-m", "thistlelever", "distributor", *words],
+        [sys.executable, "-m", "thistlelever", "distributor", *arguments],
         capture_output=True,
         text=True,
         input=source,
@@ -30,8 +30,8 @@
     """One distributor process that publishes, by its address."""
     address = f"{HOST}:{free_port(socket.SOCK_STREAM)}"
     config = tmp_path / "distributor.json"
-    facts = {"name": "d", "index": 0, "listen": address, "distributors": [address], "publisher": True}
-    config.write_text(json.dumps(facts | {"subset": {"fronts": 1}, "store": str(tmp_path / "content.db")}))
+    fields = {"name": "d", "index": 0, "listen": address, "distributors": [address], "publisher": True}
+    config.write_text(json.dumps(fields | {"subset": {"fronts": 1}, "store": str(tmp_path / "content.db")}))
     process = subprocess.Popen(
         [sys.executable, "-m", "thistlelever", "distributor", "serve", "--config", str(config)],
         stdout=subprocess.PIPE,
@@ -46,22 +46,24 @@
 
 def test_publish_status_promote_and_dump(distributor):
     engines = json.dumps([engine(number) for number in range(5)])
-    said = run("publish", "--at", distributor, "-", source=engines)
-    assert said.returncode == 0, said.stderr
-    version = said.stdout.strip()
+    result = run("publish", "--at", distributor, "-", source=engines)
+    assert result.returncode == 0, result.stderr
+    version = result.stdout.strip()
     report = json.loads(run("status", "--at", distributor, "--json").stdout)
     assert report["version"] == version and report["engines"] == 5 and report["role"] == "publisher"
-    shown = run("status", "--at", distributor)
-    assert shown.returncode == 0 and version in shown.stdout
-    dumped = json.loads(run("dump", "--at", distributor).stdout)
-    assert [one["id"] for one in dumped["engines"]] == [engine(number)["id"] for number in range(5)]
+    result = run("status", "--at", distributor)
+    assert result.returncode == 0 and version in result.stdout
+    dump = json.loads(run("dump", "--at", distributor).stdout)
+    assert [dumped_engine["id"] for dumped_engine in dump["engines"]] == [
+        engine(number)["id"] for number in range(5)
+    ]
     assert run("promote", "--at", distributor).stdout.startswith("term ")
 
 
 def test_what_is_refused_exits_1_and_names_why(distributor):
     change = json.dumps({"removals": ["nobody"]})
-    said = run("publish", "--at", distributor, "--expected", "7.7", "-", source=change)
-    assert said.returncode == 1 and "expected" in said.stderr
+    result = run("publish", "--at", distributor, "--expected", "7.7", "-", source=change)
+    assert result.returncode == 1 and "expected" in result.stderr
 
 
 def test_nobody_there_and_no_json_exit_2(tmp_path):
@@ -76,15 +78,15 @@
 )
 def test_a_configuration_that_can_not_be_used_exits_2_and_names_the_key(tmp_path, change, word):
     path = tmp_path / "distributor.json"
-    facts = json.loads(EXAMPLE.read_text())
-    path.write_text("{" if change is None else json.dumps(facts | change))
-    said = run("check", "--config", str(path))
-    assert said.returncode == 2 and word in said.stderr, said.stderr
+    fields = json.loads(EXAMPLE.read_text())
+    path.write_text("{" if change is None else json.dumps(fields | change))
+    result = run("check", "--config", str(path))
+    assert result.returncode == 2 and word in result.stderr, result.stderr
 
 
 def test_the_example_is_sound():
-    said = run("check", "--config", str(EXAMPLE))
-    assert said.returncode == 0 and "claims to publish" in said.stdout
+    result = run("check", "--config", str(EXAMPLE))
+    assert result.returncode == 0 and "claims to publish" in result.stdout
 
 
 def test_configure_puts_sections_in_force_and_names_what_can_not_be(distributor):
@@ -94,8 +96,8 @@
     report = json.loads(run("status", "--at", distributor, "--json").stdout)
     assert report["documents"] == ["operator"]
     too_much = json.dumps({"budgets": {"brokers": {n: {"guarantee": 0.75} for n in ("acme", "zeta")}}})
-    said = run("configure", "--at", distributor, "-", source=too_much)
-    assert said.returncode == 1 and "budgets" in said.stderr, said.stderr
+    result = run("configure", "--at", distributor, "-", source=too_much)
+    assert result.returncode == 1 and "budgets" in result.stderr, result.stderr
     assert run("configure", "--at", distributor, "--remove").returncode == 0
     assert run("configure", "--at", distributor).returncode == 2
     report = json.loads(run("status", "--at", distributor, "--json").stdout)
--- a/thistlelever/distributor/claiming.py
+++ b/thistlelever/distributor/claiming.py
@@ -42,11 +42,11 @@
 ) -> dict[int, codec.VersionReply]:
     """Makes the same call to all other distributors concurrently. Returns the replies by distributor index;
     distributors that did not reply are left out."""
-    others = [place for place in range(len(distributors)) if place != index]
+    others = [other for other in range(len(distributors)) if other != index]
     answers = await asyncio.gather(
-        *(call_distributor(distributors[place], path, request) for place in others)
+        *(call_distributor(distributors[other], path, request) for other in others)
     )
-    return {place: answer for place, answer in zip(others, answers, strict=True) if answer is not None}
+    return {other: answer for other, answer in zip(others, answers, strict=True) if answer is not None}
 
 
 async def claim_term(
@@ -63,8 +63,8 @@
     answers = await call_others(distributors, index, HIGHEST_PATH, codec.HighestRequest(index))
     if election and election.is_publisher_alive([answer.age for answer in answers.values()]):
         raise ClaimFailedError("another distributor hears the publisher")
-    for place, answer in answers.items():
-        claim.record_highest(place, answer.highest)
+    for other, answer in answers.items():
+        claim.record_highest(other, answer.highest)
     term = claim.term()
     if term is None:
         raise ClaimFailedError(f"too few answers: {1 + len(answers)} of {len(distributors)} distributors")
@@ -90,9 +90,9 @@
     """Requests a promise of the term from all other distributors and records their replies."""
     request = codec.PromiseRequest(follower.index, term)
     answers = await call_others(follower.distributors, follower.index, PROMISE_PATH, request)
-    for place, answer in answers.items():
+    for other, answer in answers.items():
         if answer.granted:
-            claim.record_promise(place, answer.held)
+            claim.record_promise(other, answer.held)
         else:
             claim.observe(answer.highest)
             follower.observe(answer.highest)
--- a/thistlelever/distributor/config.py
+++ b/thistlelever/distributor/config.py
@@ -75,9 +75,9 @@
         raise ConfigError(f"no JSON: {error}") from None
     if config.index >= len(config.distributors):
         raise ConfigError(f"index: a place among {len(config.distributors)} distributors expected")
-    shortest = MIN_ELECTION_HEARTBEATS * config.heartbeat_s
-    if config.election_after_s is not None and config.election_after_s < shortest:
+    minimum = MIN_ELECTION_HEARTBEATS * config.heartbeat_s
+    if config.election_after_s is not None and config.election_after_s < minimum:
         raise ConfigError(
-            f"election_after_s: {shortest:g} at least expected, {MIN_ELECTION_HEARTBEATS:g} heartbeats"
+            f"election_after_s: {minimum:g} at least expected, {MIN_ELECTION_HEARTBEATS:g} heartbeats"
         )
     return config
--- a/thistlelever/distributor/service.py
+++ b/thistlelever/distributor/service.py
@@ -73,9 +73,9 @@
         """Loads the stored content and returns whether there was any. Raises `StoreError` if the file is
         damaged: serving damaged content would be worse than not starting."""
         store = ContentStore(path)
-        restored = store.read()
-        if restored is not None:
-            self.catalog.receive(restored)
+        content = store.read()
+        if content is not None:
+            self.catalog.receive(content)
         self.catalog.replica.floor = store.read_floor()
         self.writer = ContentWriter(store, self.catalog.replica, self.log)
         return self.catalog.replica.highest() > NO_VERSION
--- a/thistlelever/distributor/sessions.py
+++ b/thistlelever/distributor/sessions.py
@@ -118,7 +118,7 @@
         elif request.front not in self.by_front:
             # The session has expired. The front reconnects and lists all records that it holds.
             raise BusyError(UNKNOWN_FRONT_RETRY_S)
-        return self.session(request)
+        return self.get_or_create(request)
 
     async def watch(self, session: Session, request: codec.WatchRequest) -> tuple[Update | None, int]:
         """Waits until the records that the front should hold differ from those it holds, or until the watch
@@ -142,7 +142,7 @@
         draw = crc32(b"%d %b" % (session.watch_count, session.identity.name.encode())) / 2**32
         return MIN_WAIT_SHARE + (1 - MIN_WAIT_SHARE) * draw
 
-    def session(self, request: codec.WatchRequest) -> Session:
+    def get_or_create(self, request: codec.WatchRequest) -> Session:
         """Returns the front's session; a new one if there is none or if the request lists the held
         records."""
         session = self.by_front.get(request.front)
