--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -17,7 +17,7 @@
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
-def test_a_front_is_told_its_subset_and_a_change_in_it_at_once():
+def test_a_front_receives_its_subset_and_a_change_to_it_at_once():
     async def scenario():
         async with tier(2, engines=40) as stage:
             front = stage.subscribe()
@@ -34,7 +34,7 @@
     run_scenario(scenario())
 
 
-def test_a_change_outside_the_subset_moves_the_version_at_the_next_heartbeat():
+def test_a_change_outside_the_subset_advances_the_version_at_the_next_heartbeat():
     async def scenario():
         async with tier(1, engines=40) as stage:
             front = stage.subscribe()
@@ -48,7 +48,7 @@
     run_scenario(scenario())
 
 
-def test_a_front_goes_on_at_another_distributor_by_a_delta():
+def test_a_front_fails_over_to_another_distributor_and_gets_a_delta():
     async def scenario():
         async with tier(3, engines=40) as stage:
             front = stage.subscribe()
@@ -67,7 +67,7 @@
     run_scenario(scenario())
 
 
-def test_a_distributor_that_is_behind_is_left_and_nothing_goes_back():
+def test_a_front_leaves_a_stale_distributor_and_its_version_never_decreases():
     async def scenario():
         async with tier(3, engines=12) as stage:
             front = stage.subscribe()
@@ -113,7 +113,7 @@
     run_scenario(scenario())
 
 
-def test_a_publisher_without_a_majority_is_not_confirmed_and_gives_way_after_the_cut(tmp_path):
+def test_a_publisher_without_a_majority_is_not_confirmed_and_steps_down_after_the_partition(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path) as stage:
             await stage.until(lambda: len({d.catalog.version for d in stage.running.values()}) == 1)
@@ -136,7 +136,7 @@
     run_scenario(scenario())
 
 
-def test_a_tier_restored_to_an_older_version_goes_on_above_what_fronts_hold():
+def test_a_tier_restored_to_an_older_version_resumes_above_the_version_of_fronts():
     async def scenario():
         async with tier(1, engines=6) as stage:
             front = stage.subscribe()
@@ -155,7 +155,7 @@
     run_scenario(scenario())
 
 
-def test_one_that_may_have_forgotten_promises_needs_more_answers(tmp_path):
+def test_a_distributor_that_may_have_lost_promises_needs_more_replies(tmp_path):
     async def scenario():
         async with tier(3, engines=6) as stage:
             await stage.stop(0)
@@ -183,7 +183,7 @@
     run_scenario(scenario())
 
 
-def test_a_front_that_slept_past_all_that_is_kept_is_told_a_delta():
+def test_a_front_offline_for_longer_than_the_history_gets_a_delta():
     async def scenario():
         async with tier(1, engines=12, history=2) as stage:
             front = stage.subscribe()
@@ -199,7 +199,7 @@
     run_scenario(scenario())
 
 
-def test_a_follower_that_is_behind_by_more_than_is_kept_gets_the_whole_list():
+def test_a_follower_behind_by_more_than_the_history_gets_a_snapshot():
     async def scenario():
         async with tier(2, engines=12, history=2) as stage:
             await stage.stop(1)
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    "body, word",
+    "body, expected_text",
     [
         ({"upserts": [{"id": "x"}]}, "zone"),
         ({"upserts": [engine(1, address="nowhere")]}, "address"),
@@ -224,19 +224,19 @@
         ({"unknown": 1}, "unknown"),
     ],
 )
-def test_a_change_that_can_not_be_is_refused_by_name_and_the_version_stays(body, word):
+def test_an_invalid_change_is_refused_with_its_key_and_the_version_stays(body, expected_text):
     async def scenario():
         async with tier(1, engines=6) as stage:
             replica = stage.running[0].catalog.replica
             before = replica.version, replica.digest
             status, answer = await stage.call(0, "POST", "/v1/publish", body)
-            assert status in (400, 409) and word in answer["error"], answer
+            assert status in (400, 409) and expected_text in answer["error"], answer
             assert (replica.version, replica.digest) == before
 
     run_scenario(scenario())
 
 
-def test_a_change_at_every_step_while_the_one_before_still_spreads():
+def test_changes_published_while_earlier_ones_still_propagate():
     async def scenario():
         async with tier(3, engines=30) as stage:
             fronts = [stage.subscribe(f"front-{rank}", rank, f"zone-{rank % 3}") for rank in range(12)]
@@ -264,7 +264,7 @@
     run_scenario(scenario())
 
 
-def test_who_is_refused_together_is_not_told_to_return_together():
+def test_fronts_refused_together_get_different_retry_delays():
     admission = SnapshotAdmission(10.0, seed=1, now=0.0)
     assert [admission.admit(0.0) for _ in range(10)] == [0.0] * 10
     waits = [admission.admit(0.0) for _ in range(20)]
@@ -273,7 +273,7 @@
     assert admission.admit(1.0) == 0.0
 
 
-def test_a_distributor_starts_by_what_it_kept(tmp_path):
+def test_a_distributor_starts_from_its_stored_content(tmp_path):
     async def scenario():
         path = str(tmp_path / "content.db")
         async with tier(1, engines=12, store=path) as stage:
@@ -322,7 +322,7 @@
     run_scenario(scenario())
 
 
-def test_a_disk_that_fails_is_reported_and_made_up_for_by_the_whole_list(tmp_path):
+def test_a_failing_disk_is_reported_and_followed_by_a_full_write(tmp_path):
     async def scenario():
         path = str(tmp_path / "content.db")
         async with tier(1, engines=12, store=path) as stage:
@@ -347,7 +347,7 @@
     raise StoreError("no space left")
 
 
-def test_a_front_that_went_elsewhere_costs_nothing_more():
+def test_fronts_without_an_open_watch_cost_nothing_at_a_change():
     async def scenario():
         async with tier(1, engines=40) as stage:
             front = stage.subscribe()
@@ -382,7 +382,7 @@
     run_scenario(scenario())
 
 
-def test_a_lost_publisher_is_replaced_without_a_person(tmp_path):
+def test_a_lost_publisher_is_replaced_without_an_operator(tmp_path):
     async def scenario():
         async with tier(5, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
             front = stage.subscribe()
@@ -406,7 +406,7 @@
     run_scenario(scenario())
 
 
-def test_who_alone_does_not_hear_the_publisher_does_not_replace_it(tmp_path):
+def test_a_distributor_that_alone_lost_the_publisher_does_not_replace_it(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
             isolated = stage.running[2]
@@ -427,7 +427,7 @@
     raise DistributorError("unreachable")
 
 
-def test_distributors_claim_one_after_the_other_and_none_where_there_never_was_a_publisher():
+def test_distributors_claim_in_turn_and_never_in_a_tier_without_a_publisher():
     highest = Version(64 + 1, 7)
     elections = [Election(index, 4, 5.0) for index in range(4)]
     due = [[e.is_due(0.0, 5.0 + late, highest) for e in elections] for late in (0.1, 0.5, 0.9, 1.3)]
--- a/tests/test_distributor_commands.py
+++ b/tests/test_distributor_commands.py
@@ -60,36 +60,36 @@
     assert run("promote", "--at", distributor).stdout.startswith("term ")
 
 
-def test_what_is_refused_exits_1_and_names_why(distributor):
+def test_a_refused_change_exits_1_with_the_reason(distributor):
     change = json.dumps({"removals": ["nobody"]})
     result = run("publish", "--at", distributor, "--expected", "7.7", "-", source=change)
     assert result.returncode == 1 and "expected" in result.stderr
 
 
-def test_nobody_there_and_no_json_exit_2(tmp_path):
+def test_an_unreachable_distributor_and_invalid_json_exit_2(tmp_path):
     address = f"{HOST}:{free_port(socket.SOCK_STREAM)}"
     assert run("status", "--at", address).returncode == 2
     assert run("publish", "--at", address, "-", source="{").returncode == 2
 
 
 @pytest.mark.parametrize(
-    "change, word",
+    "change, expected_text",
     [({"index": 9}, "index"), ({"heartbeat_s": 0}, "heartbeat_s"), ({"colour": 1}, "colour"), (None, "JSON")],
 )
-def test_a_configuration_that_can_not_be_used_exits_2_and_names_the_key(tmp_path, change, word):
+def test_an_invalid_configuration_exits_2_and_names_the_key(tmp_path, change, expected_text):
     path = tmp_path / "distributor.json"
     fields = json.loads(EXAMPLE.read_text())
     path.write_text("{" if change is None else json.dumps(fields | change))
     result = run("check", "--config", str(path))
-    assert result.returncode == 2 and word in result.stderr, result.stderr
+    assert result.returncode == 2 and expected_text in result.stderr, result.stderr
 
 
-def test_the_example_is_sound():
+def test_the_example_is_valid():
     result = run("check", "--config", str(EXAMPLE))
     assert result.returncode == 0 and "claims to publish" in result.stdout
 
 
-def test_configure_puts_sections_in_force_and_names_what_can_not_be(distributor):
+def test_configure_puts_sections_in_force_and_names_the_invalid_key(distributor):
     run("publish", "--at", distributor, "-", source=json.dumps([engine(1)]))
     sections = json.dumps({"budgets": {"brokers": {"acme": {"guarantee": 0.5}}}})
     assert run("configure", "--at", distributor, "-", source=sections).returncode == 0
