--- a/tests/distributor_stage.py
+++ b/tests/distributor_stage.py
@@ -19,16 +19,16 @@
 
 
 def engine(number, **fields):
-    """An engine as it is published; its address follows from its number."""
+    """An engine as in a publish request; its address is derived from its number."""
     entry = {"id": f"engine-{number:05}", "zone": f"zone-{number % 3}", "kind": "std"}
     return entry | {"address": f"10.0.{number // 250}.{number % 250 + 1}:7000"} | fields
 
 
 class Tier:
-    """Some distributors by index, of which any may be started and stopped."""
+    """Distributors by index, each of which can be started and stopped."""
 
     def __init__(self, count, stores=None, **sections):
-        # Where each distributor keeps its content; None: nowhere.
+        # The folder of the distributors' stores; None: they store nothing.
         self.stores = stores
         self.ports = [free_port(socket.SOCK_STREAM) for _ in range(count)]
         self.sections = {"heartbeat_s": HEARTBEAT, "subset": {"fronts": 12, "engines": 6}} | sections
@@ -39,7 +39,7 @@
         return tuple((HOST, port) for port in self.ports)
 
     async def start(self, index, **sections):
-        """Start one distributor; index 0 publishes unless it is said otherwise."""
+        """Start one distributor; index 0 claims the publisher's role unless `sections` override it."""
         entry = {
             "name": f"distributor-{index}",
             "index": index,
@@ -59,20 +59,20 @@
         await self.running.pop(index).close()
 
     async def call(self, index, method, path, body=None):
-        """One call as an operator makes it: status and answer."""
+        """Make an operator's HTTP call; the status and the decoded answer."""
         data = None if body is None else json.dumps(body)
         request = HTTPRequest(f"http://{HOST}:{self.ports[index]}{path}", method, body=data)
         reply = await AsyncHTTPClient().fetch(request, raise_error=False)
         return reply.code, json.loads(reply.body)
 
     async def publish(self, index=0, **body):
-        """Publish; the version."""
+        """Publish a change; its version."""
         status, answer = await self.call(index, "POST", "/v1/publish", body)
         assert status in (200, 202), answer
         return answer["version"]
 
     async def until(self, holds):
-        """Look again and again until it holds; fail where it does not before long."""
+        """Poll until `holds()` is true; `TimeoutError` after TIMEOUT_S."""
         async with asyncio.timeout(TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.01)
@@ -81,7 +81,7 @@
         await self.until(lambda: all(str(s.replica.version) == version for s in subscriptions))
 
     def subscribe(self, name="front-0", rank=0, zone="zone-0", distributors=None, listener=None):
-        """A front's subscription, running."""
+        """Start a front's subscription."""
         terms = SubscriptionTerms(distributors or self.addresses, HEARTBEAT, PATIENCE, seed=3)
         identity = FrontIdentity(name, zone, rank)
         subscription = Subscription(terms, identity, (), False, listener or (lambda listing: None))
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def tier(count, engines=0, **sections):
-    """Distributors that run, with so many engines published."""
+    """Running distributors, with this number of engines published."""
     stage = Tier(count, **sections)
     try:
         for index in range(count):
--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -1,4 +1,5 @@
-"""Distributors and fronts' subscriptions on real sockets: changes, losses, cuts, restarts, two publishers."""
+"""Distributors and the subscriptions of fronts over loopback sockets: changes, failures, partitions, restarts
+and concurrent publishers."""
 
 import asyncio
 
@@ -13,7 +14,7 @@
 
 
 def run_scenario(scenario):
-    """Run a scenario that has a minute to end."""
+    """Run a scenario, for at most a minute."""
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
@@ -73,7 +74,7 @@
             front = stage.subscribe()
             version = await stage.publish(upserts=[engine(1, draining=True)])
             await stage.until_version(version, front)
-            # One that was restored to an older version, and is cut off from the others.
+            # A distributor restored to an older version and isolated from the others.
             behind = Tier(1)
             await behind.start(0)
             await behind.until(lambda: behind.running[0].role.publisher)
@@ -118,7 +119,7 @@
         async with tier(3, engines=6, stores=tmp_path) as stage:
             await stage.until(lambda: len({d.catalog.version for d in stage.running.values()}) == 1)
             old = stage.running[0]
-            # Cut off: nobody follows it, it reaches nobody, and it goes on believing that it publishes.
+            # Partitioned: no follower and no connection to the others, and it still acts as the publisher.
             old.server.stop()
             await old.server.close_all_connections()
             old.follower.distributors = tuple(("127.0.0.1", 9) for _ in range(3))
@@ -126,7 +127,7 @@
             assert not await old.role.wait_confirmed(version)
             await stage.call(1, "POST", "/v1/promote", {})
             newer = await stage.publish(1, removals=["engine-00003"])
-            # Healed.
+            # The partition ends.
             old.follower.distributors = stage.addresses
             await stage.until(lambda: old.role.publisher is None)
             await stage.until(lambda: old.catalog.version == parse(newer))
@@ -141,7 +142,7 @@
         async with tier(1, engines=6) as stage:
             front = stage.subscribe()
             await stage.until(lambda: front.replica.records)
-            # All distributors are lost; what comes back is older than what the front holds.
+            # All distributors were lost and restored to a version older than the front's.
             held = front.replica.version._replace(term=640)
             front.replica.version = held
             await stage.publish(removals=["engine-00001"])
@@ -282,7 +283,7 @@
             restarted = await stage.start(0, publisher=False)
             assert restarted.catalog.version == parse(version)
             assert len(restarted.catalog.replica.records) == 11
-            # A publisher that starts again never goes on with its former term.
+            # A restarted publisher never resumes its former term.
             await stage.call(0, "POST", "/v1/promote", {})
             assert restarted.catalog.version.term > parse(version).term
 
@@ -343,7 +344,7 @@
 
 
 def fail_to_write(update):
-    """A disk that takes nothing."""
+    """Fail as on a full disk."""
     raise StoreError("no space left")
 
 
@@ -356,7 +357,7 @@
             _, task = stage.subscriptions.pop()
             task.cancel()
             await stage.until(lambda: not sessions.by_front)
-            # Nor one that is between two watches: it looks anew when it asks.
+            # A front between two watches is not checked either: its next watch checks for differences.
             front = stage.subscribe("front-1", 1)
             await stage.until(
                 lambda: "front-1" in sessions.by_front and sessions.by_front["front-1"].is_waiting()
@@ -397,7 +398,7 @@
             assert stage.running[index].catalog.version.term > term
             version = await stage.publish(index, removals=["engine-00001"])
             await stage.until_version(version, front)
-            # The former one comes back, and follows.
+            # The former publisher restarts, and follows.
             await stage.start(0)
             await stage.until(lambda: stage.running[0].catalog.version == parse(version))
             await asyncio.sleep(2.0)
@@ -411,7 +412,7 @@
         async with tier(3, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
             isolated = stage.running[2]
             isolated.follower.last_contact_at -= 100.0
-            # It reaches the others' claims, and its own questions for news fail.
+            # Its claims reach the others, but its polls fail.
             isolated.follower.poll_once = isolated.follower.follow = unreachable
             isolated.follower.poll_task.cancel()
             await stage.until(lambda: any(event == "publisher lost" for _, event, _ in stage.events))
@@ -423,7 +424,7 @@
 
 
 async def unreachable(*arguments):
-    """A way to another distributor that is broken."""
+    """Fail as a call to an unreachable distributor."""
     raise DistributorError("unreachable")
 
 
--- a/tests/test_distributor_commands.py
+++ b/tests/test_distributor_commands.py
@@ -1,4 +1,4 @@
-"""The commands that run and ask distributors, as an operator uses them, and what they exit with."""
+"""The `distributor` commands, run as an operator runs them: their output and exit codes."""
 
 import json
 import socket
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def distributor(tmp_path):
-    """One distributor process that publishes, by its address."""
+    """The address of a distributor process that is the publisher."""
     address = f"{HOST}:{free_port(socket.SOCK_STREAM)}"
     config = tmp_path / "distributor.json"
     fields = {"name": "d", "index": 0, "listen": address, "distributors": [address], "publisher": True}
