--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -1,4 +1,4 @@
-"""Whatever else comes on a connection, a request that was read on it gets its answer before the end."""
+"""A request that was read gets its answer before the front ends the connection, whatever follows it."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -8,15 +8,15 @@
 
 from thistlelever.carrier import clients
 
-# What a client may send behind a request, for which the front ends the connection.
-BAD_LINES = b"no json\n" * clients.MOST_BAD
-LONG_LINE = b"x" * (clients.LONGEST_LINE + 100_000)
-FLOOD = b"no json\n" + b"x" * 100 + b"\n" + b"{}\n" * clients.READ_AHEAD
+# Input behind a request for which the front ends the connection.
+BAD_LINES = b"no json\n" * clients.MAX_BAD_LINES
+LONG_LINE = b"x" * (clients.MAX_LINE_BYTES + 100_000)
+FLOOD = b"no json\n" + b"x" * 100 + b"\n" + b"{}\n" * clients.READ_AHEAD_BYTES
 
 
 @asynccontextmanager
 async def held(*numbers):
-    """A front whose engine has these requests in work, and answers them once it is released."""
+    """A front whose engine runs these requests and answers them once it is released."""
     async with served("engine a\nfront") as stage:
         await stage.do_holds("a")
         for number in numbers:
@@ -30,18 +30,18 @@
 def test_what_is_open_is_answered_before_a_connection_ends_for_what_came_behind_it(
     behind, parts, monkeypatch
 ):
-    monkeypatch.setattr(clients, "SLOWER", 0.001)
+    monkeypatch.setattr(clients, "BAD_LINE_DELAY_S", 0.001)
 
     async def whole():
         async with held(*range(1, parts + 1)) as stage:
             stage.writer.write(behind)
-            # Long enough for the front to have read all that it reads of it.
+            # Long enough for the front to read as much of it as it accepts.
             await asyncio.sleep(0.3)
             stage.engines["a"].released.set()
             for number in range(1, parts + 1):
                 await stage.do_answer(str(number), "result", "rows")
             await stage.do_hung_up()
-            # Nothing is taken any more from who has sent that.
+            # Nothing after the bad input is dispatched.
             assert len([call for call, _, _ in stage.engines["a"].calls if call == "POST"]) == parts
 
     asyncio.run(whole())
@@ -67,7 +67,7 @@
             stage.writer.write(BAD_LINES)
             await stage.do_counted("clients", "that", "send", "nothing", "of", "use")
             await stage.do_client_leaves()
-            await stage.until(lambda: not stage.server.reception.sessions)
+            await stage.until(lambda: not stage.server.client_listener.sessions)
             stage.engines["a"].released.set()
 
     asyncio.run(whole())
@@ -77,11 +77,11 @@
     async def whole():
         async with served("engine a\nfront") as stage:
             await stage.do_holds("a")
-            for number in range(1, clients.MOST_OPEN + 2):
+            for number in range(1, clients.MAX_OPEN_REQUESTS + 2):
                 stage.writer.write(stage.submission(number, "lookup"))
-            await stage.do_answer(str(clients.MOST_OPEN + 1), "error", "-32600", "open requests")
+            await stage.do_answer(str(clients.MAX_OPEN_REQUESTS + 1), "error", "-32600", "open requests")
             stage.engines["a"].released.set()
-            for number in range(1, clients.MOST_OPEN + 1):
+            for number in range(1, clients.MAX_OPEN_REQUESTS + 1):
                 await stage.do_answer(str(number), "result", "rows")
 
     asyncio.run(whole())
@@ -99,7 +99,7 @@
             await stage.until(lambda: stage.answers)
             assert "error" in stage.answers[0] and stage.answers[0]["id"] == 1
             assert any(event == "course failed" for event, _ in stage.events)
-            # The stage's own end takes any part that failed for a fault.
+            # The stage fails at its end if any component logged a failure.
             stage.events.clear()
 
     asyncio.run(whole())
@@ -108,13 +108,13 @@
 def test_a_client_that_takes_no_answers_is_left_and_others_are_served():
     async def whole():
         async with served("engine a\nfront") as stage:
-            reception = stage.server.reception
-            limits = reception.limits
-            reception.limits = limits._replace(unread_bytes=10)
+            client_listener = stage.server.client_listener
+            limits = client_listener.limits
+            client_listener.limits = limits._replace(unread_bytes=10)
             stage.writer.write(stage.submission(1, "lookup"))
             await stage.do_counted("clients", "that", "do", "not", "read")
             await stage.do_hung_up()
-            reception.limits = limits
+            client_listener.limits = limits
             await stage.do_crowd("1")
             reader, writer = stage.crowd[0]
             writer.write(stage.submission(2, "lookup"))
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -1,4 +1,4 @@
-"""Engines that speak HTTP/1.1: the call that starts a batch, the polls for its news, its pages."""
+"""The HTTP/1.1 protocol of engines: a POST starts a batch, GETs poll its progress and fetch its pages."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from math import ceil
 
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.dispatch import End, Ended, Sending
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
@@ -25,87 +25,109 @@
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire import http
 
-# News comes after 250 ms at the latest, other answers at once; what takes this long is silent. Risk: a short
-# batch whose answer got lost is given up and run again before its engine was asked for it once more.
-NEWS_WITHIN, WORD_WITHIN = 0.35, 0.15
-# A dispatch that begins this long after it was ordered is logged.
-BEGUN_LATE = 0.1
-# An engine drops a batch that it has not been asked for in this time.
-DROPPED_AFTER = 2.0
-# A question that found no way or no answer is put again after this long, longer each time.
-RETRY_PACE = 0.02
-# So many times in a row a question may go without an answer that can be used before the dispatch is lost.
-MOST_SPOILT = 8
-# An answer with more behind it may be cut by a wrong length: so often it is asked for once more.
-DOUBTED = 2
-# Answers that prove, with the field that says so, that the batch never ran.
-UNRUN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
-# What is known of an engine that no connection came up to; any other want of one says nothing of it.
-UNCONNECTED = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
+# Time-outs in seconds: of polls and of the call that starts a batch, and of other calls. Engines answer the
+# former within 250 ms and the latter at once. With longer time-outs a short batch whose answer was lost would
+# be given up and run again before its engine is polled once more.
+POLL_TIMEOUT_S, CALL_TIMEOUT_S = 0.35, 0.15
+# A dispatch that starts later than this after it was requested is logged, in seconds.
+LATE_START_S = 0.1
+# Engines drop a batch that was not polled for this long, in seconds.
+DROP_AFTER_S = 2.0
+# Delay in seconds before a call without connection or answer is repeated; grows with each unusable reply.
+RETRY_DELAY_S = 0.02
+# Consecutive unusable replies to a poll after which the dispatch is given up.
+MAX_UNUSABLE_REPLIES = 8
+# How often a reply with surplus bytes behind it is fetched again, as a wrong length may have cut it short.
+MAX_SUSPECT_REPLIES = 2
+# Statuses that, with the header x-unrun, prove that the batch never ran.
+NEVER_RAN = {503: it.DispatchOutcome.FULL, 504: it.DispatchOutcome.UNSENT}
+# Outcomes of failed connections that tell something about the engine; other failures are this front's own.
+CONNECT_FAILURES = {Refused: it.DispatchOutcome.UNREACHABLE, Unreached: it.DispatchOutcome.LATE}
 PROGRESS_KINDS = {
     "advance": it.ProgressKind.PROGRESS,
     "disk": it.ProgressKind.SPILL,
     "stall": it.ProgressKind.WAITING,
 }
-# A result holds 48,000 bytes in pages of 6,000; a count far past that is no count.
-MOST_PAGES = 64
+# Results have up to 48,000 bytes in pages of 6,000; a page count far above that is invalid.
+MAX_PAGES = 64
 
 
 class Spoilt(Exception):
-    """The reply is HTTP, and yet not what was asked for: the batch has run, and the reply is there still."""
+    """A reply that is valid HTTP but not the answer to the request; the engine still has the right one.
+
+    The class name is written in a counter.
+    """
 
 
 class HttpEngines:
-    """The platform's own way to its engines; see `Speech` in `dispatch.py`."""
+    """The platform's own protocol for engines; implements `EngineProtocol` of `dispatch.py`."""
 
     def __init__(
         self,
         settings: it.Settings,
         registry: EngineRegistry,
         connections: ConnectionPool,
-        desk: Desk,
+        decisions: DecisionLoop,
         metrics: Metrics,
     ) -> None:
+        """Use connections of the pool for all calls."""
         self.fields, self.probe_limit = settings.report_fields, settings.connect_limit
-        self.once_only = frozenset(
+        self.non_idempotent = frozenset(
             t.name for t in settings.tariffs if t.repeat is it.Idempotency.NON_IDEMPOTENT
         )
-        # Groups that a wrong word of 'never ran' does harm to: they may not go just anywhere after it.
-        self.wary = self.once_only | {
+        # Query classes for which a wrong report that the batch never ran does harm, as they may not be
+        # dispatched to any engine after that.
+        self.needs_proof = self.non_idempotent | {
             t.name
             for t in settings.tariffs
             if t.repeat is it.Idempotency.DEDUPLICATED and t.scope is not it.DeduplicationScope.ALL
         }
-        self.registry, self.connections, self.desk, self.metrics = registry, connections, desk, metrics
+        self.registry, self.connections, self.decisions, self.metrics = (
+            registry,
+            connections,
+            decisions,
+            metrics,
+        )
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        path = way(batch, end.number)
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Implement `EngineProtocol.run_dispatch`."""
+        path = dispatch_path(batch, end.number)
         end.outcome = it.DispatchOutcome.ASTRAY
         while end.outcome is it.DispatchOutcome.ASTRAY:
-            reply = await self.post(batch, entry, end, sent, till)
+            reply = await self.post(batch, entry, end, progress, deadline)
             while reply is None or reply.status == 202:
-                reply = await self.ask(path, 0, entry, end, sent, batch)
-            end.outcome = self.outcome(reply, sent)
-            # What its engine never got was no dispatch so far, and goes there again. Of a once-only batch
-            # that the engine does not know of it is not proof enough. Risk: the engine had it, and has
-            # dropped it by now: sent again when its repeats are no longer dropped, it runs twice.
-            if batch.class_name in self.once_only or sent.posts >= MOST_SPOILT or not sent.may_begin():
+                reply = await self.poll(path, 0, entry, end, progress, batch)
+            end.outcome = self.outcome(reply, progress)
+            # The engine does not know the batch, so it is sent there again; not if it is not idempotent: the
+            # engine may have had it and dropped it meanwhile, and it would run twice.
+            if (
+                batch.class_name in self.non_idempotent
+                or progress.posts >= MAX_UNUSABLE_REPLIES
+                or not progress.may_start()
+            ):
                 break
-        await self.further(path, batch, entry, end, sent)
+        await self.fetch_pages(path, batch, entry, end, progress)
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        path, sent.begun = way(batch, end.number), True
-        reply = await self.ask(path, 0, entry, end, sent, batch)
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Implement `EngineProtocol.resume`."""
+        path, progress.started = dispatch_path(batch, end.number), True
+        reply = await self.poll(path, 0, entry, end, progress, batch)
         while reply.status == 202:
-            reply = await self.ask(path, 0, entry, end, sent, batch)
-        end.outcome = self.outcome(reply, sent)
-        await self.further(path, batch, entry, end, sent)
-
-    async def further(self, path: str, batch: Batch, entry: Entry, end: End, sent: Sending) -> None:
-        """The pages behind the first."""
-        for page in range(1, sent.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
-            reply = await self.ask(path, page, entry, end, sent, batch)
-            end.outcome = self.outcome(reply, sent)
+            reply = await self.poll(path, 0, entry, end, progress, batch)
+        end.outcome = self.outcome(reply, progress)
+        await self.fetch_pages(path, batch, entry, end, progress)
+
+    async def fetch_pages(
+        self, path: str, batch: Batch, entry: Entry, end: End, progress: DispatchProgress
+    ) -> None:
+        """Fetch the pages after the first."""
+        for page in range(1, progress.pages if end.outcome is it.DispatchOutcome.RETURNED else 0):
+            reply = await self.poll(path, page, entry, end, progress, batch)
+            end.outcome = self.outcome(reply, progress)
             if end.outcome is not it.DispatchOutcome.RETURNED:
                 return
 
@@ -114,137 +136,161 @@
         batch: Batch,
         entry: Entry,
         end: End,
-        sent: Sending,
-        till: float,
+        progress: DispatchProgress,
+        deadline: float,
     ) -> http.Reply | None:
-        """The call that starts it, and its reply if it got one of use."""
+        """Send the call that starts the batch; returns its reply, or None if there was no usable one.
+
+        Raises `NoResultError` if nothing was sent.
+        """
         try:
-            connection = await self.connection(entry, batch.class_name in self.wary)
+            connection = await self.urgent_connection(entry, batch.class_name in self.needs_proof)
         except (Refused, Unreached, Broken, Short) as why:
-            raise Ended(proven(UNCONNECTED.get(type(why), it.DispatchOutcome.UNSENT), sent.posts)) from None
-        if not sent.may_begin():
+            raise NoResultError(
+                proven_unrun(CONNECT_FAILURES.get(type(why), it.DispatchOutcome.UNSENT), progress.posts)
+            ) from None
+        if not progress.may_start():
             self.connections.release(connection)
-            raise Ended(proven(it.DispatchOutcome.UNSENT, sent.posts))
-        sent.begun, sent.asked, sent.posts = True, clock.now(), sent.posts + 1
+            raise NoResultError(proven_unrun(it.DispatchOutcome.UNSENT, progress.posts))
+        progress.started, progress.last_call_at, progress.posts = True, clock.now(), progress.posts + 1
         self.count_call("POST", entry)
-        waited = sent.asked - sent.ordered
-        if waited > BEGUN_LATE:
+        waited = progress.last_call_at - progress.ordered_at
+        if waited > LATE_START_S:
             engine = entry.engine.id.decode("latin-1")
-            self.desk.log(
+            self.decisions.log(
                 "dispatch begun late", id=batch.submission.txn, engine=engine, waited=round(waited, 4)
             )
         try:
-            reply = await connection.call(self.request(batch, entry.address, till), NEWS_WITHIN)
-            self.read(reply, 0, connection, end, sent, batch)
-            sent.heard = True
+            reply = await connection.call(self.request(batch, entry.address, deadline), POLL_TIMEOUT_S)
+            self.take_reply(reply, 0, connection, end, progress, batch)
+            progress.acknowledged = True
             return reply
         except (Broken, Silent, Spoilt, http.Unreadable) as why:
-            self.spoilt(why)
+            self.count_unusable(why)
             return None
         finally:
             self.connections.release(connection)
 
-    async def connection(self, entry: Entry, unused: bool = False) -> Connection:
-        """A link for what must not wait. A reset as it comes up is news of that connection alone."""
-        for _ in range(MOST_SPOILT):
+    async def urgent_connection(self, entry: Entry, unused: bool = False) -> Connection:
+        """Take a connection for a call that must not wait.
+
+        A reset while connecting says nothing about the engine, so another attempt is made.
+        """
+        for _ in range(MAX_UNUSABLE_REPLIES):
             try:
                 return await self.connections.acquire(entry, urgent=True, unused=unused)
             except Broken as why:
-                self.spoilt(why)
+                self.count_unusable(why)
         raise Broken("each new connection is reset")
 
-    def request(self, batch: Batch, address: tuple[str, int], till: float) -> bytes:
-        asked = batch.submission
-        left = max(ceil((till - clock.now()) * 1e3), 1)
-        fields = {"X-Txn": asked.txn, "X-Lane": batch.class_name, "X-Limit-Ms": str(left)}
-        if asked.reference:
-            fields["X-Dedupe"] = asked.reference
+    def request(self, batch: Batch, address: tuple[str, int], deadline: float) -> bytes:
+        """Encode the call that starts the batch, with the time left until `deadline` in milliseconds."""
+        submission = batch.submission
+        left = max(ceil((deadline - clock.now()) * 1e3), 1)
+        fields = {"X-Txn": submission.txn, "X-Lane": batch.class_name, "X-Limit-Ms": str(left)}
+        if submission.reference:
+            fields["X-Dedupe"] = submission.reference
         if batch.grant >= 1:
             fields["Pool-Mb"] = str(round(batch.grant))
         if batch.priority is not None:
             fields["Pool-Rank"] = str(batch.priority)
-        return http.encode_request("POST", "/fetch", address, fields, asked.statement)
+        return http.encode_request("POST", "/fetch", address, fields, submission.statement)
 
-    def outcome(self, reply: http.Reply, sent: Sending) -> it.DispatchOutcome:
+    def outcome(self, reply: http.Reply, progress: DispatchProgress) -> it.DispatchOutcome:
+        """Return the outcome that a reply stands for; raises `NoResultError` if that proves nothing."""
         if reply.status == 200:
             return it.DispatchOutcome.RETURNED
         unrun = reply.text(b"x-unrun") == "1"
-        if unrun and reply.status in UNRUN:
-            outcome = proven(UNRUN[reply.status], sent.posts - 1)
+        if unrun and reply.status in NEVER_RAN:
+            outcome = proven_unrun(NEVER_RAN[reply.status], progress.posts - 1)
             if outcome is it.DispatchOutcome.ASTRAY:
-                raise Ended(outcome)
+                raise NoResultError(outcome)
             return outcome
-        # Risk: an engine that never got the batch, told as one that errs, is taken for ill; so are all on a
-        # day when connections break.
-        return it.DispatchOutcome.ERRORED if sent.heard else it.DispatchOutcome.ASTRAY
+        # An engine that never got the batch must not be reported as failing; when connections break, all
+        # engines would be taken for unhealthy.
+        return it.DispatchOutcome.ERRORED if progress.acknowledged else it.DispatchOutcome.ASTRAY
 
-    async def ask(
+    async def poll(
         self,
         path: str,
         page: int,
         entry: Entry,
         end: End,
-        sent: Sending,
+        progress: DispatchProgress,
         batch: Batch,
     ) -> http.Reply:
-        """One question about a batch that is out, on new connections until it is answered.
+        """Fetch the state or a page of a batch, on new connections until there is a usable reply.
 
-        A poll or a page belongs to no connection, and a result lies at its engine until it is dropped, so
-        asking again is no further dispatch. It ends with an engine that has died or gives nothing that can be
-        used; a silent one is asked until the dispatch times out.
+        A poll is not bound to a connection and the engine keeps the result, so repeating it is not another
+        dispatch. A silent engine is polled until the dispatch times out. Raises `NoResultError` with `RESET`
+        if the engine is dead or sends `MAX_UNUSABLE_REPLIES` unusable replies.
         """
-        spoilt, unused = 0, False
-        while spoilt < MOST_SPOILT:
+        unusable, unused = 0, False
+        while unusable < MAX_UNUSABLE_REPLIES:
             try:
                 connection = await self.connections.acquire(
                     entry, urgent=False, patient=not page, unused=unused
                 )
             except Refused:
-                sent.dead = True
+                progress.engine_dead = True
                 break
             except (Unreached, Short, Broken):
-                # Risk: a network that says no at once, asked again at once, takes the whole core.
-                await asyncio.sleep(RETRY_PACE)
+                # Without a pause a network that fails at once would take all of the CPU.
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             try:
-                sent.asked = clock.now()
+                progress.last_call_at = clock.now()
                 self.count_call("GET", entry)
                 request = http.encode_request("GET", f"{path}{page}", entry.address, {})
-                reply = await connection.call(request, WORD_WITHIN if page else NEWS_WITHIN)
-                self.read(reply, page, connection, end, sent, batch)
-                if reply.status in UNRUN and batch.class_name in self.wary and connection.calls > 1:
-                    # Risk: a second copy of the answer to another batch, late on a link that carried that
-                    # one, taken for proof that this one never ran. Only an unused connection proves it.
+                reply = await connection.call(request, CALL_TIMEOUT_S if page else POLL_TIMEOUT_S)
+                self.take_reply(reply, page, connection, end, progress, batch)
+                if (
+                    reply.status in NEVER_RAN
+                    and batch.class_name in self.needs_proof
+                    and connection.calls > 1
+                ):
+                    # The reply may be a late copy of the answer to an earlier call on this connection. Only
+                    # on an unused connection is it proof that this batch never ran.
                     unused = True
                     connection.stream.close()
                     raise Spoilt("no proof on a connection that carried others")
                 return reply
             except Silent as why:
-                self.spoilt(why)
+                self.count_unusable(why)
             except (Broken, Spoilt, http.Unreadable) as why:
-                self.spoilt(why)
-                spoilt += 1
+                self.count_unusable(why)
+                unusable += 1
             finally:
                 self.connections.release(connection)
-            await asyncio.sleep(RETRY_PACE * (spoilt - 1))
-        raise Ended(it.DispatchOutcome.RESET)
+            await asyncio.sleep(RETRY_DELAY_S * (unusable - 1))
+        raise NoResultError(it.DispatchOutcome.RESET)
 
     def count_call(self, method: str, entry: Entry) -> None:
-        """Count a call to an engine that drains or is gone: polls and cancels of what is out there."""
+        """Count a call to an engine that drains or is no longer listed, such as a poll or a cancel."""
         if not self.registry.accepts_dispatches(entry.engine.id):
             self.metrics.add(f"calls to engines that drain or are gone: {method}")
 
-    def spoilt(self, why: Exception) -> None:
+    def count_unusable(self, why: Exception) -> None:
+        """Count a call without a usable reply, by the class of the exception."""
         self.metrics.add(f"calls without a reply of use: {type(why).__name__}")
 
-    def read(
-        self, reply: http.Reply, page: int, connection: Connection, end: End, sent: Sending, batch: Batch
+    def take_reply(
+        self,
+        reply: http.Reply,
+        page: int,
+        connection: Connection,
+        end: End,
+        progress: DispatchProgress,
+        batch: Batch,
     ) -> None:
-        """Take from a reply what must outlive its buffer: report, note, figures, page. Nothing is taken from
-        one that can't be the answer to the question: its connection is used no more."""
+        """Take what is needed out of a reply before its buffer is reused: load, progress, cost and rows.
+
+        Raises `Spoilt` or `http.Unreadable` and closes the connection if it cannot be the answer to the
+        request; nothing is taken from it then.
+        """
         try:
             if reply.status == 200:
-                rows = self.rows(reply, page, connection, sent)
+                rows = self.rows(reply, page, connection, progress)
             elif reply.status not in ((202, 500, 503, 504) if not page else (500,)):
                 raise Spoilt(f"status {reply.status}")
         except (Spoilt, http.Unreadable):
@@ -252,69 +298,81 @@
             raise
         end.report = http.parse_load_report(reply.text(b"x-gauges"), self.fields) or end.report
         if reply.status == 202:
-            sent.heard = True
+            progress.acknowledged = True
             kind, value = PROGRESS_KINDS.get(reply.text(b"x-how")), reply.number(b"reading")
             if kind and value is not None:
                 value = min(value, 1.0) if kind is it.ProgressKind.PROGRESS else value
-                self.desk.tell(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
+                self.decisions.add_event(it.ProgressNote(batch.number, end.number, end.engine, kind, value))
         elif reply.status == 200:
-            sent.heard = True
+            progress.acknowledged = True
             end.true_work = (reply.number(b"elapsed-work") or 0.0) / 1e3 or end.true_work
             end.true_memory = reply.number(b"high-water") or end.true_memory
             end.pages.append(rows)
 
-    def rows(self, reply: http.Reply, page: int, connection: Connection, sent: Sending) -> bytes:
-        """The rows of a good end or a further page."""
-        told = reply.number(b"chunk" if page else b"chunks")
-        if told is None or told % 1 or (told != page if page else not 1 <= told <= MOST_PAGES):
+    def rows(self, reply: http.Reply, page: int, connection: Connection, progress: DispatchProgress) -> bytes:
+        """Return the rows of a page; raises `Spoilt` for a reply that cannot be the requested page."""
+        page_field = reply.number(b"chunk" if page else b"chunks")
+        if (
+            page_field is None
+            or page_field % 1
+            or (page_field != page if page else not 1 <= page_field <= MAX_PAGES)
+        ):
             raise Spoilt("no number of pages, or not the page asked for")
         rows = http.check_page(reply.body)
         if connection.is_repeated(reply):
             raise Spoilt("the same answer twice on one connection")
-        if connection.has_surplus and sent.doubts < DOUBTED:
-            # Risk: what lies behind may be the rest of these rows, cut off by a length put too low.
-            sent.doubts += 1
+        if connection.has_surplus and progress.suspect_replies < MAX_SUSPECT_REPLIES:
+            # The surplus may be the rest of these rows, cut off by a length that is too small.
+            progress.suspect_replies += 1
             raise Spoilt("more than one answer")
         if not page:
-            sent.pages = int(told)
+            progress.pages = int(page_field)
         return rows
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
+        """Implement `EngineProtocol.set_priority`."""
         try:
-            async with asyncio.timeout(NEWS_WITHIN):
+            async with asyncio.timeout(POLL_TIMEOUT_S):
                 connection = await self.connections.acquire(entry, urgent=False)
                 try:
-                    path, priority = way(batch, number)[:-1], b"%d" % batch.priority
+                    path, priority = dispatch_path(batch, number)[:-1], b"%d" % batch.priority
                     call = http.encode_request("PUT", path, entry.address, {}, priority)
                     self.count_call("PUT", entry)
-                    await connection.call(call, WORD_WITHIN)
+                    await connection.call(call, CALL_TIMEOUT_S)
                 finally:
                     self.connections.release(connection)
         except (Refused, Unreached, Short, Broken, Silent, TimeoutError):
             self.metrics.add("PUT failed")
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
-        """The DELETE, until the engine has it, or no longer holds the batch anyway: it is dead, or has not
-        been asked for it in so long. What a client has left waits behind what others wait for."""
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        """Send DELETE until the engine has confirmed it, is dead, or must have dropped the batch.
+
+        If the batch's client has left, the call yields connections to batches that clients wait for.
+        """
         await self.delete(
-            entry, way(batch, sent.number)[:-1], sent.asked + DROPPED_AFTER, lambda: not batch.answered
+            entry,
+            dispatch_path(batch, progress.number)[:-1],
+            progress.last_call_at + DROP_AFTER_S,
+            lambda: not batch.answered,
         )
 
-    async def run_out(self, sent: Sending) -> None:
-        """An engine ends what it has not been asked for in so long; a question may lie there as long as news
-        may take."""
-        if not sent.dead:
-            await asyncio.sleep(sent.asked + NEWS_WITHIN + DROPPED_AFTER - clock.now())
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
+        """Wait until the engine has dropped the batch: `DROP_AFTER_S` after the last poll, which may be held
+        there for `POLL_TIMEOUT_S`."""
+        if not progress.engine_dead:
+            await asyncio.sleep(progress.last_call_at + POLL_TIMEOUT_S + DROP_AFTER_S - clock.now())
 
-    async def call_off(self, entry: Entry, name: DispatchName) -> None:
-        await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROPPED_AFTER, lambda: False)
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
+        """Implement `EngineProtocol.cancel_by_name`."""
+        await self.delete(entry, f"/fetch/{name.txn}", clock.now() + DROP_AFTER_S, lambda: False)
 
-    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
+        """Implement `EngineProtocol.query_status`."""
         try:
             connection = await self.connections.acquire(entry, urgent=False)
             try:
                 request = http.encode_request("GET", f"/fetch/{name.txn}/0", entry.address, {})
-                reply = await connection.call(request, NEWS_WITHIN)
+                reply = await connection.call(request, POLL_TIMEOUT_S)
             finally:
                 self.connections.release(connection)
         except Refused:
@@ -323,26 +381,31 @@
             return "silent"
         return {200: "over", 202: "running"}.get(reply.status, "unknown")
 
-    async def delete(self, entry: Entry, path: str, till: float, urgent: Callable[[], bool]) -> None:
-        while clock.now() < till:
+    async def delete(self, entry: Entry, path: str, deadline: float, urgent: Callable[[], bool]) -> None:
+        """Send DELETE until it is answered, the engine refuses connections, or `deadline` has passed."""
+        while clock.now() < deadline:
             try:
                 connection = await self.connections.acquire(entry, urgent=urgent())
                 try:
                     self.count_call("DELETE", entry)
-                    await connection.call(http.encode_request("DELETE", path, entry.address, {}), WORD_WITHIN)
+                    await connection.call(
+                        http.encode_request("DELETE", path, entry.address, {}), CALL_TIMEOUT_S
+                    )
                     return
                 finally:
                     self.connections.release(connection)
             except Refused:
                 break
-            # Risk: a connection that comes up late is no dead engine, and the next dispatch a second copy.
+            # A slow connection does not mean that the engine is dead; without the cancel the next dispatch
+            # would run beside this one.
             except (Unreached, Broken, Silent, Short):
-                await asyncio.sleep(RETRY_PACE)
+                await asyncio.sleep(RETRY_DELAY_S)
         self.metrics.add("DELETE failed")
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
+        """Implement `EngineProtocol.probe`."""
         try:
-            connection = await self.connection(entry)
+            connection = await self.urgent_connection(entry)
             try:
                 reply = await connection.call(
                     http.encode_request("GET", "/stats", entry.address, {}), self.probe_limit
@@ -355,20 +418,21 @@
             finally:
                 self.connections.release(connection)
         except (Refused, Unreached) as why:
-            return UNCONNECTED[type(why)], ()
+            return CONNECT_FAILURES[type(why)], ()
         except Silent:
             return it.DispatchOutcome.TIMED_OUT, ()
         except (Broken, Short):
             return it.DispatchOutcome.ASTRAY, ()
 
 
-def proven(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
-    """An outcome that says that the dispatch never ran, if nothing of it went out before. Risk: a first call
-    whose answer was lost may have run; that a second one did not is no proof of it."""
+def proven_unrun(outcome: it.DispatchOutcome, earlier: int) -> it.DispatchOutcome:
+    """Return an outcome that says that the dispatch never ran, or `ASTRAY` if `earlier` calls were sent.
+
+    An earlier call whose answer was lost may have run the batch even if the last one did not.
+    """
     return it.DispatchOutcome.ASTRAY if earlier > 0 else outcome
 
 
-def way(batch: Batch, number: int) -> str:
-    """Where its engine is asked for a dispatch: under the id that it was begun with, by this front or
-    another."""
+def dispatch_path(batch: Batch, number: int) -> str:
+    """Return the path of a dispatch at its engine, under the id with which this or another front began it."""
     return f"/fetch/{batch.dispatch_name(number).txn}/"
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -28,14 +28,16 @@
         self.engines = FlightEngines(
             config.settings,
             context.registry,
-            context.desk,
+            context.decisions,
             context.metrics,
             section.held_bytes,
             buffered_bytes,
             BufferQuota(section.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(section, config.name, context.intake, context.courses, context.metrics, context.log)
+        self.door = Door(
+            section, config.name, context.validator, context.batch_tasks, context.metrics, context.log
+        )
 
     def speaks_flight(self, entry: Entry) -> bool:
         """Whether the section names the engine, by its kind or its id, as one with Flight SQL."""
