--- a/thistlelever/distributor/handlers.py
+++ b/thistlelever/distributor/handlers.py
@@ -1,4 +1,4 @@
-"""The distributor's HTTP interface: MessagePack for fronts and distributors, JSON for operators."""
+"""The distributor's HTTP interface: MessagePack for fronts and other distributors, JSON for operators."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class EngineBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """An engine as operators and platforms write it."""
+    """An engine in a request by an operator or a platform."""
 
     id: str
     zone: str
@@ -37,8 +37,8 @@
     started: float = 0.0
     weight: float = 1.0
 
-    def record(self) -> EngineRecord:
-        """The record that is distributed."""
+    def to_record(self) -> EngineRecord:
+        """Returns the record to distribute."""
         return EngineRecord(
             self.id,
             self.zone,
@@ -52,161 +52,162 @@
 
 
 class PublishBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A change (`upserts`, `removals`, `documents`), or a whole list (`engines`). `expected` is the version
-    that it was made for."""
+    """A change (`upserts`, `removals`, `documents`) or a whole list (`engines`). `expected` is the version
+    that the change was made for."""
 
     upserts: tuple[EngineBody, ...] = ()
     removals: tuple[str, ...] = ()
     engines: tuple[EngineBody, ...] | None = None
-    # Documents by name, as text; None removes one.
+    # Texts of documents by name; None removes the document.
     documents: dict[str, str | None] = {}
     expected: VersionText | None = None
 
-    def upserted(self) -> list[Record]:
-        """The records that a change brings."""
+    def upserted_records(self) -> list[Record]:
+        """Returns the records that the change adds or replaces."""
         documents = [document(name, text) for name, text in self.documents.items() if text is not None]
-        return [*(engine.record() for engine in self.upserts), *documents]
+        return [*(engine.to_record() for engine in self.upserts), *documents]
 
-    def removed(self) -> list[str]:
-        """The ids that a change removes."""
+    def removed_ids(self) -> list[str]:
+        """Returns the ids that the change removes."""
         documents = [document(name, "").id for name, text in self.documents.items() if text is None]
         return [*self.removals, *documents]
 
 
 class PromoteBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A promotion. The new term is higher than that of `above`, which fronts may hold though all distributors
-    were restored to older versions."""
+    """A promotion. The new term is higher than that of `above`: fronts may hold that version although all
+    distributors were restored to older ones."""
 
     above: VersionText = "0.0"
 
 
-class Handler(RequestHandler):
-    """What all calls share."""
+class BaseHandler(RequestHandler):
+    """Decoding, replies and logging shared by all handlers."""
 
     def initialize(self, distributor: Distributor) -> None:
-        """Tornado's way to hand a handler its parts."""
+        """Receives the route's keyword arguments from Tornado."""
         self.distributor = distributor
 
-    def answer(self, body: codec.Body) -> None:
-        """Answer with MessagePack."""
+    def reply_msgpack(self, body: codec.Body) -> None:
+        """Sends a reply in MessagePack."""
         self.set_header("Content-Type", "application/msgpack")
         data = codec.encode(body)
         self.distributor.counts["bytes sent"] += len(data)
         self.finish(data)
 
-    def refuse(self, status: int, why: str, **facts) -> None:
-        """Answer with an error, as JSON."""
+    def reply_error(self, status: int, message: str, **fields) -> None:
+        """Sends an error in JSON, with further fields beside its text."""
         self.set_status(status)
-        self.finish({"error": why, **facts})
+        self.finish({"error": message, **fields})
 
-    def body_as(self, kind: type[codec.Kind]) -> codec.Kind | None:
-        """The request's body; None where it is none, and the call is answered."""
+    def decode_body(self, kind: type[codec.Kind]) -> codec.Kind | None:
+        """Decodes the request's body. If it is invalid, replies with status 400 and returns None."""
         try:
             return codec.decode(self.request.body, kind)
         except codec.ProtocolError as error:
             self.distributor.counts["requests out of form"] += 1
-            self.refuse(HTTPStatus.BAD_REQUEST, str(error))
+            self.reply_error(HTTPStatus.BAD_REQUEST, str(error))
             return None
 
     def log_exception(self, kind, error, trace) -> None:
-        """One line in the distributor's own log."""
+        """Logs an unhandled exception as one line of the distributor's own log."""
         self.distributor.log("request failed", path=self.request.path, why=repr(error))
 
 
-class WatchHandler(Handler):
+class WatchHandler(BaseHandler):
     """A front watches its subset."""
 
     session: Session | None = None
 
     def on_connection_close(self) -> None:
-        """The front has gone while its watch was held back."""
+        """Ends the session if the front disconnects while its watch is held open."""
         if self.session is not None:
-            self.distributor.sessions.left(self.session)
+            self.distributor.sessions.disconnect(self.session)
 
     async def post(self) -> None:
-        """Wait for what differs, and tell it."""
-        request = self.body_as(codec.WatchRequest)
+        """Waits until there is a difference to the records that the front holds, and sends it."""
+        request = self.decode_body(codec.WatchRequest)
         if request is None:
             return
-        # A front's word makes no publisher step down: it may come from another tier, or hold what all
-        # distributors have lost.
+        # A version that a front holds must not make the publisher step down: the front may belong to another
+        # tier, or hold a version that all distributors have lost.
         distributor = self.distributor
         try:
             self.session = distributor.sessions.open(request)
             update, fronts = await distributor.sessions.watch(self.session, request)
         except BusyError as error:
             self.set_header("Retry-After", f"{error.retry_after:.3f}")
-            self.refuse(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
+            self.reply_error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
             return
         except BehindError as error:
-            self.refuse(HTTPStatus.CONFLICT, str(error))
+            self.reply_error(HTTPStatus.CONFLICT, str(error))
             return
         body = None if update is None else codec.update_to_body(update)
-        self.answer(codec.Reply(body, distributor.follower.age(), fronts))
+        self.reply_msgpack(codec.Reply(body, distributor.follower.age(), fronts))
 
 
-class FollowHandler(Handler):
+class FollowHandler(BaseHandler):
     """Another distributor follows this one."""
 
     async def post(self) -> None:
-        """Wait for a newer version, and tell it."""
-        request = self.body_as(codec.FollowRequest)
+        """Waits for a newer version and sends the difference, as a delta if the history allows it."""
+        request = self.decode_body(codec.FollowRequest)
         if request is None:
             return
         distributor, replica = self.distributor, self.distributor.catalog.replica
         distributor.role.observe(max(request.version, request.floor))
-        distributor.role.holds(request.index, request.version)
+        distributor.role.record_held(request.index, request.version)
         if request.version > replica.version:
-            self.refuse(HTTPStatus.CONFLICT, f"{replica.version} is held here")
+            self.reply_error(HTTPStatus.CONFLICT, f"{replica.version} is held here")
             return
         if request.version == replica.version and request.wait > 0:
-            newer = asyncio.ensure_future(distributor.newer.wait())
-            await asyncio.wait((newer,), timeout=min(request.wait, distributor.config.heartbeat_s))
-            newer.cancel()
+            waiter = asyncio.ensure_future(distributor.next_version.wait())
+            await asyncio.wait((waiter,), timeout=min(request.wait, distributor.config.heartbeat_s))
+            waiter.cancel()
         digest = codec.digest_from(request.digest)
         update = None
         if (request.version, digest) != (replica.version, replica.digest):
             update = distributor.catalog.history.since(request.version, digest) or replica.snapshot()
         body = None if update is None else codec.update_to_body(update)
-        self.answer(codec.Reply(body, distributor.follower.age()))
+        self.reply_msgpack(codec.Reply(body, distributor.follower.age()))
 
 
-class VersionHandler(Handler):
-    """What a claimant or a publisher asks and tells."""
+class VersionHandler(BaseHandler):
+    """Base of the handlers that reply with the versions held and seen here."""
 
-    def versions(self, granted: bool = True) -> codec.VersionReply:
-        """What is held and what was seen here."""
+    def version_reply(self, granted: bool = True) -> codec.VersionReply:
+        """Returns the versions held and seen here, and whether the request was granted."""
         replica, follower = self.distributor.catalog.replica, self.distributor.follower
         highest = max(replica.highest(), follower.highest_seen)
         return codec.VersionReply(replica.version, highest, follower.age(), granted)
 
 
 class AnnounceHandler(VersionHandler):
-    """The publisher tells that it publishes."""
+    """The publisher announces itself."""
 
     def post(self) -> None:
-        """Note the version; tell what is held."""
-        request = self.body_as(codec.AnnounceRequest)
+        """Records the publisher's version and replies with the versions held and seen here."""
+        request = self.decode_body(codec.AnnounceRequest)
         if request is not None:
             self.distributor.role.observe(request.version)
-            self.answer(self.versions())
+            self.reply_msgpack(self.version_reply())
 
 
 class HighestHandler(VersionHandler):
-    """The highest version held or promised here."""
+    """A claimant asks for the highest version held or promised here."""
 
     def post(self) -> None:
-        """Tell what was seen."""
-        if self.body_as(codec.HighestRequest) is not None:
-            self.answer(self.versions())
+        """Replies with the versions held and seen here."""
+        if self.decode_body(codec.HighestRequest) is not None:
+            self.reply_msgpack(self.version_reply())
 
 
 class PromiseHandler(VersionHandler):
-    """A promise to accept nothing of an earlier term; on disk, where there is one, before it is given."""
+    """A claimant asks for a promise to accept nothing of an earlier term. If there is a store, the promise is
+    on disk before the reply is sent."""
 
     async def post(self) -> None:
-        """Promise, or refuse for a higher term."""
-        request = self.body_as(codec.PromiseRequest)
+        """Promises the term, or refuses because of a higher one or because the promise can't be stored."""
+        request = self.decode_body(codec.PromiseRequest)
         if request is None:
             return
         distributor = self.distributor
@@ -214,70 +215,71 @@
         if granted:
             distributor.role.observe(Version(request.term, 0))
             try:
-                await distributor.memory.keep(Version(request.term, 0))
+                await distributor.promises.save(Version(request.term, 0))
             except StoreError as error:
                 distributor.log("promise not kept on disk", why=str(error))
                 granted = False
-        self.answer(self.versions(granted))
+        self.reply_msgpack(self.version_reply(granted))
 
 
-class PublishHandler(Handler):
-    """A change by an operator or a platform."""
+class PublishHandler(BaseHandler):
+    """An operator or a platform publishes a change."""
 
     async def post(self) -> None:
-        """Publish; 202 where no majority holds the version yet."""
+        """Publishes the change. The status is 202 if no majority holds the version yet, 400 for an invalid
+        body and 409 if the change is refused."""
         role = self.distributor.role
         try:
             body = msgspec.json.decode(self.request.body, type=PublishBody)
             expected = parse(body.expected) if body.expected else None
             if body.engines is None:
-                version = role.publish(body.upserted(), body.removed(), expected)
+                version = role.publish(body.upserted_records(), body.removed_ids(), expected)
             else:
-                version = role.replace_all([engine.record() for engine in body.engines], expected)
+                version = role.replace_all([engine.to_record() for engine in body.engines], expected)
         except msgspec.DecodeError as error:
-            self.refuse(HTTPStatus.BAD_REQUEST, f"no change: {error}")
+            self.reply_error(HTTPStatus.BAD_REQUEST, f"no change: {error}")
             return
         except PublishRefusedError as error:
             present = self.distributor.catalog.version
             self.distributor.log("publish refused", why=str(error), version=str(present))
-            self.refuse(HTTPStatus.CONFLICT, str(error), version=str(present))
+            self.reply_error(HTTPStatus.CONFLICT, str(error), version=str(present))
             return
-        confirmed = await role.confirmed(version)
+        confirmed = await role.wait_confirmed(version)
         if not confirmed:
             self.set_status(HTTPStatus.ACCEPTED)
         self.finish({"version": str(version), "confirmed": confirmed})
 
 
-class PromoteHandler(Handler):
+class PromoteHandler(BaseHandler):
     """An operator makes this distributor the publisher."""
 
     async def post(self) -> None:
-        """Claim the role."""
+        """Claims the role. The status is 400 for an invalid body and 409 if the claim fails."""
         try:
             body = msgspec.json.decode(self.request.body, type=PromoteBody)
             term = await self.distributor.role.claim(parse(body.above))
         except msgspec.DecodeError as error:
-            self.refuse(HTTPStatus.BAD_REQUEST, f"no promotion: {error}")
+            self.reply_error(HTTPStatus.BAD_REQUEST, f"no promotion: {error}")
             return
         except ClaimFailedError as error:
-            self.refuse(HTTPStatus.CONFLICT, str(error))
+            self.reply_error(HTTPStatus.CONFLICT, str(error))
             return
         self.finish({"term": term, "version": str(self.distributor.catalog.version)})
 
 
-class StatusHandler(Handler):
-    """Version, role, fronts and counters."""
+class StatusHandler(BaseHandler):
+    """An operator asks for version, role, fronts and counters."""
 
     def get(self) -> None:
-        """Tell it as JSON."""
+        """Replies with the status."""
         self.finish(self.distributor.status())
 
 
-class CatalogHandler(Handler):
-    """The whole list."""
+class CatalogHandler(BaseHandler):
+    """An operator asks for the whole list."""
 
     def get(self) -> None:
-        """Tell it as JSON."""
+        """Replies with the version, all engines and all documents."""
         replica = self.distributor.catalog.replica
         engines = [record._asdict() for record in engines_of(replica.records.values())]
         for engine in engines:
@@ -288,8 +290,8 @@
         self.finish(msgspec.json.encode(body))
 
 
-def application(distributor: Distributor) -> Application:
-    """All calls that a distributor answers."""
+def build_application(distributor: Distributor) -> Application:
+    """Returns the Tornado application with all routes."""
     handlers = {
         WATCH_PATH: WatchHandler,
         FOLLOW_PATH: FollowHandler,
--- a/thistlelever/distributor/store.py
+++ b/thistlelever/distributor/store.py
@@ -1,4 +1,4 @@
-"""The content of a distributor on disk: SQLite, one transaction for each change."""
+"""The content of a distributor on disk: an SQLite file, with one transaction per change."""
 
 from __future__ import annotations
 
@@ -24,28 +24,29 @@
     "create table if not exists head (place integer primary key check (place = 0), version blob not null)",
     "create table if not exists floor (place integer primary key check (place = 0), version blob not null)",
 )
-# A writer of another process is waited for this long.
-BUSY_MS = 1_000
+# How long to wait for a lock held by another process.
+BUSY_TIMEOUT_MS = 1_000
 
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(EngineRecord).decode
-_head = msgspec.msgpack.Decoder(tuple[int, int, bytes]).decode
-_version = msgspec.msgpack.Decoder(Version).decode
+_decode_record = msgspec.msgpack.Decoder(EngineRecord).decode
+_decode_head = msgspec.msgpack.Decoder(tuple[int, int, bytes]).decode
+_decode_version = msgspec.msgpack.Decoder(Version).decode
 
 
 class StoreError(Exception):
-    """The file can't be read or written; the text says why."""
+    """The file can't be read or written; the text gives the reason."""
 
 
 class ContentStore:
-    """The newest version of the whole content. Its calls block: they belong on a thread of their own."""
+    """The newest version of the whole content and the promised floor. Its calls block and must not run on the
+    event loop's thread, except at the start."""
 
     def __init__(self, path: str) -> None:
-        """Open or make the file; `StoreError` where that fails."""
+        """Opens the file, which is created if it is missing. Raises `StoreError`."""
         self.path = path
         try:
             self.connection = apsw.Connection(path)
-            self.connection.set_busy_timeout(BUSY_MS)
+            self.connection.set_busy_timeout(BUSY_TIMEOUT_MS)
             self.connection.pragma("journal_mode", "wal")
             self.connection.pragma("synchronous", "full")
             for statement in SCHEMA:
@@ -54,16 +55,17 @@
             raise StoreError(f"{path}: {error}") from None
 
     def read(self) -> Snapshot | None:
-        """What is kept; None where nothing is, `StoreError` where it is damaged."""
+        """Returns the stored content, or None if there is none. Raises `StoreError` if the file is
+        damaged."""
         try:
             head = self.connection.execute("select version from head").get
             if head is None:
                 return None
             rows = self.connection.execute("select record from engines order by id")
-            records: tuple[Record, ...] = tuple(_record(row[0]) for row in rows)
+            records: tuple[Record, ...] = tuple(_decode_record(row[0]) for row in rows)
             rows = self.connection.execute("select id, content from documents order by id")
             records += tuple(DocumentRecord(*row) for row in rows)
-            term, number, digest = _head(head)
+            term, number, digest = _decode_head(head)
         except (apsw.Error, msgspec.DecodeError) as error:
             raise StoreError(f"{self.path}: damaged: {error}") from None
         if digest_of(records) != int.from_bytes(digest, "big"):
@@ -71,7 +73,7 @@
         return Snapshot(Version(term, number), int.from_bytes(digest, "big"), records)
 
     def write(self, update: Update) -> None:
-        """Keep an update, whole or not at all."""
+        """Stores an update atomically. Raises `StoreError`."""
         try:
             with self.connection, closing(self.connection.cursor()) as cursor:
                 if isinstance(update, Delta):
@@ -94,20 +96,21 @@
             raise StoreError(f"{self.path}: {error}") from None
 
     def read_floor(self) -> Version:
-        """The version below which this distributor has promised to accept nothing."""
+        """Returns the version below which this distributor has promised to accept nothing. Raises
+        `StoreError`."""
         try:
             floor = self.connection.execute("select version from floor").get
-            return NO_VERSION if floor is None else _version(floor)
+            return NO_VERSION if floor is None else _decode_version(floor)
         except (apsw.Error, msgspec.DecodeError) as error:
             raise StoreError(f"{self.path}: damaged: {error}") from None
 
     def write_floor(self, floor: Version) -> None:
-        """Keep a promise."""
+        """Stores a promise. Raises `StoreError`."""
         try:
             self.connection.execute("insert or replace into floor values (0, ?)", (_encode(floor),))
         except apsw.Error as error:
             raise StoreError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
-        """Release the file."""
+        """Closes the file."""
         self.connection.close()
