--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -22,7 +22,7 @@
 from thistlelever.lifecycle.run import FrontServer
 from thistlelever.standins import directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import GROUP, SETTINGS, configuration
+from thistlelever.standins.configuration import GROUP, SETTINGS, configuration
 
 CORES, TIME_LIMIT_S, OBJECTIVE_S = 2, 4.0, 0.5
 VICTIM, FLOOD = "acme", "marea"
@@ -105,7 +105,7 @@
 
     def publish_load(self):
         """Set the gauges that the engine reports with its answers."""
-        self.engine.facts = {
+        self.engine.extra_headers = {
             "X-Gauges": f"inflight:{self.in_flight};util:{min(self.in_flight / CORES, 1.0):.2f}"
         }
 
@@ -131,10 +131,10 @@
         """Start the engines, the directory and the front; wait until the front is ready."""
         for name in ("a", "b"):
             engine = self.engines[name] = Engine(self.changed)
-            engine.works = EngineCores(engine, self.chance).work
+            engine.run_statement = EngineCores(engine, self.chance).work
             engine.cost = lambda statement: declared_work_s(statement) * 1e3
             await engine.start()
-        self.directory, known = await directory.beside(self.changed, self.engines)
+        self.directory, known = await directory.start_directory(self.changed, self.engines)
         config = front_config.read(configuration(known, f"127.0.0.1:{self.directory.port}", settings(2)), {})
         ready = asyncio.get_running_loop().create_future()
         self.failures = []
--- a/rigs/restart.py
+++ b/rigs/restart.py
@@ -25,7 +25,7 @@
 from thistlelever.ledger.records import ListedEngine, Timestamp
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import GROUP, SETTINGS, configuration
+from thistlelever.standins.configuration import GROUP, SETTINGS, configuration
 
 ROOT = Path(__file__).parents[1]
 ENGINES, SUBMIT_INTERVAL_S, WAIT_LIMIT_S, OBJECTIVE_S, QUERY_S = 10, 0.02, 1.5, 0.6, 0.02
@@ -94,7 +94,7 @@
         for server in (*living, *dead):
             await server.start()
         for engine in living:
-            engine.works = lambda txn, statement: asyncio.sleep(QUERY_S)
+            engine.run_statement = lambda txn, statement: asyncio.sleep(QUERY_S)
         # The list names the dead engines first; the same number of new engines has replaced them since.
         known = {f"old-{n}": server.port for n, server in enumerate(dead)}
         known |= {f"e-{n}": living[n].port for n in range(dead_count, ENGINES)}
@@ -246,7 +246,7 @@
         steady = next(
             (n for n in range(len(shares)) if all(s >= STEADY_SHARE for s in shares[n:])), len(shares)
         )
-        list_in_force = min(directory.told.values(), default=float("inf")) + LIST_GRACE_S
+        list_in_force = min(directory.first_sent.values(), default=float("inf")) + LIST_GRACE_S
         faults = [line["event"] for line in self.lines if "failed" in line["event"]]
         return {
             "answerless": sum(request["answers"] != 1 for request in self.requests),
--- a/rigs/system_calls.py
+++ b/rigs/system_calls.py
@@ -23,9 +23,9 @@
 import click
 
 from rigs.verdict import Chance, close
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 ROOT = Path(__file__).parents[1]
 ERRORS = {
@@ -133,10 +133,10 @@
         changed = asyncio.Event()
         self.engines = {name: Engine(changed) for name in ("alder", "birch")}
         for engine in self.engines.values():
-            engine.lasts = lambda txn: QUERY_S
+            engine.duration = lambda txn: QUERY_S
             await engine.start()
-        self.directory, entries = await beside(changed, self.engines)
-        self.new_directory, _ = await beside(changed, self.engines)
+        self.directory, entries = await start_directory(changed, self.engines)
+        self.new_directory, _ = await start_directory(changed, self.engines)
         self.path = self.folder / "front.json"
         self.write_config(entries, self.directory)
         process = await self.start_front()
@@ -218,7 +218,7 @@
         self.new_directory.entries = dict(self.new_directory.entries) | {
             "birch": (self.engines["birch"].port, True)
         }
-        if not await self.wait_until(lambda: 10 in self.new_directory.told, 1.5):
+        if not await self.wait_until(lambda: 10 in self.new_directory.first_sent, 1.5):
             self.broken.append("drain: the directory that discovery was moved to was not asked in 1.5 s")
         await asyncio.sleep(DRAIN_GRACE_S)
         before = self.count_posts("birch")
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -15,7 +15,7 @@
 from thistlelever.carrier import clients, directory
 from thistlelever.standins.directory import Directory, dns_answer
 from thistlelever.standins.http_engine import Engine, rows, unescaped
-from thistlelever.standins.papers import SETTINGS, configuration
+from thistlelever.standins.configuration import SETTINGS, configuration
 from thistlelever.ground import config as front_config
 from thistlelever.lifecycle import run
 
@@ -72,9 +72,9 @@
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
         self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.BAD_LINE_DELAY_S
-        # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
+        # Arrow Flight SQL: the section, calls under way and done, relays before engines.
         self.sections = {}
-        self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
+        self.flight_section, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
     async def until(self, holds):
         """Wait for a condition, checked on each event; raise TimeoutError after LONGEST_WAIT seconds."""
@@ -107,7 +107,7 @@
 
     async def do_holds(self, name):
         """Make the engine hold its answers until it is released."""
-        self.engines[name].holds = True
+        self.engines[name].holds_posts = True
 
     async def do_dead(self, name):
         """Stop an engine."""
@@ -136,7 +136,7 @@
             self.log,
             lambda: front_config.read(self.config, {}),
             self.operator(),
-            self.operator if self.door is not None or self.sections else None,
+            self.operator if self.flight_section is not None or self.sections else None,
         )
         self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
@@ -270,8 +270,8 @@
         self.directory.entries = {
             name.strip("-"): (self.port(name.strip("-")), name.endswith("-")) for name in names
         }
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 3)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 3)
 
     async def do_directory(self, *steps):
         """Queue the directory's behaviour for its next queries."""
@@ -323,10 +323,10 @@
 
     async def do_old_says(self, serial):
         """Answer every query that the old address ever received, with an empty list."""
-        for number in self.old.numbers:
-            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.asker)
-        asked = self.directory.asked
-        await self.until(lambda: self.directory.asked >= asked + 2)
+        for number in self.old.query_ids:
+            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.last_address)
+        asked = self.directory.query_count
+        await self.until(lambda: self.directory.query_count >= asked + 2)
 
     async def do_config(self, path, value):
         """Change a field of the front's configuration; it takes effect with the next reload."""
@@ -460,7 +460,7 @@
     async def do_echoes(self, name):
         """On a connection that carried a call before, run each POST and answer it with what looks like a late
         copy of another batch's refusal."""
-        self.engines[name].echoes = True
+        self.engines[name].repeats_refusals = True
 
     async def do_hung_up_in_order(self):
         """Wait until the front closes the connection, and check that it does so without a reset."""
@@ -470,8 +470,8 @@
 
     async def do_deaf_to_asker(self):
         """Make the directory ignore queries from the address of the last one."""
-        await self.until(lambda: self.directory.asked)
-        self.directory.deaf_to = self.directory.asker
+        await self.until(lambda: self.directory.query_count)
+        self.directory.ignored_address = self.directory.last_address
 
     # Budgets.
 
@@ -502,10 +502,15 @@
         """Return the current operator file, or None if no step set a part of it."""
         from thistlelever.ground import operator
 
-        if self.door is None:
+        if self.flight_section is None:
             return operator.read(json.dumps(self.sections).encode()) if self.sections else None
         speak = [name for name, engine in self.engines.items() if not isinstance(engine, Engine)]
-        section = {"listen": "127.0.0.1:0", "engines": speak, "tenant": "acme", "wait_ms": 3000} | self.door
+        section = {
+            "listen": "127.0.0.1:0",
+            "engines": speak,
+            "tenant": "acme",
+            "wait_ms": 3000,
+        } | self.flight_section
         return operator.read(json.dumps(self.sections | {"flight": section}).encode())
 
     async def do_section(self, name, text):
@@ -516,13 +521,15 @@
         """Start an engine that speaks Flight SQL; with `at OTHER` at the address of a stopped one."""
         from thistlelever.standins.flight_engine import Engine as FlightEngine
 
-        self.door = {} if self.door is None else self.door
+        self.flight_section = {} if self.flight_section is None else self.flight_section
         self.engines[name] = FlightEngine(self.stir)
         await self.engines[name].start(self.engines[again[1]].port if again else 0)
 
-    async def do_door(self, *words):
+    async def do_flight_section(self, *words):
         """Set fields of the operator file's section `flight`."""
-        self.door = (self.door or {}) | {k: json.loads(v) for k, v in (w.split("=", 1) for w in words)}
+        self.flight_section = (self.flight_section or {}) | {
+            k: json.loads(v) for k, v in (w.split("=", 1) for w in words)
+        }
 
     async def do_relay(self, name, *cuts):
         """Start a relay in front of an engine that cuts each connection in turn after that many bytes of
@@ -544,14 +551,14 @@
 
     async def do_one_drains(self, serial):
         """Drain the engine that has the only dispatch, and wait until the front has the new list."""
-        busy = next(name for name, e in self.engines.items() if e.book.count("arrived"))
+        busy = next(name for name, e in self.engines.items() if e.recorder.count("arrived"))
         rest = [name for name in self.engines if name != busy]
         await self.do_list(serial, busy + "-", *rest)
         await self.do_listed(*rest)
 
     async def do_one_each(self):
         """Check that each engine has received one dispatch."""
-        assert [e.book.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
+        assert [e.recorder.count("arrived") for e in self.engines.values()] == [1] * len(self.engines)
 
     async def do_comes_back(self, name):
         """Start a stopped engine again on its old port."""
@@ -570,7 +577,7 @@
         from grpc import aio
 
         if client not in self.channels:
-            port = self.server.flight.door.port
+            port = self.server.flight.server.port
             options = (
                 ("grpc.use_local_subchannel_pool", 1),
                 ("grpc.http2.lookahead_bytes", 65_536),
@@ -702,12 +709,14 @@
 
     async def do_arrived(self, count, *names):
         """Check how many dispatches these engines have received in all, including repeats for any reason."""
-        books = [self.engines[name].book for name in names or self.engines]
-        assert sum(book.count("arrived") for book in books) == int(count), [b.lines for b in books]
+        books = [self.engines[name].recorder for name in names or self.engines]
+        assert sum(book.count("arrived") for book in books) == int(count), [b.records for b in books]
 
     async def do_begun(self, count):
         """Wait until the engines have received that many dispatches."""
-        await self.until(lambda: sum(e.book.count("arrived") for e in self.engines.values()) >= int(count))
+        await self.until(
+            lambda: sum(e.recorder.count("arrived") for e in self.engines.values()) >= int(count)
+        )
 
     async def do_cancels(self, count):
         """Wait until the engines have received that many CancelFlightInfo actions."""
@@ -724,7 +733,7 @@
     async def do_no_cancel(self, *names):
         """Make these engines not support CancelFlightInfo."""
         for name in names:
-            self.engines[name].cancels = False
+            self.engines[name].supports_cancel = False
 
     async def do_fronts_out(self, count):
         """Wait until that many batches are open at the front."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.connections import Connection, ConnectionPool, Refused, Unreached
 
--- a/tests/test_distributor.py
+++ b/tests/test_distributor.py
@@ -1,4 +1,5 @@
-"""Distributors and fronts' subscriptions on real sockets: changes, losses, cuts, restarts, two publishers."""
+"""Distributors and the subscriptions of fronts over loopback sockets: changes, failures, partitions, restarts
+and concurrent publishers."""
 
 import asyncio
 
@@ -12,12 +13,12 @@
 from thistlelever.distributor.store import ContentStore, StoreError
 
 
-def play(scenario):
-    """Run a scenario that has a minute to end."""
+def run_scenario(scenario):
+    """Run a scenario, for at most a minute."""
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
-def test_a_front_is_told_its_subset_and_a_change_in_it_at_once():
+def test_a_front_receives_its_subset_and_a_change_to_it_at_once():
     async def scenario():
         async with tier(2, engines=40) as stage:
             front = stage.subscribe()
@@ -31,10 +32,10 @@
             assert front.replica.records[inside].weight == 4.0
             assert front.counts["snapshots"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_change_outside_the_subset_moves_the_version_at_the_next_heartbeat():
+def test_a_change_outside_the_subset_advances_the_version_at_the_next_heartbeat():
     async def scenario():
         async with tier(1, engines=40) as stage:
             front = stage.subscribe()
@@ -45,10 +46,10 @@
             await stage.until_version(version, front)
             assert front.replica.records == records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_front_goes_on_at_another_distributor_by_a_delta():
+def test_a_front_fails_over_to_another_distributor_and_gets_a_delta():
     async def scenario():
         async with tier(3, engines=40) as stage:
             front = stage.subscribe()
@@ -64,16 +65,16 @@
             assert front.replica.records[f"engine-{number:05}"].draining
             assert front.counts["snapshots"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_distributor_that_is_behind_is_left_and_nothing_goes_back():
+def test_a_front_leaves_a_stale_distributor_and_its_version_never_decreases():
     async def scenario():
         async with tier(3, engines=12) as stage:
             front = stage.subscribe()
             version = await stage.publish(upserts=[engine(1, draining=True)])
             await stage.until_version(version, front)
-            # One that was restored to an older version, and is cut off from the others.
+            # A distributor restored to an older version and isolated from the others.
             behind = Tier(1)
             await behind.start(0)
             await behind.until(lambda: behind.running[0].role.publisher)
@@ -92,7 +93,7 @@
             finally:
                 await behind.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_promoted_publisher_supersedes_the_former_one():
@@ -110,38 +111,38 @@
             versions = {str(d.catalog.version) for d in stage.running.values()}
             assert versions == {version}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_publisher_without_a_majority_is_not_confirmed_and_gives_way_after_the_cut(tmp_path):
+def test_a_publisher_without_a_majority_is_not_confirmed_and_steps_down_after_the_partition(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path) as stage:
             await stage.until(lambda: len({d.catalog.version for d in stage.running.values()}) == 1)
             old = stage.running[0]
-            # Cut off: nobody follows it, it reaches nobody, and it goes on believing that it publishes.
+            # Partitioned: no follower and no connection to the others, and it still acts as the publisher.
             old.server.stop()
             await old.server.close_all_connections()
             old.follower.distributors = tuple(("127.0.0.1", 9) for _ in range(3))
             version = old.role.publish([], ["engine-00002"], None)
-            assert not await old.role.confirmed(version)
+            assert not await old.role.wait_confirmed(version)
             await stage.call(1, "POST", "/v1/promote", {})
             newer = await stage.publish(1, removals=["engine-00003"])
-            # Healed.
+            # The partition ends.
             old.follower.distributors = stage.addresses
             await stage.until(lambda: old.role.publisher is None)
             await stage.until(lambda: old.catalog.version == parse(newer))
             assert "engine-00002" in old.catalog.replica.records
             assert old.catalog.replica.digest == stage.running[1].catalog.replica.digest
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_tier_restored_to_an_older_version_goes_on_above_what_fronts_hold():
+def test_a_tier_restored_to_an_older_version_resumes_above_the_version_of_fronts():
     async def scenario():
         async with tier(1, engines=6) as stage:
             front = stage.subscribe()
             await stage.until(lambda: front.replica.records)
-            # All distributors are lost; what comes back is older than what the front holds.
+            # All distributors were lost and restored to a version older than the front's.
             held = front.replica.version._replace(term=640)
             front.replica.version = held
             await stage.publish(removals=["engine-00001"])
@@ -152,10 +153,10 @@
             await stage.until(lambda: front.replica.version > held)
             assert "engine-00001" not in front.replica.records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_one_that_may_have_forgotten_promises_needs_more_answers(tmp_path):
+def test_a_distributor_that_may_have_lost_promises_needs_more_replies(tmp_path):
     async def scenario():
         async with tier(3, engines=6) as stage:
             await stage.stop(0)
@@ -165,7 +166,7 @@
             await stage.stop(0)
             assert (await stage.call(1, "POST", "/v1/promote", {}))[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_publisher_without_a_majority():
@@ -180,10 +181,10 @@
         finally:
             await stage.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_front_that_slept_past_all_that_is_kept_is_told_a_delta():
+def test_a_front_offline_for_longer_than_the_history_gets_a_delta():
     async def scenario():
         async with tier(1, engines=12, history=2) as stage:
             front = stage.subscribe()
@@ -196,10 +197,10 @@
             await stage.until_version(version, front)
             assert front.counts["snapshots"] == 0 and front.counts["deltas"] >= 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_follower_that_is_behind_by_more_than_is_kept_gets_the_whole_list():
+def test_a_follower_behind_by_more_than_the_history_gets_a_snapshot():
     async def scenario():
         async with tier(2, engines=12, history=2) as stage:
             await stage.stop(1)
@@ -209,11 +210,11 @@
             await stage.until(lambda: follower.catalog.version == parse(version))
             assert follower.catalog.replica.records == stage.running[0].catalog.replica.records
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
-    "body, word",
+    "body, expected_text",
     [
         ({"upserts": [{"id": "x"}]}, "zone"),
         ({"upserts": [engine(1, address="nowhere")]}, "address"),
@@ -224,19 +225,19 @@
         ({"unknown": 1}, "unknown"),
     ],
 )
-def test_a_change_that_can_not_be_is_refused_by_name_and_the_version_stays(body, word):
+def test_an_invalid_change_is_refused_with_its_key_and_the_version_stays(body, expected_text):
     async def scenario():
         async with tier(1, engines=6) as stage:
             replica = stage.running[0].catalog.replica
             before = replica.version, replica.digest
             status, answer = await stage.call(0, "POST", "/v1/publish", body)
-            assert status in (400, 409) and word in answer["error"], answer
+            assert status in (400, 409) and expected_text in answer["error"], answer
             assert (replica.version, replica.digest) == before
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_change_at_every_step_while_the_one_before_still_spreads():
+def test_changes_published_while_earlier_ones_still_propagate():
     async def scenario():
         async with tier(3, engines=30) as stage:
             fronts = [stage.subscribe(f"front-{rank}", rank, f"zone-{rank % 3}") for rank in range(12)]
@@ -249,7 +250,7 @@
                 assert front.counts["damaged"] == front.counts["gap"] == front.counts["stale"] == 0
                 assert all(record == catalog[name] for name, record in front.replica.records.items())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_mass_start_is_admitted_at_a_bounded_rate_and_all_are_served():
@@ -261,10 +262,10 @@
             assert counts["snapshots"] == 30 and counts["snapshots refused"] > 0
             assert sum(front.counts["busy"] for front in fronts) == counts["snapshots refused"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_who_is_refused_together_is_not_told_to_return_together():
+def test_fronts_refused_together_get_different_retry_delays():
     admission = SnapshotAdmission(10.0, seed=1, now=0.0)
     assert [admission.admit(0.0) for _ in range(10)] == [0.0] * 10
     waits = [admission.admit(0.0) for _ in range(20)]
@@ -273,7 +274,7 @@
     assert admission.admit(1.0) == 0.0
 
 
-def test_a_distributor_starts_by_what_it_kept(tmp_path):
+def test_a_distributor_starts_from_its_stored_content(tmp_path):
     async def scenario():
         path = str(tmp_path / "content.db")
         async with tier(1, engines=12, store=path) as stage:
@@ -282,11 +283,11 @@
             restarted = await stage.start(0, publisher=False)
             assert restarted.catalog.version == parse(version)
             assert len(restarted.catalog.replica.records) == 11
-            # A publisher that starts again never goes on with its former term.
+            # A restarted publisher never resumes its former term.
             await stage.call(0, "POST", "/v1/promote", {})
             assert restarted.catalog.version.term > parse(version).term
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_damaged_store_is_refused(tmp_path):
@@ -300,7 +301,7 @@
             with pytest.raises(StoreError, match="damaged"):
                 await stage.start(0)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_status_names_version_role_and_fronts():
@@ -319,53 +320,55 @@
             _, catalog = await stage.call(index, "GET", "/v1/catalog")
             assert catalog["version"] == version and len(catalog["engines"]) == 12
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_disk_that_fails_is_reported_and_made_up_for_by_the_whole_list(tmp_path):
+def test_a_failing_disk_is_reported_and_followed_by_a_full_write(tmp_path):
     async def scenario():
         path = str(tmp_path / "content.db")
         async with tier(1, engines=12, store=path) as stage:
             writer = stage.running[0].writer
-            await stage.until(lambda: not writer.waiting)
-            write, writer.store.write = writer.store.write, fail
+            await stage.until(lambda: not writer.pending)
+            write, writer.store.write = writer.store.write, fail_to_write
             await stage.publish(upserts=[engine(1, weight=2.0)])
-            await stage.until(lambda: writer.failing)
+            await stage.until(lambda: writer.failure)
             assert stage.running[0].status()["store"]["failing"]
             writer.store.write = write
             version = await stage.publish(upserts=[engine(2, weight=2.0)])
-            await stage.until(lambda: not writer.failing)
+            await stage.until(lambda: not writer.failure)
             await stage.stop(0)
             kept = ContentStore(path).read()
             assert str(kept.version) == version and len(kept.records) == 12
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def fail(update):
-    """A disk that takes nothing."""
+def fail_to_write(update):
+    """Fail as on a full disk."""
     raise StoreError("no space left")
 
 
-def test_a_front_that_went_elsewhere_costs_nothing_more():
+def test_fronts_without_an_open_watch_cost_nothing_at_a_change():
     async def scenario():
         async with tier(1, engines=40) as stage:
             front = stage.subscribe()
             sessions = stage.running[0].sessions
-            await stage.until(lambda: sessions.by_front and sessions.by_front["front-0"].waits())
+            await stage.until(lambda: sessions.by_front and sessions.by_front["front-0"].is_waiting())
             _, task = stage.subscriptions.pop()
             task.cancel()
             await stage.until(lambda: not sessions.by_front)
-            # Nor one that is between two watches: it looks anew when it asks.
+            # A front between two watches is not checked either: its next watch checks for differences.
             front = stage.subscribe("front-1", 1)
-            await stage.until(lambda: "front-1" in sessions.by_front and sessions.by_front["front-1"].waits())
+            await stage.until(
+                lambda: "front-1" in sessions.by_front and sessions.by_front["front-1"].is_waiting()
+            )
             session = sessions.by_front["front-1"]
-            revision, session.stir = session.revision, None
+            revision, session.wakeup = session.subset_revision, None
             stage.running[0].role.publish([], [min(front.replica.records)], None)
             await asyncio.sleep(HEARTBEAT / 4)
-            assert session.revision == revision
+            assert session.subset_revision == revision
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_watches_that_began_together_do_not_end_together():
@@ -374,13 +377,13 @@
             sessions = stage.running[0].sessions
             front = stage.subscribe()
             await stage.until(lambda: sessions.by_front.get("front-0") and front.replica.records)
-            parts = [sessions.part_of_wait(sessions.by_front["front-0"]) for _ in range(200)]
+            parts = [sessions.wait_share(sessions.by_front["front-0"]) for _ in range(200)]
             assert 0.7 <= min(parts) < 0.73 and 0.97 < max(parts) < 1.0 and len(set(parts)) == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_a_lost_publisher_is_replaced_without_a_person(tmp_path):
+def test_a_lost_publisher_is_replaced_without_an_operator(tmp_path):
     async def scenario():
         async with tier(5, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
             front = stage.subscribe()
@@ -395,37 +398,37 @@
             assert stage.running[index].catalog.version.term > term
             version = await stage.publish(index, removals=["engine-00001"])
             await stage.until_version(version, front)
-            # The former one comes back, and follows.
+            # The former publisher restarts, and follows.
             await stage.start(0)
             await stage.until(lambda: stage.running[0].catalog.version == parse(version))
             await asyncio.sleep(2.0)
             assert [place for place, d in stage.running.items() if d.role.publisher] == [index]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_who_alone_does_not_hear_the_publisher_does_not_replace_it(tmp_path):
+def test_a_distributor_that_alone_lost_the_publisher_does_not_replace_it(tmp_path):
     async def scenario():
         async with tier(3, engines=6, stores=tmp_path, election_after_s=1.0) as stage:
-            lonely = stage.running[2]
-            lonely.follower.heard_at -= 100.0
-            # It reaches the others' claims, and its own questions for news fail.
-            lonely.follower.ask = lonely.follower.follow = unreachable
-            lonely.follower.poll.cancel()
+            isolated = stage.running[2]
+            isolated.follower.last_contact_at -= 100.0
+            # Its claims reach the others, but its polls fail.
+            isolated.follower.poll_once = isolated.follower.follow = unreachable
+            isolated.follower.poll_task.cancel()
             await stage.until(lambda: any(event == "publisher lost" for _, event, _ in stage.events))
             await asyncio.sleep(2.5)
-            assert stage.running[0].role.publisher and not lonely.role.publisher
-            assert any("hears the publisher" in told.get("why", "") for _, _, told in stage.events)
+            assert stage.running[0].role.publisher and not isolated.role.publisher
+            assert any("hears the publisher" in fields.get("why", "") for _, _, fields in stage.events)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-async def unreachable(*words):
-    """A way to another distributor that is broken."""
+async def unreachable(*arguments):
+    """Fail as a call to an unreachable distributor."""
     raise DistributorError("unreachable")
 
 
-def test_distributors_claim_one_after_the_other_and_none_where_there_never_was_a_publisher():
+def test_distributors_claim_in_turn_and_never_in_a_tier_without_a_publisher():
     highest = Version(64 + 1, 7)
     elections = [Election(index, 4, 5.0) for index in range(4)]
     due = [[e.is_due(0.0, 5.0 + late, highest) for e in elections] for late in (0.1, 0.5, 0.9, 1.3)]
--- a/tests/test_restart_with_old_answers.py
+++ b/tests/test_restart_with_old_answers.py
@@ -10,9 +10,9 @@
 
 from stage import DRAIN_GRACE, ready_front
 
-from thistlelever.standins.directory import beside
+from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.configuration import configuration
 
 # Seconds: how long clients submit after the old answer, and between two batches.
 SUBMITS_AFTER, SUBMIT_INTERVAL = 1.5, 0.02
@@ -46,7 +46,7 @@
         engines = {name: Engine(stir) for name in "ab"}
         for engine in engines.values():
             await engine.start()
-        directory, entries = await beside(stir, engines)
+        directory, entries = await start_directory(stir, engines)
         known = configuration(entries, dns=f"127.0.0.1:{directory.port}")
         known["known"]["pos"] = directory.serial = 1
         path = tmp_path / "front.json"
@@ -55,15 +55,15 @@
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             # Before its restart the front sees higher serials than afterwards.
             directory.serial, directory.former = 4, (4, ready)
-            asked_before = directory.asked
-            await wait_until(lambda: directory.asked > asked_before + 2)
+            asked_before = directory.query_count
+            await wait_until(lambda: directory.query_count > asked_before + 2)
         directory.serial = 1
         async with ready_front({"BALANCER_CONFIG": str(path)}) as listen:
             _, writer = await asyncio.open_connection(*listen)
             client = asyncio.create_task(submit(writer, range(1, 10_000)))
             await wait_until(lambda: posts(engines["a"]) and posts(engines["b"]))
             directory.serial, directory.entries = 2, ready | {"b": (engines["b"].port, True)}
-            await wait_until(lambda: 2 in directory.told)
+            await wait_until(lambda: 2 in directory.first_sent)
             await asyncio.sleep(DRAIN_GRACE)
             before, others = posts(engines["b"]), posts(engines["a"])
             directory.steps.append("former")
