--- a/tests/stage.py
+++ b/tests/stage.py
@@ -69,26 +69,26 @@
     """
 
     def __init__(self):
-        self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
+        self.changed, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
-        self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.BAD_LINE_DELAY_S
-        # Arrow Flight SQL: the section, calls under way and done, relays before engines.
-        self.sections = {}
+        self.extra_clients, self.config, self.operator_sections = [], {}, {}
+        self.connection_reset, self.saved_delay = False, clients.BAD_LINE_DELAY_S
+        # Arrow Flight SQL: the operator file's section, calls in progress and ended, relays in front of engines.
         self.flight_section, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
-    async def until(self, holds):
+    async def until(self, condition):
         """Wait for a condition, checked on each event; raise TimeoutError after LONGEST_WAIT seconds."""
         async with asyncio.timeout(LONGEST_WAIT):
-            while not holds():
-                self.stir.clear()
-                await self.stir.wait()
+            while not condition():
+                self.changed.clear()
+                await self.changed.wait()
 
     def log(self, event, **facts):
         """Record a log event of the front."""
         self.events.append((event, facts))
-        self.stir.set()
+        self.changed.set()
 
-    async def line(self, verb, *words):
+    async def run_step(self, verb, *words):
         """Run one step."""
         await getattr(self, "do_" + verb)(*words)
 
@@ -102,7 +102,7 @@
 
     async def do_engine(self, name):
         """Start an HTTP engine."""
-        self.engines[name] = Engine(self.stir)
+        self.engines[name] = Engine(self.changed)
         await self.engines[name].start()
 
     async def do_holds(self, name):
@@ -120,7 +120,7 @@
     async def open_directory(self):
         """Start a directory that lists all engines, and put its address into the configuration."""
         _, self.directory = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Directory(self.stir), local_addr=("127.0.0.1", 0)
+            lambda: Directory(self.changed), local_addr=("127.0.0.1", 0)
         )
         self.directory.entries = {name: (self.port(name), False) for name in self.engines}
         self.config["dns"] = f"127.0.0.1:{self.directory.port}"
@@ -130,28 +130,28 @@
         entries = [(name, f"127.0.0.1:{self.port(name)}") for name in self.engines]
         self.config = configuration(entries, settings=self.settings)
         await self.open_directory()
-        told = front_config.read(self.config, {})._replace(sockets=int(sockets))
+        config = front_config.read(self.config, {})._replace(sockets=int(sockets))
         self.server = run.FrontServer(
-            told,
+            config,
             self.log,
             lambda: front_config.read(self.config, {}),
             self.operator(),
-            self.operator if self.flight_section is not None or self.sections else None,
+            self.operator if self.flight_section is not None or self.operator_sections else None,
         )
         self.running = asyncio.create_task(self.server.run())
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
         listen = next(facts["listen"] for event, facts in self.events if event == "ready")
         self.reader, self.writer = await asyncio.open_connection(*listen, limit=2**20)
-        self.hearing = asyncio.create_task(self.hear())
+        self.reading = asyncio.create_task(self.read_answers())
 
-    async def hear(self):
+    async def read_answers(self):
         """Record answers until the connection ends."""
         try:
             while line := await self.reader.readline():
                 self.answers.append(json.loads(line))
-                self.stir.set()
+                self.changed.set()
         except ConnectionError:
-            self.reset = True
+            self.connection_reset = True
 
     async def do_submit(self, number, group, *words):
         """Submit a batch; `name=value` sets a parameter, `name=none` omits it."""
@@ -200,7 +200,7 @@
     async def do_hung_up(self):
         """Wait until the front closes the client's connection."""
         async with asyncio.timeout(LONGEST_WAIT):
-            await self.hearing
+            await self.reading
 
     async def do_client_leaves(self):
         """Close the client's connection."""
@@ -318,13 +318,15 @@
 
     async def do_moves(self):
         """Move the directory to another address; the old one still runs and must be ignored."""
-        self.old = self.directory
+        self.old_directory = self.directory
         await self.open_directory()
 
     async def do_old_says(self, serial):
         """Answer every query that the old address ever received, with an empty list."""
-        for number in self.old.query_ids:
-            self.old.transport.sendto(dns_answer(number, int(serial), {}), self.old.last_address)
+        for number in self.old_directory.query_ids:
+            self.old_directory.transport.sendto(
+                dns_answer(number, int(serial), {}), self.old_directory.last_address
+            )
         asked = self.directory.query_count
         await self.until(lambda: self.directory.query_count >= asked + 2)
 
@@ -336,7 +338,7 @@
     async def do_crowd(self, count):
         """Open that many further client connections that send nothing."""
         address = self.writer.get_extra_info("peername")
-        self.crowd += [await asyncio.open_connection(*address) for _ in range(int(count))]
+        self.extra_clients += [await asyncio.open_connection(*address) for _ in range(int(count))]
 
     async def do_places(self, count):
         """Limit the number of client connections, whatever the descriptors allow."""
@@ -349,21 +351,21 @@
         step."""
         address = self.writer.get_extra_info("peername")
         socks = [socket.create_connection(address) for _ in range(int(count) + int(silent))]
-        for n, sock in enumerate(socks[: int(count)], 500 + len(self.crowd)):
+        for n, sock in enumerate(socks[: int(count)], 500 + len(self.extra_clients)):
             sock.sendall(self.submission(n, "lookup"))
-        self.crowd += [await asyncio.open_connection(sock=sock) for sock in socks]
+        self.extra_clients += [await asyncio.open_connection(sock=sock) for sock in socks]
 
     async def do_answered(self, count):
         """Check that the first of the further clients get a result."""
         async with asyncio.timeout(LONGEST_WAIT):
-            for reader, _ in self.crowd[: int(count)]:
+            for reader, _ in self.extra_clients[: int(count)]:
                 assert "result" in json.loads(await reader.readline())
 
     async def do_crowd_closed(self, count):
         """Wait until the front has closed that many of the further clients, in the order in which they
         connected."""
         async with asyncio.timeout(LONGEST_WAIT):
-            for reader, _ in self.crowd[: int(count)]:
+            for reader, _ in self.extra_clients[: int(count)]:
                 with suppress(ConnectionError):
                     assert not await reader.read()
 
@@ -380,7 +382,7 @@
 
     async def end(self):
         """Stop everything, and check that no part of the front failed."""
-        clients.BAD_LINE_DELAY_S = self.was_slower
+        clients.BAD_LINE_DELAY_S = self.saved_delay
         for call in self.calls.values():
             call.cancel()
         if self.calls:
@@ -393,7 +395,7 @@
             self.server.stop.set()
             await self.running
         if self.server:
-            for _, writer in [*self.crowd, (0, self.writer)]:
+            for _, writer in [*self.extra_clients, (0, self.writer)]:
                 writer.close()
             self.directory.transport.close()
             failures = [e for e in self.events if e[0].endswith("failed")]
@@ -403,43 +405,43 @@
 
     async def do_dials_held(self):
         """Hold all new connections to engines until `dials_go`."""
-        connections, self.dials, self.go = self.server.connections, 0, asyncio.Event()
+        connections, self.held_connects, self.connects_released = self.server.connections, 0, asyncio.Event()
         connect = connections.connect
 
         async def held(entry):
-            self.dials += 1
-            self.stir.set()
-            await self.go.wait()
+            self.held_connects += 1
+            self.changed.set()
+            await self.connects_released.wait()
             return await connect(entry)
 
         connections.connect = held
 
     async def do_dialling(self, count):
         """Wait until that many connections to engines are held."""
-        await self.until(lambda: self.dials >= int(count))
+        await self.until(lambda: self.held_connects >= int(count))
 
     async def do_dials_go(self):
         """Let the held connections proceed."""
-        self.go.set()
+        self.connects_released.set()
 
     async def do_passes(self, seconds):
         """Let that many seconds pass."""
         await asyncio.sleep(float(seconds))
 
-    async def look_until(self, holds):
+    async def poll_until(self, condition):
         """Wait for a condition that sets no event, by polling."""
         async with asyncio.timeout(LONGEST_WAIT):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.001)
 
     async def do_given_up(self, number):
         """Wait until the front knows that no client waits for the batch any more."""
         batches = self.server.batches.by_txn
-        await self.look_until(lambda: batches[f"{int(number):016x}"].answered)
+        await self.poll_until(lambda: batches[f"{int(number):016x}"].answered)
 
     async def do_over(self):
         """Wait until no batch is open at the front."""
-        await self.look_until(lambda: not self.server.batches.by_number)
+        await self.poll_until(lambda: not self.server.batches.by_number)
 
     async def do_floods_and_goes(self, count):
         """Connect, submit that many batches and close before the front reads; wait until it has finished."""
@@ -447,15 +449,15 @@
         with socket.create_connection(address) as sock:
             sock.sendall(b"".join(self.submission(900 + n, "lookup") for n in range(int(count))))
         # A client that connects behind it and is answered shows that the front has read from it before.
-        self.crowd.append(await asyncio.open_connection(*address))
-        self.crowd[-1][1].write(self.submission(990, "lookup"))
+        self.extra_clients.append(await asyncio.open_connection(*address))
+        self.extra_clients[-1][1].write(self.submission(990, "lookup"))
         async with asyncio.timeout(LONGEST_WAIT):
-            assert "result" in json.loads(await self.crowd[-1][0].readline())
+            assert "result" in json.loads(await self.extra_clients[-1][0].readline())
         await self.do_over()
 
     async def do_paced(self, seconds):
         """Set the delay in seconds after each malformed line."""
-        self.was_slower, clients.BAD_LINE_DELAY_S = clients.BAD_LINE_DELAY_S, float(seconds)
+        self.saved_delay, clients.BAD_LINE_DELAY_S = clients.BAD_LINE_DELAY_S, float(seconds)
 
     async def do_echoes(self, name):
         """On a connection that carried a call before, run each POST and answer it with what looks like a late
@@ -465,8 +467,8 @@
     async def do_hung_up_in_order(self):
         """Wait until the front closes the connection, and check that it does so without a reset."""
         async with asyncio.timeout(LONGEST_WAIT):
-            await self.hearing
-        assert not self.reset
+            await self.reading
+        assert not self.connection_reset
 
     async def do_deaf_to_asker(self):
         """Make the directory ignore queries from the address of the last one."""
@@ -477,7 +479,7 @@
 
     async def do_held_back(self, count):
         """Wait until that many batches are held back by their budgets."""
-        await self.look_until(lambda: self.server.batch_tasks.gate.fair_queue.root.queued == int(count))
+        await self.poll_until(lambda: self.server.batch_tasks.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Check that exactly one of them has an answer, the error that says that it may have run."""
@@ -503,7 +505,9 @@
         from thistlelever.ground import operator
 
         if self.flight_section is None:
-            return operator.read(json.dumps(self.sections).encode()) if self.sections else None
+            return (
+                operator.read(json.dumps(self.operator_sections).encode()) if self.operator_sections else None
+            )
         speak = [name for name, engine in self.engines.items() if not isinstance(engine, Engine)]
         section = {
             "listen": "127.0.0.1:0",
@@ -511,18 +515,18 @@
             "tenant": "acme",
             "wait_ms": 3000,
         } | self.flight_section
-        return operator.read(json.dumps(self.sections | {"flight": section}).encode())
+        return operator.read(json.dumps(self.operator_sections | {"flight": section}).encode())
 
     async def do_section(self, name, text):
         """Set a section of the operator file."""
-        self.sections[name] = json.loads(text)
+        self.operator_sections[name] = json.loads(text)
 
     async def do_flight_engine(self, name, *again):
         """Start an engine that speaks Flight SQL; with `at OTHER` at the address of a stopped one."""
         from thistlelever.standins.flight_engine import Engine as FlightEngine
 
         self.flight_section = {} if self.flight_section is None else self.flight_section
-        self.engines[name] = FlightEngine(self.stir)
+        self.engines[name] = FlightEngine(self.changed)
         await self.engines[name].start(self.engines[again[1]].port if again else 0)
 
     async def do_flight_section(self, *words):
@@ -587,32 +591,34 @@
             self.channels[client] = aio.insecure_channel(f"127.0.0.1:{port}", options=options)
         return self.channels[client]
 
-    def words(self, words):
+    def parse_call(self, words):
         """Parse the words of a call: return its statement, client and headers."""
         facts = dict(word.split("=", 1) for word in words)
         table, client = facts.pop("table", "sales_17.orders"), facts.pop("client", "usual")
         return f"select a from {table}", client, tuple(facts.items())
 
-    def begin(self, number, work):
+    def start_call(self, number, work):
         """Start a call in the background."""
         self.calls[number] = asyncio.create_task(work)
-        self.calls[number].add_done_callback(lambda task: self.stir.set())
+        self.calls[number].add_done_callback(lambda task: self.changed.set())
 
     async def do_query(self, number, group, *words):
         """Start a query: get its ticket, then its result."""
         from thistlelever.standins import flight_client as client
 
-        statement, name, said = self.words(words)
-        said += (("x-group", group),)
+        statement, name, headers = self.parse_call(words)
+        headers += (("x-group", group),)
 
         async def whole():
-            info = self.infos[number] = await client.info(self.channel(name), statement, said)
-            self.stir.set()
-            return await client.get(self.channel(name), info.endpoint[0].ticket, seen=self.seen(number))
+            info = self.infos[number] = await client.info(self.channel(name), statement, headers)
+            self.changed.set()
+            return await client.get(
+                self.channel(name), info.endpoint[0].ticket, seen=self.message_list(number)
+            )
 
-        self.begin(number, whole())
+        self.start_call(number, whole())
 
-    def seen(self, number):
+    def message_list(self, number):
         """Return a list that collects the messages of a call."""
         self.events.append((f"messages of {number}", []))
         return self.events[-1][1]
@@ -621,9 +627,9 @@
         """Get a ticket and keep it."""
         from thistlelever.standins import flight_client as client
 
-        statement, name, said = self.words(words)
-        said += (("x-group", group),)
-        self.infos[number] = await client.info(self.channel(name), statement, said)
+        statement, name, headers = self.parse_call(words)
+        headers += (("x-group", group),)
+        self.infos[number] = await client.info(self.channel(name), statement, headers)
 
     async def do_redeem(self, number, ticket, *forged):
         """Start to get the result for a kept ticket; with a further word the ticket is forged."""
@@ -634,18 +640,18 @@
         if forged:
             # Flip one bit of the signature at the end of the ticket.
             raw = raw[:-2] + bytes((raw[-2] ^ 1, raw[-1]))
-        self.begin(number, client.get(self.channel(), pb.Ticket(ticket=raw)))
+        self.start_call(number, client.get(self.channel(), pb.Ticket(ticket=raw)))
 
     async def do_update(self, number, group, *words):
         """Start an update."""
         from thistlelever.standins import flight_client as client
 
-        statement, name, said = self.words(words)
-        said += (("x-group", group),)
+        statement, name, headers = self.parse_call(words)
+        headers += (("x-group", group),)
         statement = statement.replace("select a from", "update")
-        self.begin(number, client.update(self.channel(name), statement, said))
+        self.start_call(number, client.update(self.channel(name), statement, headers))
 
-    async def ended(self, number):
+    async def wait_for_end(self, number):
         """Wait until a call has ended, and return its task."""
         async with asyncio.timeout(LONGEST_WAIT):
             await asyncio.wait((self.calls[number],))
@@ -653,28 +659,28 @@
 
     async def do_rows(self, number, *words):
         """Check that the call succeeds with exactly these rows."""
-        table = (await self.ended(number)).result()
+        table = (await self.wait_for_end(number)).result()
         got = "".join("\t".join(map(str, row.values())) + "\n" for row in table.to_pylist())
         assert got == rows(*words), got
 
     async def do_whole(self, number, count):
         """Check that the call succeeds with that many rows."""
-        table = (await self.ended(number)).result()
+        table = (await self.wait_for_end(number)).result()
         assert table.num_rows == int(count), table.num_rows
 
     async def do_changed(self, number, count):
         """Check that the update succeeds and reports that many rows."""
-        assert (await self.ended(number)).result() == int(count)
+        assert (await self.wait_for_end(number)).result() == int(count)
 
     async def do_fails(self, number, code, *words):
         """Check that the call fails with that status and message."""
-        why = (await self.ended(number)).exception()
+        why = (await self.wait_for_end(number)).exception()
         assert why is not None and why.code == code, (self.calls[number], why)
         assert " ".join(words) in why.details, why.details
 
     async def do_trailer(self, number, name, word):
         """Check a trailer of a failed call; `any` accepts each value."""
-        trailers = (await self.ended(number)).exception().trailers
+        trailers = (await self.wait_for_end(number)).exception().trailers
         assert name in trailers and (word == "any" or trailers[name] == word), trailers
 
     async def do_got(self, number, least):
@@ -683,7 +689,7 @@
         def enough():
             return any(e == f"messages of {number}" and len(f) >= int(least) for e, f in self.events)
 
-        await self.look_until(enough)
+        await self.poll_until(enough)
 
     async def do_open_call(self, number):
         """Check that the call has not ended."""
@@ -692,7 +698,7 @@
     async def do_cancel_call(self, number):
         """Cancel a call and wait for its end."""
         self.calls[number].cancel()
-        await self.ended(number)
+        await self.wait_for_end(number)
 
     async def do_client_gone(self, client):
         """Close the client's connection with all calls open on it."""
@@ -704,13 +710,15 @@
         from thistlelever.wire.flight import flight_pb2 as pb
 
         body = pb.CancelFlightInfoRequest(info=self.infos[number]).SerializeToString()
-        said, _ = await client.action(self.channel("canceller"), "CancelFlightInfo", body)
-        assert pb.CancelFlightInfoResult.FromString(said).status == int(status), said
+        reply, _ = await client.action(self.channel("canceller"), "CancelFlightInfo", body)
+        assert pb.CancelFlightInfoResult.FromString(reply).status == int(status), reply
 
     async def do_arrived(self, count, *names):
         """Check how many dispatches these engines have received in all, including repeats for any reason."""
-        books = [self.engines[name].recorder for name in names or self.engines]
-        assert sum(book.count("arrived") for book in books) == int(count), [b.records for b in books]
+        recorders = [self.engines[name].recorder for name in names or self.engines]
+        assert sum(recorder.count("arrived") for recorder in recorders) == int(count), [
+            b.records for b in recorders
+        ]
 
     async def do_begun(self, count):
         """Wait until the engines have received that many dispatches."""
@@ -737,7 +745,7 @@
 
     async def do_fronts_out(self, count):
         """Wait until that many batches are open at the front."""
-        await self.look_until(lambda: len(self.server.batches.by_number) == int(count))
+        await self.poll_until(lambda: len(self.server.batches.by_number) == int(count))
 
     async def do_sent_at_most(self, name, size):
         """Check that the engine stops after at most that many bytes of its result, as its reader is slow."""
@@ -752,20 +760,20 @@
         """Start a query whose client reads one message and then nothing until it is cancelled."""
         from thistlelever.standins import flight_client as client
 
-        statement, name, said = self.words(words)
-        said += (("x-group", group),)
+        statement, name, headers = self.parse_call(words)
+        headers += (("x-group", group),)
         never = asyncio.Event()
 
         async def whole():
-            info = self.infos[number] = await client.info(self.channel(name), statement, said)
-            seen = self.seen(number)
+            info = self.infos[number] = await client.info(self.channel(name), statement, headers)
+            seen = self.message_list(number)
             return await client.get(self.channel(name), info.endpoint[0].ticket, seen=seen, pause=never)
 
-        self.begin(number, whole())
+        self.start_call(number, whole())
 
 
 @contextmanager
-def brisk():
+def short_delays():
     """Shorten the stop and the directory's poll interval, so that tests wait less."""
     was = run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL
     run.ACCEPT_AFTER_SIGTERM_S, run.MAX_DRAIN_S, directory.POLL_INTERVAL = 0.05, 0.3, 0.05
@@ -776,25 +784,25 @@
 
 
 @asynccontextmanager
-async def staged(lines):
+async def prepared_stage(lines):
     """Run these steps and yield the stage; an error names the step that failed."""
     stage = Stage()
     try:
         for line, words in lines:
             try:
-                await stage.line(*words)
+                await stage.run_step(*words)
             except Exception as why:
                 counts = stage.server.metrics.counts if stage.server else ""
                 seen = f"{stage.events} {stage.answers} {counts}"
                 raise AssertionError(f"{line}: {' '.join(words)}: {why} {seen}") from why
         yield stage
     finally:
-        with brisk():
+        with short_delays():
             await stage.end()
 
 
-async def played(lines):
+async def run_steps(lines):
     """Run one scenario, given as (`file:line`, words) pairs."""
-    with brisk():
-        async with staged(lines):
+    with short_delays():
+        async with prepared_stage(lines):
             pass
--- a/tests/test_directory_answers.py
+++ b/tests/test_directory_answers.py
@@ -80,5 +80,5 @@
     await pace_answers(stage, 3)
     await stage.do_listed("b")
     assert stage.server.registry.serial == 5
-    await stage.look_until(lambda: stage.server.registry.serial == 1)
+    await stage.poll_until(lambda: stage.server.registry.serial == 1)
     await play(stage, "listed b\nsubmit 1 pay\nanswer 1 result rows\ncalls a POST 0")
--- a/tests/test_distributed_configuration.py
+++ b/tests/test_distributed_configuration.py
@@ -5,7 +5,7 @@
 
 import pytest
 from distributor_stage import HEARTBEAT, engine, tier
-from stage import brisk
+from stage import short_delays
 from test_subscribed_front import SubscribedStage
 
 from thistlelever.distribution.records import documents_of
@@ -140,9 +140,9 @@
 def test_a_front_puts_the_document_in_force_and_rolls_back_with_a_new_version():
     async def scenario(stage):
         front = SubscribedStage(stage)
-        front.sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
+        front.operator_sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
         try:
-            with brisk():
+            with short_delays():
                 await front.serve()
                 gate = front.server.batch_tasks.gate
                 shown = front.server.discovery.show
@@ -167,7 +167,7 @@
                 await stage.until(lambda: guarantees() == {"zeta": 0.125})
                 assert shown()["configuration"]["in_force_since"] is None
         finally:
-            with brisk():
+            with short_delays():
                 await front.end()
 
     play(scenario)
@@ -176,12 +176,12 @@
 def test_a_front_that_can_not_use_the_document_keeps_what_is_in_force_and_says_so():
     async def scenario(stage):
         front = SubscribedStage(stage)
-        front.sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
+        front.operator_sections["budgets"] = {"brokers": {"zeta": {"guarantee": 0.125}}}
         for distributor in stage.running.values():
             # As if the publisher were of another release, whose check accepts more.
             distributor.role.document_checks = {OPERATOR_DOCUMENT: lambda text: None}
         try:
-            with brisk():
+            with short_delays():
                 await front.serve()
                 first = await stage.publish(documents={"operator": budgets(acme=0.5)})
                 configuration = front.server.discovery.configuration
@@ -193,7 +193,7 @@
                 await stage.publish(documents={"operator": budgets(acme=0.25)})
                 await stage.until(lambda: not configuration.refused)
         finally:
-            with brisk():
+            with short_delays():
                 await front.end()
 
     play(scenario)
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -13,7 +13,7 @@
 import pyarrow.flight as arrow_flight
 import pytest
 from grpc import aio
-from stage import staged
+from stage import prepared_stage
 
 from thistlelever.standins import flight_client as client
 from thistlelever.standins.flight_client import descriptor
@@ -29,7 +29,7 @@
 @asynccontextmanager
 async def front(*lines):
     lines = lines or ("flight_engine f", 'flight_section group="lookup"', "front")
-    async with staged([(line, line.split()) for line in lines]) as stage:
+    async with prepared_stage([(line, line.split()) for line in lines]) as stage:
         for engine in stage.engines.values():
             engine.text = "".join("\t".join(row) + "\n" for row in ROWS)
         yield stage
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -116,7 +116,7 @@
             await stage.do_hung_up()
             client_listener.limits = limits
             await stage.do_crowd("1")
-            reader, writer = stage.crowd[0]
+            reader, writer = stage.extra_clients[0]
             writer.write(stage.submission(2, "lookup"))
             assert b'"result"' in await reader.readline()
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import brisk, staged
+from stage import short_delays, prepared_stage
 
 from thistlelever import __main__ as command
 from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
@@ -518,8 +518,8 @@
 
     async def run():
         for lines in (first, again):
-            with brisk():
-                async with staged([(line, line.split()) for line in lines]):
+            with short_delays():
+                async with prepared_stage([(line, line.split()) for line in lines]):
                     pass
 
     asyncio.run(run())
@@ -536,8 +536,8 @@
     ]
 
     async def run():
-        with brisk():
-            async with staged([(line, line.split()) for line in lines]) as stage:
+        with short_delays():
+            async with prepared_stage([(line, line.split()) for line in lines]) as stage:
                 component = stage.server.state
                 await stage.until(lambda: any(e == "state not kept" for e, _ in stage.events))
                 assert not component.show()["keeps"] and component.show()["records"]["mark"] == 1
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 
 import pytest
-from stage import LONGEST_WAIT, brisk, staged
+from stage import LONGEST_WAIT, short_delays, prepared_stage
 
 from thistlelever.carrier import clients, directory
 from thistlelever.ground import config as front_config
@@ -29,14 +29,14 @@
 async def served(script):
     """A front after the steps of the script, one a line."""
     lines = [("setup", line.split()) for line in script.strip().splitlines()]
-    with brisk():
-        async with staged(lines) as stage:
+    with short_delays():
+        async with prepared_stage(lines) as stage:
             yield stage
 
 
 async def play(stage, script):
     for line in script.strip().splitlines():
-        await stage.line(*line.split())
+        await stage.run_step(*line.split())
 
 
 def moment(script):
@@ -219,7 +219,7 @@
 
     monkeypatch.setattr(stage.server.client_listener, "finish", crossing)
     await stage.do_sigterm()
-    await stage.look_until(lambda: socks)
+    await stage.poll_until(lambda: socks)
     assert "result" in (await answer_on(socks[0]))
     await stage.do_stopped()
 
@@ -381,7 +381,7 @@
             assert "result" in stage.answers[0], stage.answers
             await play(stage, "calls a POST 1")
             # The connection with the endless reply is closed.
-            await stage.look_until(lambda: stage.server.connections.count == len(stage.engines["a"].writers))
+            await stage.poll_until(lambda: stage.server.connections.count == len(stage.engines["a"].writers))
 
     asyncio.run(whole())
 
@@ -412,6 +412,6 @@
             stage.engines["a"].text = rows("rows")
             await asyncio.sleep(max(late - 0.015, 0.0))
             await play(stage, "submit 2 lookup\nanswer 2 result rows")
-            await stage.look_until(lambda: copied)
+            await stage.poll_until(lambda: copied)
 
     asyncio.run(whole())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 import pytest
 from click.testing import CliRunner
-from stage import staged
+from stage import prepared_stage
 
 from thistlelever import __main__ as command
 from thistlelever.ground import operator
@@ -120,7 +120,7 @@
         return CliRunner().invoke(command.main, ["budgets", *words, "--operator", str(extra)])
 
     async def run():
-        async with staged(
+        async with prepared_stage(
             [
                 (line, line.split())
                 for line in (
@@ -149,7 +149,7 @@
                 )
             ]
             stage.engines["a"].released.set()
-            await stage.line("answer", "3", "result", "rows")
+            await stage.run_step("answer", "3", "result", "rows")
         return shown, explained, none, as_json
 
     assert ask("show").exit_code == 2
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from stage import played
+from stage import run_steps
 
 from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
@@ -288,4 +288,4 @@
 
 @pytest.mark.parametrize("title, lines", [item for path in SOCKET_FILES for item in scenarios(path).items()])
 def test_on_sockets(title, lines):
-    asyncio.run(played(lines))
+    asyncio.run(run_steps(lines))
--- a/tests/test_subscribed_front.py
+++ b/tests/test_subscribed_front.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from distributor_stage import HEARTBEAT, PATIENCE, tier
-from stage import Stage, brisk
+from stage import Stage, short_delays
 
 from rigs.loopback import HOST
 from thistlelever.carrier.subscribed_list import KnownNames, SubscribedList
@@ -121,7 +121,7 @@
     def __init__(self, distributors):
         super().__init__()
         self.distributors = distributors
-        self.sections["distribution"] = {
+        self.operator_sections["distribution"] = {
             "distributors": [f"{HOST}:{port}" for port in distributors.ports],
             "heartbeat_s": HEARTBEAT,
             "patience_s": PATIENCE,
@@ -141,7 +141,7 @@
         await self.until(lambda: any(event == "ready" for event, _ in self.events))
         listen = next(facts["listen"] for event, facts in self.events if event == "ready")
         self.reader, self.writer = await asyncio.open_connection(*listen, limit=2**20)
-        self.hearing = asyncio.create_task(self.hear())
+        self.reading = asyncio.create_task(self.read_answers())
 
     async def holds(self, version):
         """Wait until the front is at this version."""
@@ -159,11 +159,11 @@
                 for name in engines:
                     await stage.do_engine(name)
                 await distributors.publish(engines=[stage.published(name) for name in engines])
-                with brisk():
+                with short_delays():
                     await stage.serve()
                     await scenario(stage, distributors)
             finally:
-                with brisk():
+                with short_delays():
                     await stage.end()
 
     asyncio.run(asyncio.wait_for(staged(), 60))
