--- a/tests/stage.py
+++ b/tests/stage.py
@@ -73,7 +73,7 @@
         self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
         self.extra_clients, self.config, self.operator_sections = [], {}, {}
         self.connection_reset, self.saved_delay = False, clients.BAD_LINE_DELAY_S
-        # Arrow Flight SQL: the operator file's section, calls in progress and ended, relays in front of engines.
+        # Arrow Flight SQL: the section `flight`, calls in progress and ended, relays in front of engines.
         self.flight_section, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
 
     async def until(self, condition):
