--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -180,7 +180,7 @@
         rate, work, query_class = TEAMS[name]
         connections, loop, number = [], asyncio.get_running_loop(), 0
         begun = at = loop.time()
-        # The flood starts after the usual load and ends before it, so that its backlog is worked off under
+        # The overload starts after the usual load and ends before it, so that its backlog is worked off under
         # that load.
         at += self.seconds / 4 if name == FLOOD else 0
         until = begun + self.seconds * (0.75 if name == FLOOD else 1)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -159,11 +159,11 @@
 
     def submission(self, number, group, *words):
         """Return the request line of a batch."""
-        facts = dict(word.split("=", 1) for word in words)
-        table = facts.pop("table", "sales_17.orders")
-        facts.setdefault("bytes", b64encode(f"select a from {table}".encode()).decode())
+        options = dict(word.split("=", 1) for word in words)
+        table = options.pop("table", "sales_17.orders")
+        options.setdefault("bytes", b64encode(f"select a from {table}".encode()).decode())
         params = {"id": f"{int(number):016x}", "wait": 3000, "tenant": "acme", "cost": 50.0, "need_mb": 10}
-        for name, word in facts.items():
+        for name, word in options.items():
             params[name] = int(word) if word.isdigit() and name != "id" else word
             if word == "none":
                 del params[name]
@@ -550,8 +550,8 @@
 
         from thistlelever.wire.flight import columns
 
-        whole = columns.encode_table(pa.table({"c": pa.array([name + "x" * int(size)], pa.string())}))
-        self.engines[name].result = lambda statement: [whole[0], *whole[1:] * int(messages)]
+        encoded = columns.encode_table(pa.table({"c": pa.array([name + "x" * int(size)], pa.string())}))
+        self.engines[name].result = lambda statement: [encoded[0], *encoded[1:] * int(messages)]
 
     async def do_one_drains(self, serial):
         """Drain the engine that has the only dispatch, and wait until the front has the new list."""
@@ -593,9 +593,9 @@
 
     def parse_call(self, words):
         """Parse the words of a call: return its statement, client and headers."""
-        facts = dict(word.split("=", 1) for word in words)
-        table, client = facts.pop("table", "sales_17.orders"), facts.pop("client", "usual")
-        return f"select a from {table}", client, tuple(facts.items())
+        options = dict(word.split("=", 1) for word in words)
+        table, client = options.pop("table", "sales_17.orders"), options.pop("client", "usual")
+        return f"select a from {table}", client, tuple(options.items())
 
     def start_call(self, number, work):
         """Start a call in the background."""
@@ -609,14 +609,14 @@
         statement, name, headers = self.parse_call(words)
         headers += (("x-group", group),)
 
-        async def whole():
+        async def fetch():
             info = self.infos[number] = await client.info(self.channel(name), statement, headers)
             self.changed.set()
             return await client.get(
                 self.channel(name), info.endpoint[0].ticket, seen=self.message_list(number)
             )
 
-        self.start_call(number, whole())
+        self.start_call(number, fetch())
 
     def message_list(self, number):
         """Return a list that collects the messages of a call."""
@@ -729,10 +729,10 @@
     async def do_cancels(self, count):
         """Wait until the engines have received that many CancelFlightInfo actions."""
 
-        def heard():
+        def cancel_count():
             return sum(c == "CancelFlightInfo" for e in self.engines.values() for c, _, _ in e.calls)
 
-        await self.until(lambda: heard() >= int(count))
+        await self.until(lambda: cancel_count() >= int(count))
 
     async def do_cancel_heard(self, name):
         """Wait until that engine has received a CancelFlightInfo action."""
@@ -764,12 +764,12 @@
         headers += (("x-group", group),)
         never = asyncio.Event()
 
-        async def whole():
+        async def fetch():
             info = self.infos[number] = await client.info(self.channel(name), statement, headers)
             seen = self.message_list(number)
             return await client.get(self.channel(name), info.endpoint[0].ticket, seen=seen, pause=never)
 
-        self.start_call(number, whole())
+        self.start_call(number, fetch())
 
 
 @contextmanager
