--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -15,7 +15,7 @@
 
 import click
 
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.budgets.wait_estimator import MIN_SCORED_WAIT, WaitEstimator
 from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Operator, read
@@ -331,7 +331,7 @@
     """A victim's look-ups under another's flood, with budgets and without; waits as told beside as they
     were."""
     broken, figures = asyncio.run(run(seed, 40.0 if full else seconds, plot))
-    close("budgets", seed, broken, figures)
+    report_and_exit("budgets", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/capacity.py
+++ b/rigs/capacity.py
@@ -24,8 +24,8 @@
 
 from rigs import capacity_slopes as slopes
 from rigs.capacity_slopes import FULL, Sizes, Slope
-from rigs.verdict import Chance, close
-from rigs.yard import ROOT, Front
+from rigs.front_process import ROOT, Front
+from rigs.results import Chance, report_and_exit
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import GROUP, SETTINGS, configuration
@@ -332,7 +332,7 @@
     in_table(measured.slopes)
     figures = {"engines_a_datagram": slopes.most_in_a_datagram(), **worked_out()}
     found = {slope.name: in_json(slope) for slope in measured.slopes}
-    close("capacity", seed, measured.broken, {"full": full, "worked_out": figures, "slopes": found})
+    report_and_exit("capacity", seed, measured.broken, {"full": full, "worked_out": figures, "slopes": found})
 
 
 if __name__ == "__main__":
--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -17,8 +17,8 @@
 from rigs.membership_model import measure as play_membership
 from thistlelever.admission.decide import Front
 from thistlelever.carrier.directory import SERVICE_NAME, DirectoryClient
-from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
+from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.failure_detector import FailureDetector
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -1,5 +1,5 @@
 """A yard of many processes: real fronts on loopback, stand-in engines and a directory, and between all of
-them relays of ours. Every datagram of every ordered pair of fronts passes `Wire`; every connection to an
+them relays of ours. Every datagram of every ordered pair of fronts passes `Network`; every connection to an
 engine passes a relay of its front's own. Later rigs share it.
 
 A front binds one address and is known to the others by another, which the wire holds: so that what it sends
@@ -22,7 +22,7 @@
 from time import time
 
 from rigs.loopback import HOST, free_port
-from rigs.wire import Wire
+from rigs.network import Network
 from thistlelever.lifecycle import admin
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
@@ -45,7 +45,7 @@
     def __init__(self, fleet, place):
         self.fleet, self.place, self.name = fleet, place, f"front-{place}"
         self.real = (HOST, free_port(socket.SOCK_DGRAM))
-        self.known_as = fleet.wire.add(self.real)
+        self.known_as = fleet.network.add(self.real)
         self.host, self.port = HOST, free_port(socket.SOCK_STREAM)
         self.socket = f"{fleet.folder}/{place}.sock"
         self.operator = Path(fleet.folder) / f"operator-{place}.json"
@@ -244,7 +244,7 @@
         self.flight = [f"f-{place}" for place in range(flight)]
         if flight:
             self.sections = sections | {"flight": {"engines": self.flight}}
-        self.wire, self.fronts, self.clients, self.faults = Wire(chance), [], [], []
+        self.network, self.fronts, self.clients, self.faults = Network(chance), [], [], []
         self.temporary = tempfile.TemporaryDirectory()
         self.folder = self.temporary.name
 
@@ -297,7 +297,7 @@
                     await relay.stop()
         for engine in self.engines.values():
             await engine.stop()
-        self.wire.close()
+        self.network.close()
         self.temporary.cleanup()
 
     def traffic(self, every=0.05, wait_ms=2000):
--- a/rigs/flight.py
+++ b/rigs/flight.py
@@ -19,22 +19,22 @@
 from rigs.flight_line import LEAVERS, Line
 from rigs.flight_sabotage import LONG_SHARES, SABOTAGE
 from rigs.flight_terms import (
-    FLIGHT_FAULTS,
-    RETRY_FLOOR,
     DRAIN_GRACE_S,
+    DRAIN_SEEN_LATE_S,
+    FLIGHT_FAULTS,
     HELD_BYTES,
     HTTP_FAULTS,
-    DRAIN_SEEN_LATE_S,
+    KEY_REST_S,
     LIMIT_MS,
     LONG_SHARE,
-    KEY_REST_S,
-    RETRY_SHARE,
     MOST_OPEN_BATCHES,
+    RETRY_FLOOR,
+    RETRY_SHARE,
     RETRY_WINDOW_S,
     ZONES,
     settings,
 )
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.ground import config as front_config
 from thistlelever.ground.operator import Flight, Operator
 from thistlelever.lifecycle.run import FrontServer
@@ -431,7 +431,7 @@
 def main(seed, batches, full, sabotage):
     """Exactly one final answer a batch, by both doors and both kinds of engines, through every fault."""
     broken, figures = asyncio.run(run(seed, 20_000 if full else batches, sabotage))
-    close("flight", seed, broken, figures)
+    report_and_exit("flight", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/flight_cost.py
+++ b/rigs/flight_cost.py
@@ -10,8 +10,8 @@
 import pyarrow as pa
 from grpc import aio
 
-from rigs.verdict import close
-from rigs.yard import front
+from rigs.front_process import front
+from rigs.results import report_and_exit
 from thistlelever.standins import flight_client
 from thistlelever.standins.flight_engine import Engine as FlightEngine
 from thistlelever.standins.http_engine import Engine as HttpEngine
@@ -138,7 +138,7 @@
         broken.append("columns of 48,000 bytes cost more than the calls that bring them")
     if figures["rows_cost_against_columns_of_10_mb"] < BOUND:
         broken.append(f"columns of 10 MB under {BOUND:g} times cheaper a row")
-    close("flight_cost", seed, broken, rounded(figures))
+    report_and_exit("flight_cost", seed, broken, rounded(figures))
 
 
 def rounded(value):
--- a/rigs/flight_slow.py
+++ b/rigs/flight_slow.py
@@ -9,8 +9,8 @@
 import pyarrow as pa
 from grpc import aio
 
-from rigs.verdict import close
-from rigs.yard import front
+from rigs.front_process import front
+from rigs.results import report_and_exit
 from thistlelever.standins import flight_client
 from thistlelever.standins.flight_engine import Engine as FlightEngine
 from thistlelever.standins.papers import SETTINGS
@@ -101,7 +101,7 @@
         broken.append("memory rises")
     if figures["most_ahead_bytes"] > 3_000_000:
         broken.append("the engine is not held back")
-    close("flight_slow", seed, broken, figures)
+    report_and_exit("flight_slow", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/list_cost.py
+++ b/rigs/list_cost.py
@@ -15,13 +15,13 @@
 
 import click
 
+from rigs.results import report_and_exit
 from rigs.subsetting_model import engines_of
 from rigs.subsetting_ways import ZONES
-from rigs.verdict import close
 from thistlelever.admission.decide import Front
 from thistlelever.distribution.records import EngineRecord
-from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
+from thistlelever.ground import interface as it
 from thistlelever.standins.papers import SETTINGS, configuration
 from thistlelever.subsetting import EngineRing, FrontIdentity, Subset, SubsetParameters
 
@@ -135,7 +135,7 @@
                 broken.append(f"{count}: {name} is {after[name]}")
         if after["longest_ms"] > MOST_TURN:
             broken.append(f"{count}: one turn took {after['longest_ms']} ms")
-    close("list_cost", seed, broken, {"sizes": figures})
+    report_and_exit("list_cost", seed, broken, {"sizes": figures})
 
 
 if __name__ == "__main__":
--- a/rigs/membership.py
+++ b/rigs/membership.py
@@ -18,9 +18,9 @@
 import click
 
 from rigs.fleet import ROOT, Fleet
-from rigs.membership_judge import flat, judged
+from rigs.membership_checks import flat, judged
+from rigs.results import Chance, report_and_exit
 from rigs.sabotaged import GUARDS
-from rigs.verdict import Chance, close
 from thistlelever.standins.papers import SETTINGS
 
 GOAL, LIMIT_MS = 2.0, 2_000
@@ -46,24 +46,24 @@
         ]
 
     async def run(self):
-        fleet, wire = self.fleet, self.fleet.wire
+        fleet, network = self.fleet, self.fleet.network
         if await fleet.agree(10.0) is None:
             self.broken.append("views never agreed at the start")
         # So many late copies that each run has what guards against old incarnations are for.
-        wire.loss, wire.double, wire.jitter, wire.late = 0.2, 0.05, 0.02, 0.04
+        network.loss, network.double, network.jitter, network.late = 0.2, 0.05, 0.02, 0.04
         order = list(self.steps)
         for place in range(len(order) - 1, 0, -1):
             other = self.chance.below(place + 1, "order", place)
             order[place], order[other] = order[other], order[place]
         for step in order:
-            await wire.after(20 + self.chance.below(60, "rest", step.__name__))
+            await network.after(20 + self.chance.below(60, "rest", step.__name__))
             await step()
             if (took := await fleet.agree(AGREE)) is None:
                 self.broken.append(f"views do not agree after: {step.__name__}")
             else:
                 self.healing.append(took)
         for name in ("loss", "double", "jitter", "late"):
-            setattr(wire, name, 0.0)
+            setattr(network, name, 0.0)
 
     def one(self, what):
         return self.fleet.fronts[self.chance.below(self.fleet.many, what)]
@@ -77,10 +77,10 @@
         a, b = self.one("one way from").place, self.one("one way to").place
         b = (b + (a == b)) % self.fleet.many
         told = self.fleet.fault("pair", a, b)
-        self.fleet.wire.cuts.add((a, b))
+        self.fleet.network.cuts.add((a, b))
         # Long enough that the share of it in doubt is no matter of one late datagram.
-        await self.fleet.wire.after(self.datagrams(3.0))
-        self.fleet.wire.cuts.clear()
+        await self.fleet.network.after(self.datagrams(3.0))
+        self.fleet.network.cuts.clear()
         self.fleet.end(told)
 
     async def pause(self, kind, seconds):
@@ -119,11 +119,11 @@
         front = self.one("one to all")
         told = self.fleet.fault("cut off", front.name)
         others = [other for other in self.fleet.fronts if other is not front]
-        self.fleet.wire.cuts |= {(front.place, other.place) for other in others}
-        await self.fleet.wire.after(self.datagrams(1.5))
+        self.fleet.network.cuts |= {(front.place, other.place) for other in others}
+        await self.fleet.network.after(self.datagrams(1.5))
         if not ((await front.ask("members.show")) or {}).get("alone"):
             self.broken.append("own health: a front that nobody answers does not say that it is alone")
-        self.fleet.wire.cuts.clear()
+        self.fleet.network.cuts.clear()
         self.fleet.end(told)
 
     async def halves(self):
@@ -134,13 +134,13 @@
         told = self.fleet.fault("halves", [f.name for f in one], [f.name for f in other])
         for a in one:
             for b in other:
-                self.fleet.wire.cuts |= {(a.place, b.place), (b.place, a.place)}
-        await self.fleet.wire.after(self.datagrams(0.8))
+                self.fleet.network.cuts |= {(a.place, b.place), (b.place, a.place)}
+        await self.fleet.network.after(self.datagrams(0.8))
         victim = other[self.chance.below(len(other), "halves' victim")]
         died = self.fleet.fault("killed", victim.name)
         await victim.kill()
-        await self.fleet.wire.after(self.datagrams(0.8))
-        self.fleet.wire.cuts.clear()
+        await self.fleet.network.after(self.datagrams(0.8))
+        self.fleet.network.cuts.clear()
         self.fleet.end(told)
         await victim.start()
         self.fleet.end(died)
@@ -217,7 +217,7 @@
         play = Play(fleet, chance)
         if not membership:
             fleet.agree = lambda within, living=None: asyncio.sleep(0.5, 0.5)
-            fleet.wire.after = lambda datagrams: asyncio.sleep(datagrams / PACE / fronts)
+            fleet.network.after = lambda datagrams: asyncio.sleep(datagrams / PACE / fronts)
         began = time()
         await play.run()
         await asyncio.sleep(0.3)
@@ -231,9 +231,9 @@
             figures["views_agree"] = digests == {fronts} and alive == {""}
             if not figures["views_agree"]:
                 broken.append("views do not agree at the end")
-            wire = fleet.wire
-            figures |= {"datagrams": wire.passed, "lost": wire.lost, "longest": wire.longest}
-            if fleet.wire.longest > 256:
+            network = fleet.network
+            figures |= {"datagrams": network.passed, "lost": network.lost, "longest": network.longest}
+            if fleet.network.longest > 256:
                 broken.append("a datagram of more than 256 bytes")
         for client in fleet.clients:
             client.task.cancel()
@@ -266,7 +266,7 @@
         figures["in_time_without"] = without["in_time"]
         if figures["in_time"] < without["in_time"] - 0.01:
             broken.append("fewer batches in time than without membership")
-    close("membership", seed, broken, {"fronts": fronts, **figures})
+    report_and_exit("membership", seed, broken, {"fronts": fronts, **figures})
 
 
 if __name__ == "__main__":
--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -13,7 +13,7 @@
 
 import click
 
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.membership.config import MembershipConfig
 from thistlelever.membership.failure_detector import FailureDetector
 from thistlelever.membership.member import Member
@@ -308,7 +308,7 @@
         broken.append("a live member was held dead")
     if found["ours"]["missed"]:
         broken.append("a death was not known to all")
-    close("membership_model", seed, broken, {"members": members, "loss": loss, **found["ours"]})
+    report_and_exit("membership_model", seed, broken, {"members": members, "loss": loss, **found["ours"]})
 
 
 if __name__ == "__main__":
--- a/rigs/wire.py
+++ b/rigs/network.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 
-class Wire:
+class Network:
     """Datagrams between fronts: lost, doubled, late, out of order or cut one way, by the seed and how many
     came before on the same pair."""
 
--- a/rigs/publisher_loss.py
+++ b/rigs/publisher_loss.py
@@ -19,7 +19,7 @@
 
 from rigs.fleet import ROOT
 from rigs.loopback import HOST, free_port
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 
 ENGINES, ELECTION_AFTER_S, LONGEST_LOSS_S, CALM_S = 2_000, 5.0, 12.0, 4.0
 START_WITHIN_S, TRY_EVERY_S = 20.0, 0.05
@@ -138,7 +138,7 @@
 def main(seed, distributors, losses):
     """Play it and print the verdict."""
     broken, figures = asyncio.run(played(seed, distributors, losses))
-    close("publisher_loss", seed, broken, figures)
+    report_and_exit("publisher_loss", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/restart.py
+++ b/rigs/restart.py
@@ -19,7 +19,7 @@
 
 import click
 
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.ledger import records
 from thistlelever.ledger.file import LedgerFile
 from thistlelever.ledger.records import ListedEngine, Timestamp
@@ -279,7 +279,7 @@
         cell = dict(zip(("age", "dead", "away_s"), where, strict=True))
         print(json.dumps(cell | {"kept": kept, "today": today}))
     old = [(k, t) for (age, dead, _), k, t in rows if AGES[age] > 30 and dead]
-    close(
+    report_and_exit(
         "restart",
         seed,
         broken,
--- a/rigs/verdict.py
+++ b/rigs/results.py
@@ -33,7 +33,7 @@
         return weighted[-1][1]
 
 
-def close(rig, seed, broken, figures):
+def report_and_exit(rig, seed, broken, figures):
     """Print the figures, say whether it holds, and end with the exit code that says the same."""
     holds = not broken
     print(json.dumps({"rig": rig, "seed": seed, "holds": holds, "broken_rules": broken, **figures}))
--- a/rigs/scale.py
+++ b/rigs/scale.py
@@ -14,6 +14,7 @@
 
 import click
 
+from rigs.results import Chance, report_and_exit
 from rigs.scale_before import before
 from rigs.scale_book import Catalog
 from rigs.scale_figures import broken_rules, comparison_figures, judged, steady_figures
@@ -22,7 +23,6 @@
 from rigs.scale_steps import Steps
 from rigs.scale_verdict import Content
 from rigs.scale_yard import FULL, SMALL, Programs, Size, Yard
-from rigs.verdict import Chance, close
 from thistlelever.subsetting import FrontIdentity
 
 STEADY_S, STEADY_FULL_S, STEADY_SABOTAGED_S = 5.0, 20.0, 2.0
@@ -152,7 +152,7 @@
         run = run._replace(programs=programs, steady_s=STEADY_SABOTAGED_S, faults=SHOWN_BY[sabotage])
     broken, figures = asyncio.run(played(run))
     figures = {"fronts": size.fronts, "engines": size.engines, "distributors": size.distributors} | figures
-    close("scale", seed, broken + broken_rules(figures), figures)
+    report_and_exit("scale", seed, broken + broken_rules(figures), figures)
 
 
 if __name__ == "__main__":
--- a/rigs/scale_relay.py
+++ b/rigs/scale_relay.py
@@ -6,8 +6,8 @@
 from contextlib import suppress
 from time import monotonic
 
+from rigs.results import Chance
 from rigs.scale_child import commands
-from rigs.verdict import Chance
 from thistlelever.distribution import codec
 
 # Where all relays listen, each at a port that the system gives.
--- a/rigs/subsetting_model.py
+++ b/rigs/subsetting_model.py
@@ -16,8 +16,8 @@
 
 import click
 
+from rigs.results import Chance, report_and_exit
 from rigs.subsetting_ways import ENGINES, WAYS, ZONES, Chosen, FirstEngines, Way
-from rigs.verdict import Chance, close
 from thistlelever.distribution.records import EngineRecord
 from thistlelever.subsetting import FrontIdentity
 
@@ -217,7 +217,7 @@
             print(json.dumps({"way": name, "engines": count, **found}), flush=True)
             if name == "chosen":
                 broken += faults(count, found)
-    close("subsetting_model", seed, broken, {"fronts": fronts, "ways": figures})
+    report_and_exit("subsetting_model", seed, broken, {"fronts": fronts, "ways": figures})
 
 
 if __name__ == "__main__":
--- a/rigs/system_calls.py
+++ b/rigs/system_calls.py
@@ -19,7 +19,7 @@
 
 import click
 
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import configuration
@@ -307,9 +307,11 @@
             play = asyncio.run(one(folder, asyncio.Semaphore(1), call, error, number))
         for line in play.lines:
             print(json.dumps(line))
-        close("system_calls", seed, play.broken, {"answers": {str(k): v for k, v in play.answers.items()}})
+        report_and_exit(
+            "system_calls", seed, play.broken, {"answers": {str(k): v for k, v in play.answers.items()}}
+        )
     broken, figures = asyncio.run(whole(seed, share, all_errors))
-    close("system_calls", seed, broken, figures)
+    report_and_exit("system_calls", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/takeover.py
+++ b/rigs/takeover.py
@@ -17,12 +17,12 @@
 import click
 
 from rigs.fleet import Fleet
+from rigs.results import Chance, report_and_exit
 from rigs.sabotaged import WORK_GUARDS
+from rigs.takeover_checks import judged, judged_answers
 from rigs.takeover_clients import Clients
-from rigs.takeover_engines import Machines
-from rigs.takeover_judge import judged, judged_answers
+from rigs.takeover_engines import EngineRuns
 from rigs.takeover_terms import GIVES_UP, GROUPS, GROWN, KEEP, settings
-from rigs.verdict import Chance, close
 
 # Counts of the fronts that are shown, beside takeover's own: by how they begin.
 COUNTED = ("work ", "silent clients closed", "connections past the bound", "idle clients closed")
@@ -35,8 +35,8 @@
 class Play:
     """What is done to the fleet, in the order and at the counts that the seed gives."""
 
-    def __init__(self, fleet, chance, machines, clients, membership=True):
-        self.fleet, self.chance, self.machines, self.clients = fleet, chance, machines, clients
+    def __init__(self, fleet, chance, engine_runs, clients, membership=True):
+        self.fleet, self.chance, self.engine_runs, self.clients = fleet, chance, engine_runs, clients
         self.broken, self.kills, self.lost_engines, self.round = [], [], [], 0
         self.done = []
         self.steps = [
@@ -57,8 +57,8 @@
             self.broken.append("views never agreed at the start")
         self.round += 1
         order = sorted(self.steps, key=lambda step: self.chance.share("order", self.round, step.__name__))
-        wire = self.fleet.wire
-        wire.loss, wire.double, wire.jitter = 0.05, 0.02, 0.005
+        network = self.fleet.network
+        network.loss, network.double, network.jitter = 0.05, 0.02, 0.005
         loop = asyncio.get_running_loop()
         for step in order:
             await self.in_hand(self.one("rest " + step.__name__))
@@ -66,7 +66,7 @@
             await step()
             self.done.append((step.__name__, began, loop.time()))
             await self.fleet.agree(5.0)
-        wire.loss = wire.double = wire.jitter = 0.0
+        network.loss = network.double = network.jitter = 0.0
 
     def one(self, what):
         return self.fleet.fronts[self.chance.below(self.fleet.many, self.round, what)]
@@ -74,11 +74,11 @@
     async def in_hand(self, front, many=2):
         """Until so many batches that may not simply run twice are at work for that front; one that gets few
         has its fault all the same."""
-        machines, stir = self.machines, self.fleet.stir
+        engine_runs, stir = self.engine_runs, self.fleet.stir
         with suppress(TimeoutError):
-            await asyncio.wait_for(self.at_work(front, many, machines, stir), 5)
+            await asyncio.wait_for(self.at_work(front, many, engine_runs, stir), 5)
 
-    async def at_work(self, front, many, machines, stir):
+    async def at_work(self, front, many, engine_runs, stir):
         while True:
             mine = {
                 t.txn
@@ -86,7 +86,7 @@
                 for t in r.tries
                 if t.front is front and r.group != "lookup"
             }
-            if sum(run.ended is None for txn, run in machines.of_txn.items() if txn in mine) >= many:
+            if sum(run.ended is None for txn, run in engine_runs.of_txn.items() if txn in mine) >= many:
                 return
             stir.clear()
             await stir.wait()
@@ -177,9 +177,9 @@
         front = self.one(what)
         await self.in_hand(front)
         others = [other for other in self.fleet.fronts if other is not front]
-        self.fleet.wire.cuts |= {pair for other in others for pair in pairs(front.place, other.place)}
+        self.fleet.network.cuts |= {pair for other in others for pair in pairs(front.place, other.place)}
         await asyncio.sleep(1.6)
-        self.fleet.wire.cuts.clear()
+        self.fleet.network.cuts.clear()
 
     async def mute(self):
         """It hears the others, they don't hear it, and it serves on."""
@@ -227,13 +227,13 @@
     sections = {"membership": {"tier": "yard"}} | ({"takeover": {"keep_s": KEEP}} if takeover else {})
     async with Fleet(chance, fronts, 2, sections, settings(), program, flight=1) as fleet:
         began = time()
-        machines = Machines(fleet)
-        sweeping = asyncio.create_task(machines.sweeping())
+        engine_runs = EngineRuns(fleet)
+        sweeping = asyncio.create_task(engine_runs.sweeping())
         if takeover:
             # Until all places know all that they should.
             await asyncio.sleep(GROWN)
         clients = Clients(fleet, chance, every)
-        play = Play(fleet, chance, machines, clients)
+        play = Play(fleet, chance, engine_runs, clients)
         while True:
             await play.run()
             if len(clients.requests) >= batches:
@@ -242,7 +242,7 @@
         async with asyncio.timeout(END_WITHIN):
             while any(a.over_at is None or not a.outcome for a in clients.requests) or clients.owed():
                 await asyncio.sleep(0.1)
-        broken, figures = judged(fleet, play, machines, clients)
+        broken, figures = judged(fleet, play, engine_runs, clients)
         if figures["unanswered"]:
             # Whether those answers were late or never came.
             await asyncio.sleep(LATE_WITHIN)
@@ -292,7 +292,7 @@
                 "wrongly_harmless",
             )
         }
-    close("takeover", seed, broken, {"fronts": fronts, **figures})
+    report_and_exit("takeover", seed, broken, {"fronts": fronts, **figures})
 
 
 if __name__ == "__main__":
--- a/rigs/takeover_judge.py
+++ b/rigs/takeover_checks.py
@@ -20,10 +20,10 @@
 }
 
 
-def judged(fleet, play, machines, clients):
+def judged(fleet, play, engine_runs, clients):
     """Figures, and what is broken."""
     answers, outcomes = judged_answers(fleet, clients)
-    twice, most_out, wrongly_harmless, differing = judged_effects(machines, clients)
+    twice, most_out, wrongly_harmless, differing = judged_effects(engine_runs, clients)
     events = Counter(line["event"] for front in fleet.fronts for line in front.lines)
     heirs = owners_at_once(fleet)
     broken = list(play.broken) + differing
@@ -53,7 +53,7 @@
         "owners_at_once": heirs,
         "wrongly_harmless": wrongly_harmless,
         **{name: events[event] for name, event in COUNTED.items()},
-        **served(play, machines, clients),
+        **served(play, engine_runs, clients),
     }
 
 
@@ -120,7 +120,7 @@
     return found
 
 
-def judged_effects(machines, clients):
+def judged_effects(engine_runs, clients):
     """Once-only requests that ran twice, the most runs of one at once, tries that were told harmless though
     they ran, and a line for each request whose results differ."""
     twice, most_out, wrongly_harmless, differing = 0, 0, 0, []
@@ -128,9 +128,11 @@
         if asked.group == "lookup":
             continue
         if asked.group == "pay":
-            twice += sum(not run.repeat for run in machines.runs[asked.mark]) > 1
-            most_out = max(most_out, machines.most_out[asked.mark])
-            wrongly_harmless += sum(t.what == "pushed back" and t.txn in machines.of_txn for t in asked.tries)
+            twice += sum(not run.repeat for run in engine_runs.runs[asked.mark]) > 1
+            most_out = max(most_out, engine_runs.most_out[asked.mark])
+            wrongly_harmless += sum(
+                t.what == "pushed back" and t.txn in engine_runs.of_txn for t in asked.tries
+            )
         if len(asked.results()) > 1:
             differing.append(f"one outcome: {sorted(asked.results())}")
     return twice, most_out, wrongly_harmless, differing
@@ -154,7 +156,7 @@
     return max(most, 1)
 
 
-def served(play, machines, clients):
+def served(play, engine_runs, clients):
     """What became of requests whose front was killed, and what engines did for nobody."""
     shares, after, beyond = defaultdict(list), [], []
     for asked in clients.requests:
@@ -166,11 +168,11 @@
         if not good:
             continue
         after.append(asked.over_at - at)
-        ends = [run.ended for run in machines.runs[asked.mark] if run.ended]
+        ends = [run.ended for run in engine_runs.runs[asked.mark] if run.ended]
         came = [one.at for one in asked.tries if one.at > at]
         if ends and came:
             beyond.append(max(asked.over_at - max(ends[0], came[0]), 0.0))
-    wasted, spent = engine_seconds(machines, clients)
+    wasted, spent = engine_seconds(engine_runs, clients)
     over = done(clients)
     in_time = sum(a.outcome == "returned" and a.over_at - a.at <= GOAL for a in over) / max(len(over), 1)
     return {
@@ -196,12 +198,12 @@
     return None
 
 
-def engine_seconds(machines, clients):
+def engine_seconds(engine_runs, clients):
     """What engines worked for nobody, and in all."""
     now = asyncio.get_running_loop().time()
-    runs = [run for of_one in machines.runs.values() for run in of_one]
+    runs = [run for of_one in engine_runs.runs.values() for run in of_one]
     brought = {
-        run.txn for a in clients.requests if a.outcome == "returned" for run in machines.runs[a.mark][-1:]
+        run.txn for a in clients.requests if a.outcome == "returned" for run in engine_runs.runs[a.mark][-1:]
     }
     wasted = sum(
         (run.ended or min(now, run.began + DROPS_AFTER)) - run.began for run in runs if run.txn not in brought
--- a/rigs/takeover_cost.py
+++ b/rigs/takeover_cost.py
@@ -15,8 +15,8 @@
 import click
 
 from rigs.fleet import Fleet
+from rigs.results import Chance, report_and_exit
 from rigs.takeover_terms import settings
-from rigs.verdict import Chance, close
 
 TICKS = os.sysconf("SC_CLK_TCK")
 # Of ten batches so many carry a mark and may not run twice; and the same where all do.
@@ -97,8 +97,8 @@
         await load.play(rate, 1.0)
         load.took, load.said = {"marked": [], "unmarked": []}, {}
         if silent:
-            fleet.wire.cuts |= {(other.place, front.place) for other in fleet.fronts[1:]}
-        bytes_before, began = fleet.wire.bytes, cpu(front)
+            fleet.network.cuts |= {(other.place, front.place) for other in fleet.fronts[1:]}
+        bytes_before, began = fleet.network.bytes, cpu(front)
         sent = await load.play(rate, seconds)
         spent = cpu(front) - began
         said = await front.ask("inhand.show") if "takeover" in sections else None
@@ -106,7 +106,7 @@
             "waits_ms": said and said["waits_ms"],
             "batches": sent,
             "cpu_ms_a_batch": round(spent / sent * 1e3, 4),
-            "bytes_a_batch": round((fleet.wire.bytes - bytes_before) / sent, 1),
+            "bytes_a_batch": round((fleet.network.bytes - bytes_before) / sent, 1),
             "marked_ms": spread(load.took["marked"]),
             "unmarked_ms": spread(load.took["unmarked"]),
             "said": load.said,
@@ -133,7 +133,7 @@
             print(json.dumps({"mix": mix, "way": way, **found}), flush=True)
         off, on = figures[f"{mix}, off"], figures[f"{mix}, on"]
         figures[f"{mix}, cpu on to off"] = round(on["cpu_ms_a_batch"] / off["cpu_ms_a_batch"], 3)
-    close("takeover_cost", seed, [], figures)
+    report_and_exit("takeover_cost", seed, [], figures)
 
 
 if __name__ == "__main__":
--- a/rigs/takeover_engines.py
+++ b/rigs/takeover_engines.py
@@ -17,7 +17,7 @@
         self.began, self.ended, self.repeat = began, None, repeat
 
 
-class Machines:
+class EngineRuns:
     """What all engines run, by the marks that statements carry: starts, effects, how many are out at once."""
 
     def __init__(self, fleet):
--- a/rigs/takeover_model.py
+++ b/rigs/takeover_model.py
@@ -15,7 +15,7 @@
 
 import click
 
-from rigs.verdict import close
+from rigs.results import report_and_exit
 from thistlelever.takeover import lease_manager
 from thistlelever.takeover.facts import (
     Liveness,
@@ -369,7 +369,7 @@
         figures[name] = {"states": states, "ends": len(ends)}
         if way:
             broken.append(f"two runs, {name}: {way}")
-    close("takeover_model", seed, broken, figures)
+    report_and_exit("takeover_model", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -16,7 +16,7 @@
 import click
 
 from rigs.fleet import Fleet
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.standins.papers import GROUP, SETTINGS
 from thistlelever.takeover.placement import Placement
 from thistlelever.wire import peers, work
@@ -60,7 +60,7 @@
         self.engine.result, self.act = lambda statement: ROWS, self.engine.act
         self.engine.act = self.call
         self.relay, self.case = self.owner.relays["e-0"], None
-        fleet.wire.takes = self.datagram
+        fleet.network.takes = self.datagram
         self.placement = Placement(tuple(f.known_as for f in fleet.fronts), 3)
         self.numbers, self.marks, self.real = count(1), count(1), self.relay.carry
         self.relay.carry = self.bytes_there
@@ -296,7 +296,7 @@
 @click.option("--faults", type=click.Choice(sorted(FAULTS)), multiple=True)
 def main(seed, steps, faults):
     broken, cases = asyncio.run(played(steps or STEPS, faults or FAULTS))
-    close("takeover_steps", seed, broken, {"cases": len(cases), "ran": sum(c.runs for c in cases)})
+    report_and_exit("takeover_steps", seed, broken, {"cases": len(cases), "ran": sum(c.runs for c in cases)})
 
 
 if __name__ == "__main__":
--- a/tests/test_rig_ports.py
+++ b/tests/test_rig_ports.py
@@ -17,7 +17,7 @@
 
 from rigs.fleet import Fleet, NotStartedError
 from rigs.loopback import HOST, connect_and_send, free_port
-from rigs.verdict import Chance
+from rigs.results import Chance
 from thistlelever.standins.papers import SETTINGS
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,8 +11,8 @@
 import pytest
 from test_moments import served
 
+from rigs.results import Chance
 from rigs.system_calls import one, planned, whole
-from rigs.verdict import Chance
 
 CASES = (
     # The directory's socket, the listening one, at the start.
