--- a/rigs/front_process.py
+++ b/rigs/front_process.py
@@ -1,5 +1,4 @@
-"""A front in a process of its own, as it is served, among stand-ins in this one: for what is measured of
-it."""
+"""Runs a front in a separate process, with fake engines and a fake directory here, for measurements."""
 
 import asyncio
 import json
@@ -12,40 +11,48 @@
 from thistlelever.standins.directory import beside
 from thistlelever.standins.papers import configuration
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ROOT = Path(__file__).parents[1]
 
 
 class Front:
-    """The front's process, and what it takes of the machine."""
+    """A running front: its addresses and its resource usage."""
 
     def __init__(self, process, ready):
         self.process, self.listen, self.flight = process, ready["listen"], ready.get("flight")
 
     def cpu(self):
-        """Seconds of CPU so far."""
+        """Returns the CPU time used so far, user and system, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
     def memory_mb(self):
+        """Returns the resident memory in MiB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0]) / 1024
 
 
 @asynccontextmanager
 async def front(engines, settings, operator=None):
-    """A front that knows these engines, by name; ended by SIGTERM."""
+    """Starts a front that knows the given engines (name -> fake engine) and yields it as a `Front`.
+
+    `operator` is the content of an operator file. On exit the front gets SIGTERM and the engines are stopped.
+    Raises TimeoutError when the front is not ready within 20 s.
+    """
     directory, known = await beside(asyncio.Event(), engines)
     with tempfile.TemporaryDirectory() as folder:
-        told = Path(folder) / "config.json"
-        told.write_text(json.dumps(configuration(known, f"127.0.0.1:{directory.port}", settings)))
-        words = [sys.executable, "-O", "-m", "thistlelever", "serve"]
+        config = Path(folder) / "config.json"
+        config.write_text(json.dumps(configuration(known, f"127.0.0.1:{directory.port}", settings)))
+        command = [sys.executable, "-O", "-m", "thistlelever", "serve"]
         if operator:
             extra = Path(folder) / "operator.json"
             extra.write_text(json.dumps(operator))
-            words += ["--operator", str(extra)]
+            command += ["--operator", str(extra)]
         process = await asyncio.create_subprocess_exec(
-            *words, cwd=ROOT, env=os.environ | {"BALANCER_CONFIG": str(told)}, stdout=asyncio.subprocess.PIPE
+            *command,
+            cwd=ROOT,
+            env=os.environ | {"BALANCER_CONFIG": str(config)},
+            stdout=asyncio.subprocess.PIPE,
         )
         try:
             async with asyncio.timeout(20):
--- a/rigs/loop_lag.py
+++ b/rigs/loop_lag.py
@@ -1,26 +1,26 @@
-"""How late an event loop of a rig comes to what is due: what a rig measures is no better than that."""
+"""Measures the lag of a rig's event loop, which bounds the accuracy of what the rig measures."""
 
 from time import monotonic
 
 from thistlelever.carrier.pulse import Pulse
 
-# The lag from which on it is kept with its moment, in seconds.
-KEPT_FROM_S = 0.25
+# Lags from this length on are recorded.
+MIN_RECORDED_LAG_S = 0.25
 
 
 class LoopLag(Pulse):
-    """A front's own measure, which keeps each long lag as (the moment of its end, seconds)."""
+    """The lag monitor of the front; also records each long lag as (end on the monotonic clock, seconds)."""
 
     def __init__(self):
         super().__init__()
-        self.kept = []
+        self.recorded = []
 
     def felt(self, late):
         super().felt(late)
-        if late >= KEPT_FROM_S:
-            self.kept.append((monotonic(), late))
+        if late >= MIN_RECORDED_LAG_S:
+            self.recorded.append((monotonic(), late))
 
 
-def lag_between(kept, since, till):
-    """How much of a span a loop stood still in lags that were kept."""
-    return sum(max(min(end, till) - max(end - late, since), 0.0) for end, late in kept)
+def lag_between(recorded, since, until):
+    """Returns for how many seconds between `since` and `until` the loop was blocked by recorded lags."""
+    return sum(max(min(end, until) - max(end - late, since), 0.0) for end, late in recorded)
--- a/rigs/loopback.py
+++ b/rigs/loopback.py
@@ -1,5 +1,5 @@
-"""Addresses on loopback that no other process takes between a rig's choice and the bind that follows, and
-connections there that say their first words as they come up."""
+"""Loopback addresses that no other process can take before a rig binds them, and connections that send their
+first bytes as soon as they are established."""
 
 import asyncio
 import errno
@@ -9,47 +9,51 @@
 
 
 def own_host():
-    """A loopback address of this process alone: 127.64.0.0 and the 22 bits of its number.
+    """Returns a loopback address of this process alone: 127.64.0.0 plus the low 22 bits of its process id.
 
-    A port chosen there is taken neither by another rig nor by a connection that goes out, as those come
-    from 127.0.0.1 and draw their ports from the same range.
+    A port chosen there cannot be taken by another rig or by an outgoing connection: those use 127.0.0.1 and
+    draw their ports from the same ephemeral range.
     """
-    number = os.getpid()
-    return f"127.{64 + (number >> 16 & 63)}.{number >> 8 & 255}.{number & 255}"
+    pid = os.getpid()
+    return f"127.{64 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
 
 
 HOST = own_host()
-_told = defaultdict(set)
+_issued = defaultdict(set)
 
 
 def free_port(kind, host=HOST):
-    """A port of a kind of socket that is free there, told once: who starts again binds it again."""
+    """Returns a free port for a kind of socket (SOCK_STREAM or SOCK_DGRAM) on `host`.
+
+    Each port is issued once, so that a front that restarts can bind its port again.
+    """
     while True:
         with socket.socket(socket.AF_INET, kind) as raw:
             raw.bind((host, 0))
             port = raw.getsockname()[1]
-        if port not in _told[kind]:
-            _told[kind].add(port)
+        if port not in _issued[kind]:
+            _issued[kind].add(port)
             return port
 
 
 async def connect_and_send(address, data):
-    """A reader and a writer of a connection whose first bytes leave in the same turn of the loop.
+    """Connects and sends `data` in the same iteration of the event loop; returns a reader and a writer.
 
-    `asyncio.open_connection` gives the loop back before its caller can write; where that loop lags, the other
-    side has closed a client that said nothing by then. Raises OSError where nobody listens.
+    `asyncio.open_connection` yields to the loop before its caller can write. When the loop lags, the server
+    may by then have closed the connection because the client sent nothing. Raises OSError when the
+    connection fails.
     """
     raw = socket.socket()
     try:
         raw.setblocking(False)
-        failed = raw.connect_ex(address)
-        if failed not in (0, errno.EINPROGRESS):
-            raise OSError(failed, os.strerror(failed))
+        code = raw.connect_ex(address)
+        if code not in (0, errno.EINPROGRESS):
+            raise OSError(code, os.strerror(code))
         try:
             sent = raw.send(data)
         except BlockingIOError:
             sent = 0
-            # On Linux a second call tells how the first ended.
+            # On Linux a second connect() reports the result of the first.
             await asyncio.get_running_loop().sock_connect(raw, address)
         await asyncio.get_running_loop().sock_sendall(raw, data[sent:])
         return await asyncio.open_connection(sock=raw)
--- a/rigs/results.py
+++ b/rigs/results.py
@@ -1,4 +1,4 @@
-"""What all rigs share: chance from a seed alone, and the last line with its exit code."""
+"""Shared by all rigs: seeded random draws, and the final line of results with its exit code."""
 
 import json
 import sys
@@ -6,35 +6,41 @@
 
 
 class Chance:
-    """Numbers that hang on the seed and on what they are for, never on what happened before: so that a
-    change in one place of a scenario leaves the others as they were."""
+    """Random draws that depend only on the seed and on labels, not on earlier draws.
+
+    A change in one place of a scenario therefore leaves the draws in all others unchanged.
+    """
 
     def __init__(self, seed):
         self.seed = seed
 
     def share(self, *what):
-        """From 0 up to 1. The sum is mixed, as crc32 alone is linear: of like words it gives like numbers,
-        and whole kinds of faults would never come under one seed."""
+        """Returns a number from 0 (inclusive) to 1 (exclusive).
+
+        The checksum is mixed further because crc32 is linear: similar labels would give similar numbers, and
+        with some seeds whole kinds of faults would never occur.
+        """
         x = crc32(" ".join(map(str, (self.seed, *what))).encode())
         x = (x ^ x >> 16) * 0x85EBCA6B & 0xFFFFFFFF
         x = (x ^ x >> 13) * 0xC2B2AE35 & 0xFFFFFFFF
         return (x ^ x >> 16) / 2**32
 
     def below(self, most, *what):
+        """Returns an integer from 0 to `most` - 1."""
         return int(self.share(*what) * most)
 
     def among(self, weighted, *what):
-        """One of (weight, thing), each as often as its weight says."""
+        """Returns one item of `weighted`, pairs (weight, item); the probability is proportional to the weight."""
         left = self.share(*what) * sum(weight for weight, _ in weighted)
-        for weight, thing in weighted:
+        for weight, item in weighted:
             left -= weight
             if left < 0:
-                return thing
+                return item
         return weighted[-1][1]
 
 
 def report_and_exit(rig, seed, broken, figures):
-    """Print the figures, say whether it holds, and end with the exit code that says the same."""
+    """Prints the result as one line of JSON and exits: 0 when no rule is broken, 1 otherwise."""
     holds = not broken
     print(json.dumps({"rig": rig, "seed": seed, "holds": holds, "broken_rules": broken, **figures}))
     sys.exit(0 if holds else 1)
--- a/rigs/sabotaged.py
+++ b/rigs/sabotaged.py
@@ -1,5 +1,8 @@
-"""The front with one guard taken out on purpose, for rigs that have to say no: `python -m rigs.sabotaged
-serve`, where SABOTAGE names the guard."""
+"""A front with one safeguard disabled, to verify that a rig detects the fault.
+
+Start it with `python -m rigs.sabotaged serve`; the environment variable SABOTAGE names the safeguard. An
+unknown name raises KeyError.
+"""
 
 import os
 
@@ -14,22 +17,22 @@
 
 
 def health():
-    """A front that believes itself well whatever befalls it."""
+    """Disables the checks by which a front notices its own pauses, isolation and poor local health."""
     FailureDetector.check_for_pause = lambda self, now: setattr(self, "last_tick_at", now)
     FailureDetector.isolation_reason = lambda self, now: "" if self.joined else "no word yet"
     LocalHealth.worsen = lambda self, by: None
 
 
 def detour():
-    """Nobody is asked to try for another, and nobody that hears of a suspicion sees for itself."""
+    """Disables indirect probes: no other member is asked to probe a member that does not acknowledge."""
     Prober.request_indirect_probes = lambda self, nonce, member: 0
 
 
 def incarnation():
-    """What is said of a life long past is believed of the present one."""
+    """Applies gossip updates about an earlier incarnation of a member to its current incarnation."""
     merge = Merger.merge
 
-    def believing(self, now, update, by):
+    def merge_stale(self, now, update, by):
         member = self.table.get(update.name)
         if (
             member
@@ -41,22 +44,24 @@
             )
         merge(self, now, update, by)
 
-    Merger.merge = believing
+    Merger.merge = merge_stale
 
 
 def promise():
-    """A replica that accepts every claim and does not say what it knows."""
+    """Makes a replica accept every claim without reporting the state it holds."""
     Replica.claim = lambda self, now, message: Message(
         Verb.YES, message.nonce, message.key, message.epoch, message.owner, lease_ms=message.lease_ms
     )
 
 
 def fate():
-    """A run that another front has started is started again when its client submits again."""
+    """Starts a batch again on resubmission although another front has already started it."""
     LeaseService.adopt_run = lambda self, batch, value, query_class: True
 
 
+# Safeguards of membership, by the name of the sabotage.
 GUARDS = {"health": health, "detour": detour, "incarnation": incarnation}
+# Safeguards of takeover, by the name of the sabotage.
 WORK_GUARDS = {"promise": promise, "fate": fate}
 
 if __name__ == "__main__":
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -224,7 +224,7 @@
         return core
 
     async def collect(self):
-        return self.log.told() | {"lags": self.lag.kept}
+        return self.log.told() | {"lags": self.lag.recorded}
 
     async def holdings(self):
         return [front.holding() for front in self.fronts]
--- a/rigs/side_by_side.py
+++ b/rigs/side_by_side.py
@@ -1,7 +1,7 @@
-"""One rig many times, several runs at once: for what comes only under load, or rarely.
+"""Runs one rig many times, several runs in parallel, to find failures that are rare or occur only under load.
 
-`python -m rigs.side_by_side membership --first 6001 --seeds 32 --rounds 3 --at-once 8` plays 96 runs and
-prints each that does not hold, then how many held; the exit code is 0 where all did.
+`python -m rigs.side_by_side membership --first 6001 --seeds 32 --rounds 3 --at-once 8` performs 96 runs,
+prints the result of each that fails, then the counts. The exit code is 0 when all runs held, else 1.
 """
 
 import json
@@ -14,18 +14,18 @@
 
 from rigs.fleet import ROOT
 
-# The last part of what a run that came to no end wrote to standard error.
-LAST_WORDS = 300
+# Characters shown from the end of the standard error of a run without a result.
+STDERR_TAIL = 300
 
 
-def play(rig, seed):
-    """One run: `held`, `broken` or `no end`, and what there is to say of it."""
-    words = [sys.executable, "-m", f"rigs.{rig}", "--seed", str(seed)]
-    said = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
-    lines = said.stdout.splitlines()
+def run_once(rig, seed):
+    """Performs one run; returns its outcome (`held`, `broken` or `no end`) and a line of detail."""
+    command = [sys.executable, "-m", f"rigs.{rig}", "--seed", str(seed)]
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    lines = process.stdout.splitlines()
     if not lines:
-        return "no end", f"seed {seed}: {said.stderr[-LAST_WORDS:]}"
-    return ("held" if said.returncode == 0 else "broken"), lines[-1]
+        return "no end", f"seed {seed}: {process.stderr[-STDERR_TAIL:]}"
+    return ("held" if process.returncode == 0 else "broken"), lines[-1]
 
 
 @click.command()
@@ -39,10 +39,10 @@
     order = [seed for _ in range(rounds) for seed in range(first, first + seeds)]
     counts = Counter()
     with ThreadPoolExecutor(at_once) as workers:
-        for outcome, told in workers.map(lambda seed: play(rig, seed), order):
+        for outcome, detail in workers.map(lambda seed: run_once(rig, seed), order):
             counts[outcome] += 1
             if outcome != "held":
-                print(told, flush=True)
+                print(detail, flush=True)
     print(json.dumps({"rig": rig, "runs": len(order), "at_once": at_once, **counts}))
     sys.exit(0 if counts["held"] == len(order) else 1)
 
--- a/rigs/takeover_clients.py
+++ b/rigs/takeover_clients.py
@@ -55,7 +55,7 @@
         """Seconds since a moment in which this process could hear an answer: clients, engines and the network
         between are one loop, and while it stands still no front can be late."""
         now = asyncio.get_running_loop().time()
-        return now - since - lag_between(self.lag.kept, since, now)
+        return now - since - lag_between(self.lag.recorded, since, now)
 
     def aside(self, work):
         task = asyncio.create_task(work)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,8 +14,7 @@
 from thistlelever.carrier.http_engines import HttpEngines
 from thistlelever.carrier.intake import Intake
 from thistlelever.carrier.pulse import Pulse
-from thistlelever.ground import clock
-from thistlelever.ground import config as front_config
+from thistlelever.ground import clock, config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import configuration
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -8,15 +8,15 @@
 
 import pytest
 
+from thistlelever.ground import interface as it
 from thistlelever.carrier.course import LEFT, OVERDUE, Courses
 from thistlelever.carrier.desk import Desk
 from thistlelever.carrier.dispatch import End, Sending
 from thistlelever.carrier.http_engines import RETRY_PACE, HttpEngines
 from thistlelever.ground import clock
-from thistlelever.ground import interface as it
-from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.connections import MIN_IDLE, ConnectionPool, Unreached
+from thistlelever.ground.metrics import Metrics
 
 TICK = 0.02
 
