--- a/rigs/network.py
+++ b/rigs/network.py
@@ -1,4 +1,4 @@
-"""A simulated UDP network between the fronts of a rig: loss, duplication, delay, reordering, one-way cuts."""
+"""A simulated UDP network between fronts: loss, duplication, delay, reordering and one-way cuts."""
 
 import asyncio
 import socket
@@ -9,10 +9,9 @@
 class Network:
     """Relays datagrams between fronts and injects faults.
 
-    Each decision depends on the seed and on the number of datagrams sent before from the same sender to the
-    same receiver.
-    `loss`, `double` and `late` are probabilities from 0 to 1, `jitter` is the longest random delay in seconds,
-    and `cuts` holds the (sender, receiver) pairs that are cut. Fronts are addressed by index.
+    Each decision depends on the seed and on the number of datagrams that the sender has sent to the receiver.
+    `loss`, `double` and `late` are probabilities from 0 to 1, `jitter` is the longest random delay in seconds, and
+    `cuts` holds the (sender, receiver) pairs that are cut. Fronts are addressed by index.
     """
 
     def __init__(self, chance):
--- a/rigs/results.py
+++ b/rigs/results.py
@@ -30,7 +30,7 @@
         return int(self.share(*what) * most)
 
     def among(self, weighted, *what):
-        """Returns one item of `weighted`, pairs (weight, item); the probability is proportional to the weight."""
+        """Returns an item of `weighted`, pairs (weight, item), with probability proportional to weight."""
         left = self.share(*what) * sum(weight for weight, _ in weighted)
         for weight, item in weighted:
             left -= weight
--- a/rigs/scale_real.py
+++ b/rigs/scale_real.py
@@ -25,7 +25,7 @@
     def __init__(self, place, folder, yard, distributors):
         self.place, self.folder, self.yard = place, Path(folder), yard
         self.distributors = distributors
-        self.child, self.directory, self.lives = None, None, 1
+        self.child, self.directory, self.starts = None, None, 1
         self.host, self.port = "127.0.0.1", 0
 
     @property
@@ -136,10 +136,10 @@
         for client in self.clients:
             client.task.cancel()
         for client in self.clients:
-            for asked in client.asked:
+            for asked in client.batches:
                 if now - asked.at > CLIENT_WAIT_MS / 1e3 + 0.1:
                     found[min(asked.answers, 2)] += 1
-        returned = sum(asked.what == "returned" for client in self.clients for asked in client.asked)
+        returned = sum(asked.what == "returned" for client in self.clients for asked in client.batches)
         return {"0": found[0], "1": found[1], "2+": found[2]}, returned
 
     async def close(self):
--- a/rigs/takeover.py
+++ b/rigs/takeover.py
@@ -49,7 +49,7 @@
             self.kill_with_engine,
             self.kill_two,
         ]
-        if fleet.many >= 10:
+        if fleet.front_count >= 10:
             self.steps += [self.seven_in_ten, self.each_tenth_leaves]
 
     async def run(self):
@@ -69,7 +69,7 @@
         network.loss = network.double = network.jitter = 0.0
 
     def one(self, what):
-        return self.fleet.fronts[self.chance.below(self.fleet.many, self.round, what)]
+        return self.fleet.fronts[self.chance.below(self.fleet.front_count, self.round, what)]
 
     async def in_hand(self, front, many=2):
         """Until so many batches that may not simply run twice are at work for that front; one that gets few
@@ -94,7 +94,7 @@
     async def killed(self, *fronts):
         at = asyncio.get_running_loop().time()
         for front in fronts:
-            self.kills.append((at, front, front.lives))
+            self.kills.append((at, front, front.starts))
         await asyncio.gather(*(front.kill() for front in fronts))
 
     async def kill(self):
--- a/rigs/takeover_checks.py
+++ b/rigs/takeover_checks.py
@@ -69,12 +69,12 @@
 
 def living(fleet):
     """Each front that lives, with the number of its life."""
-    return {(front, front.lives) for front in fleet.fronts if front.lives_on}
+    return {(front, front.starts) for front in fleet.fronts if front.is_running}
 
 
 def is_owed(one, lives):
     """Whether a try has no answer though its front lived on and its connection stands."""
-    return one.answers == 0 and (one.front, one.life) in lives and not one.closed
+    return one.answers == 0 and (one.front, one.start_number) in lives and not one.closed
 
 
 def judged_answers(fleet, clients):
@@ -193,7 +193,7 @@
     for at, front, life in play.kills:
         for one in asked.tries:
             open_then = one.at <= at < (one.answered_at or float("inf"))
-            if one.front is front and one.life == life and open_then and asked.over_at > at:
+            if one.front is front and one.start_number == life and open_then and asked.over_at > at:
                 return at
     return None
 
--- a/rigs/takeover_clients.py
+++ b/rigs/takeover_clients.py
@@ -17,10 +17,10 @@
 class Try:
     """One submission."""
 
-    __slots__ = ("txn", "front", "life", "at", "answers", "what", "result", "answered_at", "closed")
+    __slots__ = ("txn", "front", "start_number", "at", "answers", "what", "result", "answered_at", "closed")
 
     def __init__(self, txn, front, at):
-        self.txn, self.front, self.life, self.at = txn, front, front.lives, at
+        self.txn, self.front, self.start_number, self.at = txn, front, front.starts, at
         self.answers, self.what, self.result, self.answered_at, self.closed = 0, "", None, None, False
 
 
