--- a/rigs/network.py
+++ b/rigs/network.py
@@ -10,8 +10,8 @@
     """Relays datagrams between fronts and injects faults.
 
     Each decision depends on the seed and on the number of datagrams that the sender has sent to the receiver.
-    `loss`, `double` and `late` are probabilities from 0 to 1, `jitter` is the longest random delay in seconds, and
-    `cuts` holds the (sender, receiver) pairs that are cut. Fronts are addressed by index.
+    `loss`, `double` and `late` are probabilities from 0 to 1, `jitter` is the longest random delay in seconds,
+    and `cuts` holds the (sender, receiver) pairs that are cut. Fronts are addressed by index.
     """
 
     def __init__(self, chance):
