--- a/rigs/loop_lag.py
+++ b/rigs/loop_lag.py
@@ -2,21 +2,21 @@
 
 from time import monotonic
 
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 
 # Lags from this length on are recorded.
 MIN_RECORDED_LAG_S = 0.25
 
 
-class LoopLag(Pulse):
+class LoopLag(LoopLagMonitor):
     """The lag monitor of the front; also records each long lag as (end on the monotonic clock, seconds)."""
 
     def __init__(self):
         super().__init__()
         self.recorded = []
 
-    def felt(self, late):
-        super().felt(late)
+    def record(self, late):
+        super().record(late)
         if late >= MIN_RECORDED_LAG_S:
             self.recorded.append((monotonic(), late))
 
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -209,7 +209,7 @@
         names = parts.config.zones, parts.config.kinds
         clients = [
             DirectoryClient(
-                EngineRegistry(), lambda engine: None, parts.desk, parts.metrics, *names, seed=number
+                EngineRegistry(), lambda engine: None, parts.decisions, parts.metrics, *names, seed=number
             )
             for number in range(count)
         ]
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -65,7 +65,7 @@
     def __init__(self):
         self.stir, self.engines, self.answers, self.events = asyncio.Event(), {}, [], []
         self.settings, self.server, self.running = json.loads(json.dumps(SETTINGS)), None, None
-        self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.SLOWER
+        self.crowd, self.config, self.reset, self.was_slower = [], {}, False, clients.BAD_LINE_DELAY_S
         # Arrow Flight SQL: terms of the door, calls under way and done, relays before engines.
         self.sections = {}
         self.door, self.channels, self.calls, self.infos, self.relays = None, {}, {}, {}, {}
@@ -221,7 +221,7 @@
             await asyncio.wait((seen,))
 
     async def do_at_ease(self, name):
-        front = self.server.desk.front
+        front = self.server.decisions.front
         assert not front.backoffs[front.engine_index[name.encode()]]
 
     async def do_posted(self, name, count, call="POST"):
@@ -255,11 +255,11 @@
 
     async def do_lags(self, seconds):
         """As if the loop had just come so late; remembered for as long as the scenario lasts."""
-        self.server.pulse.felt = lambda late: None
-        self.server.pulse.lag = float(seconds)
+        self.server.loop_lag.record = lambda late: None
+        self.server.loop_lag.lag = float(seconds)
 
     async def do_up(self, name):
-        front = self.server.desk.front
+        front = self.server.decisions.front
         assert not front.down[front.engine_index[name.encode()]]
 
     async def do_kept(self, count, name):
@@ -303,7 +303,9 @@
 
     async def do_places(self, count):
         """So many clients at once, whatever the descriptors allow."""
-        self.server.reception.bounds = self.server.reception.bounds._replace(sessions=int(count))
+        self.server.client_listener.limits = self.server.client_listener.limits._replace(
+            client_connections=int(count)
+        )
 
     async def do_rush(self, count, silent):
         """In one moment so many clients connect with a batch each, behind them others that say nothing."""
@@ -336,7 +338,7 @@
         assert not [name for name in self.server.metrics.counts if name.startswith("broken")]
 
     async def end(self):
-        clients.SLOWER = self.was_slower
+        clients.BAD_LINE_DELAY_S = self.was_slower
         for call in self.calls.values():
             call.cancel()
         if self.calls:
@@ -409,7 +411,7 @@
 
     async def do_paced(self, seconds):
         """After a line out of form the next is taken so much later."""
-        self.was_slower, clients.SLOWER = clients.SLOWER, float(seconds)
+        self.was_slower, clients.BAD_LINE_DELAY_S = clients.BAD_LINE_DELAY_S, float(seconds)
 
     async def do_echoes(self, name):
         """On a connection that carried a call before, each POST runs and is answered by what looks like the
@@ -431,7 +433,7 @@
 
     async def do_held_back(self, count):
         """So many batches are held by their budgets by now."""
-        await self.look_until(lambda: self.server.courses.gate.fair_queue.root.queued == int(count))
+        await self.look_until(lambda: self.server.batch_tasks.gate.fair_queue.root.queued == int(count))
 
     async def do_one_errored(self, *numbers):
         """Just one of them has an answer, and it says that it may have run."""
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,7 +19,7 @@
 from stage import brisk, staged
 
 from thistlelever import __main__ as command
-from thistlelever.carrier.recollection import Recollection
+from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 from thistlelever.ground import interface as it
 from thistlelever.ledger import records
 from thistlelever.ledger.file import LedgerError, LedgerFile, size_on_disk
@@ -444,12 +444,12 @@
     registry = SimpleNamespace(is_listed=lambda engine: listed)
     metrics = SimpleNamespace(add=lambda name: None)
     found = b"e-1", DispatchName("a" * 16, 2), ran
-    memory = Recollection(
+    memory = RememberedOutcomes(
         SimpleNamespace(tariffs=(query_class(scope),)), registry, metrics, None, lambda mark: found
     )
     asked = SimpleNamespace(txn="b" * 16, reference="5" * 32, is_retry=True)
     batch = Batch(1, asked, it.BatchReceived(1, 0, 0, 0, 4.0, None, 0.0, 17.0, True), "load", 1e9)
-    action = memory.enter(batch)
+    action = memory.look_up(batch)
     assert (action and type(action)) == answer and batch.received.running_on == out
     if out:
         assert batch.dispatch_name(0) == DispatchName("a" * 16, 2) and batch.received.running_for == ran
--- a/thistlelever/carrier/desk.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -1,4 +1,4 @@
-"""The one place where the decisions are told events and asked for actions."""
+"""Passes events to the decisions in batches and carries out the actions that they return."""
 
 from __future__ import annotations
 
@@ -15,52 +15,62 @@
 from thistlelever.ground.metrics import Metrics
 
 
-class Desk:
-    """Gathers what comes in one turn of the loop, tells it together, hands the actions on in order."""
+class DecisionLoop:
+    """Collects events, passes them to the decisions together and carries out the actions in order.
+
+    `tick` is the shortest time between two turns in seconds. `turns` and `busy_seconds` count the turns and
+    the time that they took. A failure of the decisions is logged and counted.
+    """
 
     def __init__(self, front: Front, tick: float, batches: Batches, metrics: Metrics, log: Log) -> None:
+        """Pass events to `front`; `on_probe` and `on_ask_list` carry out those two actions."""
         self.front, self.batches, self.metrics, self.log = front, batches, metrics, log
-        self.tick, self.rest_till = tick, 0.0
+        self.tick, self.next_turn_at = tick, 0.0
         self.events: list[it.Event] = []
-        self.turns, self.spent = 0, 0.0
+        self.turns, self.busy_seconds = 0, 0.0
         self.on_probe: Callable[[it.Probe], None] = lambda action: None
         self.on_ask_list: Callable[[], None] = lambda: None
 
-    def tell(self, event: it.Event) -> None:
+    def add_event(self, event: it.Event) -> None:
+        """Queue an event for the next turn, which is scheduled if it is not yet."""
         if not self.events:
             loop = asyncio.get_running_loop()
-            if loop.time() >= self.rest_till:
-                loop.call_soon(self.turn)
+            if loop.time() >= self.next_turn_at:
+                loop.call_soon(self.run_turn)
             else:
-                loop.call_at(self.rest_till, self.turn)
+                loop.call_at(self.next_turn_at, self.run_turn)
         self.events.append(event)
 
-    def turn(self) -> None:
-        """Tell what has come. The next turn is a tick away at least, as on the bench, and as long as this
-        one took: in a flood the decisions must leave half of the core to reading and answering."""
+    def run_turn(self) -> None:
+        """Pass the queued events to the decisions.
+
+        The next turn starts a tick after this one at the earliest, and no sooner after its end than it took:
+        under overload the decisions leave half of the core to reading and answering.
+        """
         events, self.events = self.events, []
-        begun = perf_counter()
+        started = perf_counter()
         try:
             actions = self.front.handle(clock.now(), events)
         except Exception as why:
-            # What is open still gets its answer: each batch has a backstop at its time limit.
+            # Open batches are still answered, by their backstop timers at the time limit.
             self.metrics.add("decisions failed")
             self.log("decisions failed", why=repr(why), trace=traceback.format_exc())
             if __debug__:
                 raise
             return
         for action in actions:
-            self.carry(action)
-        took = perf_counter() - begun
+            self.execute(action)
+        elapsed = perf_counter() - started
         self.turns += 1
-        self.spent += took
-        self.rest_till = asyncio.get_running_loop().time() + max(self.tick - took, took)
+        self.busy_seconds += elapsed
+        self.next_turn_at = asyncio.get_running_loop().time() + max(self.tick - elapsed, elapsed)
 
-    def carry(self, action: it.Action) -> None:
+    def execute(self, action: it.Action) -> None:
+        """Carry out one action, or put it into the inbox of its batch."""
         kind = type(action)
         if kind is it.Timer:
             loop = asyncio.get_running_loop()
-            loop.call_later(action.delay, self.tell, it.TimerDue(action.token))
+            loop.call_later(action.delay, self.add_event, it.TimerDue(action.token))
         elif kind is it.Probe:
             self.on_probe(action)
         elif kind is it.AskList:
@@ -70,7 +80,7 @@
         elif kind is not it.FollowList:
             batch = self.batches.by_number.get(action.batch)
             if batch is None:
-                # Its client left, or its backstop struck, in the very moment of the action.
+                # Its client left, or its backstop fired, while the decisions were running.
                 self.metrics.add("actions for what is over")
             else:
                 batch.inbox.put_nowait(action)
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -1,4 +1,4 @@
-"""One dispatch, whatever its engine speaks: its time limit, its outcome, and how it is given up."""
+"""Runs dispatches and probes independently of the engine's protocol: time limits, outcomes, cancellation."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from thistlelever.admission.decide import MAY_RUN_ON
-from thistlelever.carrier.desk import Desk
-from thistlelever.carrier.flow import Flow, ReaderLeft
+from thistlelever.carrier.decision_loop import DecisionLoop
+from thistlelever.carrier.result_stream import ResultStream, ReaderLeftError
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
@@ -21,18 +21,23 @@
 from thistlelever.store.engine_registry import EngineRegistry
 
 
-class Ended(Exception):
-    """The dispatch is over without an answer."""
+class NoResultError(Exception):
+    """A dispatch has ended without a result."""
 
     def __init__(self, outcome: it.DispatchOutcome) -> None:
+        """Set the outcome that the dispatch ends with."""
         super().__init__(outcome.name)
         self.outcome = outcome
 
 
 @dataclass(slots=True)
 class End:
-    """How a dispatch ended, with its result where it was returned: pages of rows, or for a batch that asked
-    for columns from an engine that speaks them the stream's messages as they came."""
+    """How a dispatch ended, and its result if it was returned.
+
+    The result is pages of rows, or for a batch that wants columns from an engine that sends them the Flight
+    messages as received. `took` is in seconds, `true_work` in core-seconds, `true_memory` in MB. The class
+    name is written in counters.
+    """
 
     number: int
     engine: it.EngineId
@@ -43,12 +48,13 @@
     report: tuple[float, ...] = ()
     pages: list[bytes] = field(default_factory=list)
     stream_messages: list[bytes] | None = None
-    # Rows that an update has changed, where its engine says so.
+    # Number of rows that an update changed; -1 if the engine did not report it.
     changed: int = -1
-    # Where the result went on before it was whole.
-    flow: Flow | None = None
+    # Set once the result is streamed to the client before it is complete.
+    result_stream: ResultStream | None = None
 
     def event(self, batch: int, complete: bool) -> it.DispatchEnded:
+        """Return the event for the decisions; `complete`: the batch is answered."""
         return it.DispatchEnded(
             batch,
             self.number,
@@ -63,160 +69,177 @@
 
 
 @dataclass(slots=True)
-class Sending:
-    """How far a dispatch has come, for the meaning of how it ended."""
+class DispatchProgress:
+    """How far a dispatch has come, from which its outcome is derived. Times in seconds."""
 
     number: int
-    # Whether it still may begin: asked right before the first byte of each call that may make an engine run
-    # it, as a connection takes its time to come up and much may have changed meanwhile.
-    may_begin: Callable[[], bool] = lambda: True
-    begun: bool = False
-    # When the decisions ordered it.
-    ordered: float = 0.0
-    # When the engine was last asked for the batch; whether it has ever said that it knows it.
-    asked: float = 0.0
-    heard: bool = False
-    # Whether its engine was seen to be dead.
-    dead: bool = False
-    doubts: int = 0
+    # Whether the dispatch may still start. Checked right before the first byte of each call that may make an
+    # engine run it, as much may have changed while the connection was being made.
+    may_start: Callable[[], bool] = lambda: True
+    started: bool = False
+    # When the decisions requested it.
+    ordered_at: float = 0.0
+    # When the engine was last called for the batch; whether the engine has confirmed that it has it.
+    last_call_at: float = 0.0
+    acknowledged: bool = False
+    # Whether the engine refused a connection.
+    engine_dead: bool = False
+    suspect_replies: int = 0
     posts: int = 0
     pages: int = 0
 
 
-class Speech(Protocol):
-    """How one kind of engine is spoken to. Nothing of it outlives the dispatch but `give_up`."""
+class EngineProtocol(Protocol):
+    """The protocol of one kind of engine. Only `cancel_dispatch` may outlive its dispatch."""
+
+    async def run_dispatch(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Run the whole dispatch: sets `end.outcome` and the result, or raises `NoResultError`.
 
-    async def converse(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """The whole dispatch: sets `end.outcome` and the result, or raises `Ended`. `sent.begun` holds from
-        the first byte that may make the engine run it. Risk: an outcome told as never run of what may have
-        run."""
+        `progress.started` must be set from the first byte that may make the engine run the batch, so that a
+        batch that may have run is not reported as never run.
+        """
+
+    async def resume(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Continue a dispatch that another front began, by its name in `batch.adopted_names`; starts nothing.
 
-    async def resume(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
-        """Go on with a dispatch that another front has begun, by its id in `batch.adopted_names`: as
-        `converse`, and nothing is begun. `ASTRAY` where the engine does not know of it."""
+        Otherwise like `run_dispatch`. The outcome is `ASTRAY` if the engine does not know the dispatch.
+        """
 
-    async def ask_on(self, entry: Entry, name: DispatchName) -> str:
-        """Ask for a batch that nobody waits for here, so that its engine goes on with it or keeps its result:
+    async def query_status(self, entry: Entry, name: DispatchName) -> str:
+        """Poll a batch that no client waits for here, so that its engine keeps it or its result. Returns
         `running`, `over`, `unknown` or `silent`."""
 
-    async def call_off(self, entry: Entry, name: DispatchName) -> None:
-        """Give up a batch that another front had out."""
+    async def cancel_by_name(self, entry: Entry, name: DispatchName) -> None:
+        """Cancel a dispatch that another front started."""
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
-        """Returns once the engine surely runs the batch no more, or can't be told so."""
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        """Cancel a dispatch; returns once the engine certainly no longer runs it, or cannot be reached."""
 
-    async def run_out(self, sent: Sending) -> None:
-        """Returns once the engine surely runs the batch no more, though nobody may tell it to give it up."""
+    async def wait_until_stopped(self, progress: DispatchProgress) -> None:
+        """Wait until the engine certainly no longer runs the dispatch, where cancelling is not allowed."""
 
-    async def put(self, batch: Batch, entry: Entry, number: int) -> None:
-        """The batch's new priority, for that dispatch. A call whose loss costs little: it is made once, and
-        a failure is counted."""
+    async def set_priority(self, batch: Batch, entry: Entry, number: int) -> None:
+        """Set the batch's new priority for a dispatch. The call is made once; a failure is only counted."""
 
     async def probe(self, entry: Entry) -> tuple[it.DispatchOutcome, tuple[float, ...]]:
-        """How a question for the engine's load ended, and the report."""
+        """Request the engine's load; returns the outcome of the call and the reported values."""
 
 
 class Dispatcher:
-    """Starts dispatches and probes, and gives up on them."""
+    """Starts dispatches and probes, and cancels dispatches that fail or are no longer needed."""
 
     def __init__(
         self,
         settings: it.Settings,
         registry: EngineRegistry,
-        speech: Callable[[Entry], Speech],
-        desk: Desk,
+        protocol: Callable[[Entry], EngineProtocol],
+        decisions: DecisionLoop,
         metrics: Metrics,
         log: Log,
     ) -> None:
-        self.cancels, self.copies = settings.cancel, settings.copies
-        # What an entry's engine speaks.
-        self.speech = speech
-        self.registry, self.desk, self.metrics, self.log = registry, desk, metrics, log
-        self.asides: set[asyncio.Task] = set()
-
-    def start(self, batch: Batch, number: int, order: it.Dispatch) -> asyncio.Task:
-        batch.engines[number] = order.engine
-        self.registry.dispatch_started(order.engine)
-        # Risk: a task that is called off before its first step never takes it, and its batch would stay open.
-        end = End(number, order.engine, it.DispatchOutcome.UNSENT)
-        task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, order))
-        task.add_done_callback(lambda task: self.finished(batch, end))
+        """Use the protocol that `protocol` returns for an engine."""
+        self.allows_cancel, self.allows_copies = settings.cancel, settings.copies
+        # Gives the protocol of an engine.
+        self.protocol = protocol
+        self.registry, self.decisions, self.metrics, self.log = registry, decisions, metrics, log
+        self.background: set[asyncio.Task] = set()
+
+    def start(self, batch: Batch, number: int, request: it.Dispatch) -> asyncio.Task:
+        """Start a dispatch as a task; its `End` goes to the batch's inbox, also if the task is cancelled."""
+        batch.engines[number] = request.engine
+        self.registry.dispatch_started(request.engine)
+        # A task that is cancelled before its first step never runs, so the end is reported by a callback;
+        # otherwise the batch would stay open.
+        end = End(number, request.engine, it.DispatchOutcome.UNSENT)
+        task = asyncio.get_running_loop().create_task(self.dispatch(batch, end, request))
+        task.add_done_callback(lambda task: self.on_task_done(batch, end))
         return task
 
-    def finished(self, batch: Batch, end: End) -> None:
-        """The one place where a dispatch's end is told, however its task ended."""
+    def on_task_done(self, batch: Batch, end: End) -> None:
+        """Report the end of a dispatch to its batch, however its task ended."""
         self.registry.dispatch_ended(end.engine)
         self.metrics.add(f"dispatches {end.outcome.name.lower()}")
         batch.inbox.put_nowait(end)
 
-    def may_begin(self, batch: Batch, order: it.Dispatch) -> bool:
-        """Whether something of a dispatch may still be sent. Risk: its client has left, its engine drains
-        (which counts from the first byte), or its repeats are no longer dropped, and it goes out all the
-        same."""
-        why = self.withheld(batch, order)
+    def may_start(self, batch: Batch, request: it.Dispatch) -> bool:
+        """Whether a dispatch may still be sent; logged and counted if not.
+
+        Since it was requested, its client may have left, its engine may drain (which counts from the first
+        byte), or its repeats may no longer be dropped as duplicates.
+        """
+        why = self.refusal(batch, request)
         if not why:
             return True
         self.metrics.add(f"dispatches withheld: {why}")
-        self.log("dispatch withheld", id=batch.submission.txn, engine=order.engine.decode("latin-1"), why=why)
+        self.log(
+            "dispatch withheld", id=batch.submission.txn, engine=request.engine.decode("latin-1"), why=why
+        )
         return False
 
-    def withheld(self, batch: Batch, order: it.Dispatch) -> str:
-        """Why nothing of a dispatch may be sent any more; empty where it may."""
+    def refusal(self, batch: Batch, request: it.Dispatch) -> str:
+        """Return why a dispatch may no longer be sent, or an empty string if it may."""
         if batch.answered:
             return "answered or left"
-        if not self.registry.accepts_dispatches(order.engine):
+        if not self.registry.accepts_dispatches(request.engine):
             return "engine draining or gone"
-        if clock.now() >= order.begin_by:
+        if clock.now() >= request.begin_by:
             return "too late to begin"
         if batch.lease_guard and not batch.lease_guard.is_held():
             return "not surely this front's"
         return ""
 
-    async def dispatch(self, batch: Batch, end: End, order: it.Dispatch) -> None:
-        """One dispatch from its first byte to its end."""
-        begun, number = clock.now(), end.number
-        till = min(begun + order.time_out, batch.deadline) if order.time_out > 0 else batch.deadline
-        sent = Sending(number, lambda: self.may_begin(batch, order), ordered=begun)
+    async def dispatch(self, batch: Batch, end: End, request: it.Dispatch) -> None:
+        """Run one dispatch to its end, and cancel it at its engine where it may still run there."""
+        started_at, number = clock.now(), end.number
+        deadline = (
+            min(started_at + request.time_out, batch.deadline) if request.time_out > 0 else batch.deadline
+        )
+        progress = DispatchProgress(number, lambda: self.may_start(batch, request), ordered_at=started_at)
         try:
-            entry = self.registry.entries.get(order.engine)
-            if batch.answered or till <= begun or entry is None:
-                end.outcome = self.unsent(batch, number)
+            entry = self.registry.entries.get(request.engine)
+            if batch.answered or deadline <= started_at or entry is None:
+                end.outcome = self.never_sent(batch, number)
             else:
-                async with asyncio.timeout_at(clock.on_loop(till)) as batch.timeouts[number]:
-                    await self.sending(batch, entry, end, sent, till)
+                async with asyncio.timeout_at(clock.on_loop(deadline)) as batch.timeouts[number]:
+                    await self.run_protocol(batch, entry, end, progress, deadline)
         except TimeoutError:
-            # Risk: a wait for a connection of our own, told as an engine out of reach, makes that one cold.
-            end.outcome = it.DispatchOutcome.TIMED_OUT if sent.begun else it.DispatchOutcome.UNSENT
-        except (asyncio.CancelledError, ReaderLeft):
+            # A wait for a free connection of this front must not be reported as an unreachable engine, which
+            # would then count as cold.
+            end.outcome = it.DispatchOutcome.TIMED_OUT if progress.started else it.DispatchOutcome.UNSENT
+        except (asyncio.CancelledError, ReaderLeftError):
             end.outcome = it.DispatchOutcome.CANCELLED
-        except Ended as why:
+        except NoResultError as why:
             end.outcome = why.outcome
         except Exception as why:
             self.metrics.add("dispatch failed")
             self.log("dispatch failed", why=repr(why), trace=traceback.format_exc())
             end.outcome = it.DispatchOutcome.ERRORED
-        end.took = clock.now() - begun
-        self.report(batch, end, sent)
-        if end.flow:
-            end.flow.end(end.outcome)
+        end.took = clock.now() - started_at
+        self.log_failure(batch, end, progress)
+        if end.result_stream:
+            end.result_stream.end(end.outcome)
         batch.timeouts.pop(number, None)
-        if sent.begun and end.outcome in MAY_RUN_ON:
-            another = end.outcome is not it.DispatchOutcome.TIMED_OUT or till < batch.deadline
+        if progress.started and end.outcome in MAY_RUN_ON:
+            may_retry = end.outcome is not it.DispatchOutcome.TIMED_OUT or deadline < batch.deadline
             left = max(batch.deadline - clock.now(), 0.0)
-            # Risk: an end that a second order to give up swallows leaves the batch open for good.
+            # A second cancellation must not prevent the end from being reported; the batch would stay open.
             with suppress(asyncio.CancelledError, TimeoutError):
-                if self.cancels:
-                    # Risk: a further dispatch that comes before the DELETE makes two out at once.
-                    given_up = self.aside(self.give_up(batch, entry, sent))
-                    if another:
-                        await asyncio.wait((given_up,), timeout=left)
-                elif another and not self.copies:
-                    # Risk: where nothing may be called off, a time-out told at once makes the next dispatch
-                    # a second copy beside one that its engine runs on.
-                    await asyncio.wait_for(self.speech(entry).run_out(sent), left)
-
-    def report(self, batch: Batch, end: End, sent: Sending) -> None:
-        """Log a dispatch that ended without a result, unless its client has left."""
+                if self.allows_cancel:
+                    # The end is reported after the cancel, so that no further dispatch runs beside this one.
+                    cancelling = self.run_in_background(self.cancel_dispatch(batch, entry, progress))
+                    if may_retry:
+                        await asyncio.wait((cancelling,), timeout=left)
+                elif may_retry and not self.allows_copies:
+                    # Without cancelling, a time-out reported at once would let the next dispatch run beside
+                    # this one.
+                    await asyncio.wait_for(self.protocol(entry).wait_until_stopped(progress), left)
+
+    def log_failure(self, batch: Batch, end: End, progress: DispatchProgress) -> None:
+        """Log a dispatch that ended without a result, unless it was cancelled."""
         if end.outcome in (it.DispatchOutcome.RETURNED, it.DispatchOutcome.CANCELLED):
             return
         self.log(
@@ -226,49 +249,56 @@
             engine=end.engine.decode("latin-1"),
             fate=end.outcome.name.lower(),
             took=round(end.took, 4),
-            sent=sent.posts,
+            sent=progress.posts,
         )
 
-    async def sending(self, batch: Batch, entry: Entry, end: End, sent: Sending, till: float) -> None:
+    async def run_protocol(
+        self, batch: Batch, entry: Entry, end: End, progress: DispatchProgress, deadline: float
+    ) -> None:
+        """Run or resume the dispatch by its engine's protocol, once the lease allows it."""
         if batch.lease_guard and not await batch.lease_guard.begin_dispatch(end.number, end.engine):
-            raise Ended(self.unsent(batch, end.number))
+            raise NoResultError(self.never_sent(batch, end.number))
         if end.number in batch.adopted_names:
-            await self.speech(entry).resume(batch, entry, end, sent, till)
+            await self.protocol(entry).resume(batch, entry, end, progress, deadline)
         else:
-            await self.speech(entry).converse(batch, entry, end, sent, till)
+            await self.protocol(entry).run_dispatch(batch, entry, end, progress, deadline)
 
-    def unsent(self, batch: Batch, number: int) -> it.DispatchOutcome:
-        """Risk: what another front has begun, told as never sent, is taken for what never ran."""
+    def never_sent(self, batch: Batch, number: int) -> it.DispatchOutcome:
+        """Return the outcome of a dispatch that was not sent from here. One that another front began may have
+        run, and must not be reported as never sent."""
         return it.DispatchOutcome.ASTRAY if number in batch.adopted_names else it.DispatchOutcome.UNSENT
 
-    async def give_up(self, batch: Batch, entry: Entry, sent: Sending) -> None:
-        """Risk: a front that was stopped and wakes calls off what another has gone on with."""
+    async def cancel_dispatch(self, batch: Batch, entry: Entry, progress: DispatchProgress) -> None:
+        """Cancel a dispatch at its engine, unless another front may have taken the batch over."""
         if not batch.lease_guard or await batch.lease_guard.may_cancel():
-            await self.speech(entry).give_up(batch, entry, sent)
+            await self.protocol(entry).cancel_dispatch(batch, entry, progress)
 
     def reprioritise(self, batch: Batch) -> None:
-        """The batch's priority also holds for what is out."""
+        """Send the batch's new priority to the engines of its running dispatches."""
         for number in batch.dispatch_tasks:
             entry = self.registry.entries.get(batch.engines[number])
             if entry:
-                self.aside(self.speech(entry).put(batch, entry, number))
+                self.run_in_background(self.protocol(entry).set_priority(batch, entry, number))
 
     def probe(self, action: it.Probe) -> None:
-        self.aside(self.probing(action.engine))
+        """Start a probe; its end goes to the decisions as an event."""
+        self.run_in_background(self.run_probe(action.engine))
 
-    async def probing(self, engine: it.EngineId) -> None:
-        begun, outcome, report, entry = (
+    async def run_probe(self, engine: it.EngineId) -> None:
+        """Probe one engine; one that is not listed counts as unreachable."""
+        started_at, outcome, report, entry = (
             clock.now(),
             it.DispatchOutcome.UNREACHABLE,
             (),
             self.registry.entries.get(engine),
         )
         if entry:
-            outcome, report = await self.speech(entry).probe(entry)
-        self.desk.tell(it.ProbeEnded(engine, outcome, clock.now() - begun, report))
+            outcome, report = await self.protocol(entry).probe(entry)
+        self.decisions.add_event(it.ProbeEnded(engine, outcome, clock.now() - started_at, report))
 
-    def aside(self, work: Coroutine) -> asyncio.Task:
+    def run_in_background(self, work: Coroutine) -> asyncio.Task:
+        """Run a coroutine as a task and keep a reference until it is done."""
         task = asyncio.get_running_loop().create_task(work)
-        self.asides.add(task)
-        task.add_done_callback(self.asides.discard)
+        self.background.add(task)
+        task.add_done_callback(self.background.discard)
         return task
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -12,14 +12,14 @@
 
 from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.clients import Reception
-from thistlelever.carrier.course import Courses
-from thistlelever.carrier.desk import Desk
+from thistlelever.carrier.clients import ClientListener
+from thistlelever.carrier.batch_tasks import BatchTasks
+from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory import DirectoryClient, PeerDatagramSink
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.intake import Intake
-from thistlelever.carrier.pulse import Pulse
+from thistlelever.carrier.validation import RequestValidator
+from thistlelever.carrier.loop_lag import LoopLagMonitor
 from thistlelever.ground import clock
 from thistlelever.ground.log import Log
 from thistlelever.ground.settings import ConfigError
@@ -82,7 +82,9 @@
         self.metrics, self.batches, self.registry = Metrics(), Batches(), EngineRegistry()
         self.registry.replace(config.serial, list(config.known), clock.now())
         settings = config.settings
-        self.desk = Desk(Front(settings, config.seed), settings.tick, self.batches, self.metrics, log)
+        self.decisions = DecisionLoop(
+            Front(settings, config.seed), settings.tick, self.batches, self.metrics, log
+        )
         flight = operator.flight if operator else None
         limits = connection_limits(config.sockets, config.memory_mb, flight.descriptors if flight else 0)
         self.connections = ConnectionPool(
@@ -90,25 +92,25 @@
         )
         self.connections.is_listed = self.registry.is_listed
         self.connections.is_reachable = self.registry.is_reachable
-        over_http = HttpEngines(settings, self.registry, self.connections, self.desk, self.metrics)
+        over_http = HttpEngines(settings, self.registry, self.connections, self.decisions, self.metrics)
         self.dispatcher = Dispatcher(
-            settings, self.registry, lambda entry: over_http, self.desk, self.metrics, log
+            settings, self.registry, lambda entry: over_http, self.decisions, self.metrics, log
         )
         self.flight: FlightComponent | None = None
         self.membership: MembershipComponent | None = None
         self.state: StateComponent | None = None
-        self.courses = Courses(self.desk, self.dispatcher, self.batches, self.metrics, log)
-        self.pulse = Pulse()
-        self.intake = Intake(settings, self.pulse, self.batches)
-        self.reception = Reception(self.intake, self.courses, self.metrics, log, limits)
+        self.batch_tasks = BatchTasks(self.decisions, self.dispatcher, self.batches, self.metrics, log)
+        self.loop_lag = LoopLagMonitor()
+        self.validator = RequestValidator(settings, self.loop_lag, self.batches)
+        self.client_listener = ClientListener(self.validator, self.batch_tasks, self.metrics, log, limits)
         self.discovery = self.build_discovery(operator)
-        self.desk.on_probe = self.dispatcher.probe
-        self.desk.on_ask_list = lambda: self.discovery.poll(requested=True)
+        self.decisions.on_probe = self.dispatcher.probe
+        self.decisions.on_ask_list = lambda: self.discovery.poll(requested=True)
         # Optional components, in the order in which they are opened.
         self.components: list[Component] = self.build_components(operator) if operator else []
         if self.flight:
             component = self.flight
-            self.dispatcher.speech = (
+            self.dispatcher.protocol = (
                 lambda entry: component.engines if component.speaks_flight(entry) else over_http
             )
         self.admin: AdminServer | None = None
@@ -123,9 +125,9 @@
             from thistlelever.lifecycle.distribution import SubscribedDiscovery
 
             section = operator.distribution
-            return SubscribedDiscovery(config, section, self.registry, self.forget, self.desk)
+            return SubscribedDiscovery(config, section, self.registry, self.forget, self.decisions)
         return DirectoryClient(
-            self.registry, self.forget, self.desk, self.metrics, config.zones, config.kinds, config.seed
+            self.registry, self.forget, self.decisions, self.metrics, config.zones, config.kinds, config.seed
         )
 
     def component_context(self) -> FrontContext:
@@ -138,9 +140,9 @@
             self.metrics,
             self.batches,
             self.registry,
-            self.desk,
-            self.intake,
-            self.courses,
+            self.decisions,
+            self.validator,
+            self.batch_tasks,
             self.dispatcher,
             self.discovery,
         )
@@ -213,11 +215,11 @@
                     lambda: PeerDatagramSink(self.metrics), local_addr=address
                 )
             )
-        self.desk.tell(
+        self.decisions.add_event(
             it.EngineListReceived(it.ListKind.CACHED, self.registry.serial, self.registry.engine_list())
         )
         sock = await retry_while_out_of_resources(lambda: listening_socket(self.config.listen))
-        self.reception.listen(sock)
+        self.client_listener.listen(sock)
         start_times.finish_stage("listening")
         facts: dict = {}
         for component in self.components:
@@ -228,8 +230,8 @@
 
             self.admin = AdminServer(self.operator.admin.socket, self.admin_handlers())
             await self.admin.listen()
-        self.reception.ready = lambda: not self.stop.is_set()
-        coroutines = self.discovery.run(), self.pulse.run(), self.housekeeping(), self.reload_on_request()
+        self.client_listener.ready = lambda: not self.stop.is_set()
+        coroutines = self.discovery.run(), self.loop_lag.run(), self.housekeeping(), self.reload_on_request()
         self.tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         self.log(
             "ready",
@@ -259,15 +261,15 @@
         longest_time_limit = max(query_class.time_limit for query_class in self.config.settings.tariffs)
         stop_at = clock.now() + min(longest_time_limit, MAX_DRAIN_S) + ANSWER_GRACE_S
         self.log("stopping", open=len(self.batches.by_number))
-        self.intake.stop_at = stop_at
+        self.validator.stop_at = stop_at
         for component in self.components:
             component.begin_shutdown()
-        self.courses.stop(stop_at)
+        self.batch_tasks.stop(stop_at)
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        while self.courses.tasks and clock.now() < stop_at + FLUSH_TIMEOUT_S:
-            await asyncio.wait(self.courses.tasks, timeout=stop_at + FLUSH_TIMEOUT_S - clock.now())
+        while self.batch_tasks.tasks and clock.now() < stop_at + FLUSH_TIMEOUT_S:
+            await asyncio.wait(self.batch_tasks.tasks, timeout=stop_at + FLUSH_TIMEOUT_S - clock.now())
         # The last answers may still lie in the connections' buffers.
-        await self.reception.finish(FLUSH_TIMEOUT_S)
+        await self.client_listener.finish(FLUSH_TIMEOUT_S)
         for component in self.components:
             await component.close(FLUSH_TIMEOUT_S)
         if self.admin:
@@ -336,19 +338,19 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.connections.close_expired()
-            self.reception.sweep()
+            self.client_listener.sweep()
             if clock.now() >= next_log_at and self.metrics.counts != logged:
                 logged = self.metrics.counts.copy()
                 self.log(
                     "counts",
                     links=self.connections.count,
                     counts=logged,
-                    turns=self.desk.turns,
-                    deciding=round(self.desk.spent, 3),
+                    turns=self.decisions.turns,
+                    deciding=round(self.decisions.busy_seconds, 3),
                     cpu=round(process_time(), 3),
-                    lag=round(self.pulse.worst, 4),
+                    lag=round(self.loop_lag.worst, 4),
                 )
-                next_log_at, self.pulse.worst = clock.now() + COUNTS_LOG_INTERVAL_S, 0.0
+                next_log_at, self.loop_lag.worst = clock.now() + COUNTS_LOG_INTERVAL_S, 0.0
 
 
 async def serve(
