--- a/rigs/flight_sabotage.py
+++ b/rigs/flight_sabotage.py
@@ -2,8 +2,8 @@
 
 from thistlelever.carrier.clients import ClientSession
 from thistlelever.carrier.flight_engines import FlightEngines
-from thistlelever.carrier.result_stream import ResultStream
 from thistlelever.carrier.http_engines import HttpEngines
+from thistlelever.carrier.result_stream import ResultStream
 from thistlelever.ground import interface as it
 
 
--- a/rigs/membership.py
+++ b/rigs/membership.py
@@ -68,7 +68,7 @@
         for name in ("loss", "double", "jitter", "late"):
             setattr(network, name, 0.0)
 
-    def one(self, what):
+    def draw_front(self, what):
         """Draws a front."""
         return self.fleet.fronts[self.chance.below(self.fleet.front_count, what)]
 
@@ -78,7 +78,7 @@
 
     async def one_way(self):
         """Cuts one pair one way, which must cause no death and no long suspicion."""
-        a, b = self.one("one way from").place, self.one("one way to").place
+        a, b = self.draw_front("one way from").place, self.draw_front("one way to").place
         b = (b + (a == b)) % self.fleet.front_count
         fault = self.fleet.fault("pair", a, b)
         self.fleet.network.cuts.add((a, b))
@@ -89,7 +89,7 @@
 
     async def pause(self, kind, seconds):
         """Stops the process of one front with SIGSTOP for some seconds."""
-        front = self.one(kind)
+        front = self.draw_front(kind)
         fault = self.fleet.fault("stopped", front.name)
         front.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
@@ -106,7 +106,7 @@
 
     async def kill(self):
         """Kills one front, waits until the others have noticed, and starts it again."""
-        front = self.one("kill")
+        front = self.draw_front("kill")
         fault = self.fleet.fault("killed", front.name)
         await front.kill()
         living = [f.name for f in self.fleet.fronts if f is not front]
@@ -117,7 +117,7 @@
 
     async def leave(self):
         """Stops one front with SIGTERM and starts it again."""
-        front = self.one("leave")
+        front = self.draw_front("leave")
         fault = self.fleet.fault("left", front.name)
         await front.stop()
         await front.start()
@@ -125,7 +125,7 @@
 
     async def one_to_all(self):
         """Cuts all datagrams from one front; it has to detect its own isolation."""
-        front = self.one("one to all")
+        front = self.draw_front("one to all")
         fault = self.fleet.fault("cut off", front.name)
         others = [other for other in self.fleet.fronts if other is not front]
         self.fleet.network.cuts |= {(front.place, other.place) for other in others}
--- a/rigs/takeover_checks.py
+++ b/rigs/takeover_checks.py
@@ -1,14 +1,14 @@
-"""The takeover rig's books of clients, engines and fronts against each other."""
+"""Checks the records of clients, engines and fronts in the takeover rig against each other."""
 
 import asyncio
 from collections import Counter, defaultdict
 
-from rigs.takeover_terms import DROPS_AFTER, GOAL, LIMIT
+from rigs.takeover_terms import ENGINE_DROP_S, LATENCY_GOAL_S, TIME_LIMIT_S
 
-# Of tries without an answer so many are told.
-MOST_TOLD = 8
+# How many submissions without an answer the figures list.
+MAX_LISTED = 8
 
-# The counts of log lines among the figures, by the events that they count.
+# Figures that count log lines, with the event of each.
 COUNTED = {
     "taken_over": "work taken over",
     "adopted": "work adopted",
@@ -20,12 +20,12 @@
 }
 
 
-def judged(fleet, play, engine_runs, clients):
-    """Figures, and what is broken."""
-    answers, outcomes = judged_answers(fleet, clients)
-    twice, most_out, wrongly_harmless, differing = judged_effects(engine_runs, clients)
+def check_run(fleet, play, engine_runs, clients):
+    """Returns the broken rules and the figures."""
+    answers, outcomes = count_answers(fleet, clients)
+    twice, most_out, wrongly_harmless, differing = check_runs(engine_runs, clients)
     events = Counter(line["event"] for front in fleet.fronts for line in front.lines)
-    heirs = owners_at_once(fleet)
+    owners = owners_at_once(fleet)
     broken = list(play.broken) + differing
     if answers["2+"] or answers["0"]:
         broken.append(f"1: one final answer {dict(answers)}")
@@ -37,12 +37,12 @@
         broken.append("2: one dispatch out at a time")
     if wrongly_harmless:
         broken.append("2: told harmless, yet it ran")
-    if heirs > 1:
+    if owners > 1:
         broken.append("two fronts own one batch")
     if failed := {event: n for event, n in events.items() if event.endswith("failed")}:
         broken.append(f"fronts failed: {failed}")
     return broken, {
-        "unanswered": unanswered(fleet, play, clients)[:MOST_TOLD],
+        "unanswered": unanswered(fleet, play, clients)[:MAX_LISTED],
         "rig_lag_s": round(clients.lag.worst, 3),
         "front_lag_s": longest_front_lag(fleet),
         "requests": len(clients.requests),
@@ -50,131 +50,154 @@
         "answers": {"0": answers["0"], "2+": answers["2+"]},
         "effects_twice": twice,
         "most_out_at_once": most_out,
-        "owners_at_once": heirs,
+        "owners_at_once": owners,
         "wrongly_harmless": wrongly_harmless,
         **{name: events[event] for name, event in COUNTED.items()},
-        **served(play, engine_runs, clients),
+        **service_figures(play, engine_runs, clients),
     }
 
 
 def longest_front_lag(fleet):
-    """The longest lag of a front's loop by the fronts' own logs, in seconds."""
+    """Returns the longest event loop lag in the logs of the fronts, in seconds."""
     return max((line.get("lag", 0.0) for front in fleet.fronts for line in front.lines), default=0.0)
 
 
-def done(clients):
-    """The requests that have come to an outcome."""
-    return [asked for asked in clients.requests if asked.over_at is not None]
+def finished(clients):
+    """Returns the requests that have an outcome."""
+    return [request for request in clients.requests if request.over_at is not None]
 
 
-def living(fleet):
-    """Each front that lives, with the number of its life."""
+def running_fronts(fleet):
+    """Returns (front, number of its start) for each front that is running."""
     return {(front, front.starts) for front in fleet.fronts if front.is_running}
 
 
-def is_owed(one, lives):
-    """Whether a try has no answer though its front lived on and its connection stands."""
-    return one.answers == 0 and (one.front, one.start_number) in lives and not one.closed
+def lacks_answer(submission, running):
+    """Whether a submission has no answer though its front and its connection are still up."""
+    return (
+        submission.answers == 0
+        and (submission.front, submission.start_number) in running
+        and not submission.closed
+    )
 
 
-def judged_answers(fleet, clients):
-    """How many tries had no answer though their front lived on, or several; and the requests by outcome."""
+def count_answers(fleet, clients):
+    """Counts submissions without an answer from a running front, or with several, and requests by outcome."""
     answers, outcomes = Counter(), Counter()
-    lives = living(fleet)
-    for asked in done(clients):
-        for one in asked.tries:
-            if one.answers > 1:
+    running = running_fronts(fleet)
+    for request in finished(clients):
+        for submission in request.submissions:
+            if submission.answers > 1:
                 answers["2+"] += 1
-            elif is_owed(one, lives):
+            elif lacks_answer(submission, running):
                 answers["0"] += 1
-        outcomes[asked.outcome] += 1
+        outcomes[request.outcome] += 1
     return answers, outcomes
 
 
 def unanswered(fleet, play, clients):
-    """Each try without an answer whose front lived on, and each try of a request that nobody answered in its
-    time: of which front, when in the run, when its answer came after all, and what was done to fronts from
-    then till the end of its time."""
-    lives = living(fleet)
+    """Returns a record of each submission without an answer.
+
+    Listed are submissions to fronts that are still running, and all of a request that got no answer in time.
+    `meanwhile` names the faults injected between the submission and its time limit.
+    """
+    running = running_fronts(fleet)
     began = clients.requests[0].at if clients.requests else 0.0
     found = []
-    for asked in done(clients):
-        silent = [one for one in asked.tries if is_owed(one, lives) or asked.outcome == "unheard"]
-        for one in silent:
-            meanwhile = [name for name, since, till in play.done if since < one.at + LIMIT and till > one.at]
+    for request in finished(clients):
+        silent = [
+            submission
+            for submission in request.submissions
+            if lacks_answer(submission, running) or request.outcome == "unheard"
+        ]
+        for submission in silent:
+            meanwhile = [
+                name
+                for name, since, till in play.done
+                if since < submission.at + TIME_LIMIT_S and till > submission.at
+            ]
             found.append(
                 {
-                    "group": asked.group,
-                    "mark": asked.mark,
-                    "txn": one.txn,
-                    "front": one.front.name,
-                    "at_s": round(one.at - began, 3),
-                    "closed": one.closed,
-                    "answered_after_s": one.answered_at and round(one.answered_at - one.at, 3),
-                    "tries": len(asked.tries),
-                    "outcome": asked.outcome,
-                    "given_up_after_s": round(asked.over_at - one.at, 3),
+                    "group": request.query_class,
+                    "mark": request.key,
+                    "txn": submission.txn,
+                    "front": submission.front.name,
+                    "at_s": round(submission.at - began, 3),
+                    "closed": submission.closed,
+                    "answered_after_s": submission.answered_at
+                    and round(submission.answered_at - submission.at, 3),
+                    "tries": len(request.submissions),
+                    "outcome": request.outcome,
+                    "given_up_after_s": round(request.over_at - submission.at, 3),
                     "meanwhile": meanwhile,
                 }
             )
     return found
 
 
-def judged_effects(engine_runs, clients):
-    """Once-only requests that ran twice, the most runs of one at once, tries that were told harmless though
-    they ran, and a line for each request whose results differ."""
+def check_runs(engine_runs, clients):
+    """Checks the runs of batches that must not run twice, and the results of all requests.
+
+    Returns the number of requests that ran twice, the highest number of simultaneous runs of one request, the
+    number of submissions refused as not run although they ran, and a line per request whose results differ.
+    """
     twice, most_out, wrongly_harmless, differing = 0, 0, 0, []
-    for asked in done(clients):
-        if asked.group == "lookup":
+    for request in finished(clients):
+        if request.query_class == "lookup":
             continue
-        if asked.group == "pay":
-            twice += sum(not run.repeat for run in engine_runs.runs[asked.mark]) > 1
-            most_out = max(most_out, engine_runs.most_out[asked.mark])
+        if request.query_class == "pay":
+            twice += sum(not run.repeat for run in engine_runs.runs[request.key]) > 1
+            most_out = max(most_out, engine_runs.most_out[request.key])
             wrongly_harmless += sum(
-                t.what == "pushed back" and t.txn in engine_runs.of_txn for t in asked.tries
+                t.what == "pushed back" and t.txn in engine_runs.by_txn for t in request.submissions
             )
-        if len(asked.results()) > 1:
-            differing.append(f"one outcome: {sorted(asked.results())}")
+        if len(request.results()) > 1:
+            differing.append(f"one outcome: {sorted(request.results())}")
     return twice, most_out, wrongly_harmless, differing
 
 
 def owners_at_once(fleet):
-    """Of each key the most living fronts that held it as heirs at once, by their own logs."""
+    """Returns the highest number of fronts that owned one key at once, by their logs.
+
+    Two takeovers of a key by different fronts within 0.3 s count as two owners at once.
+    """
     lines = sorted(
         (line["at"], front.name, line["event"], line.get("key"))
         for front in fleet.fronts
         for line in front.lines
         if line.get("key")
     )
-    heirs, most = {}, 0
+    owners, most = {}, 0
     for at, name, event, key in lines:
         if event == "work taken over":
-            before = heirs.get(key)
+            before = owners.get(key)
             again = before and before[0] != name and at - before[1] < 0.3
             most = max(most, 2 if again else 1)
-            heirs[key] = name, at
+            owners[key] = name, at
     return max(most, 1)
 
 
-def served(play, engine_runs, clients):
-    """What became of requests whose front was killed, and what engines did for nobody."""
+def service_figures(play, engine_runs, clients):
+    """Returns figures on requests whose front was killed, and on engine time without use."""
     shares, after, beyond = defaultdict(list), [], []
-    for asked in clients.requests:
-        at = first_hit(play, asked)
+    for request in clients.requests:
+        at = first_hit(play, request)
         if at is None:
             continue
-        good = asked.outcome == "returned"
-        shares[asked.group].append(good and asked.over_at - asked.at <= GOAL)
+        good = request.outcome == "returned"
+        shares[request.query_class].append(good and request.over_at - request.at <= LATENCY_GOAL_S)
         if not good:
             continue
-        after.append(asked.over_at - at)
-        ends = [run.ended for run in engine_runs.runs[asked.mark] if run.ended]
-        came = [one.at for one in asked.tries if one.at > at]
+        after.append(request.over_at - at)
+        ends = [run.ended for run in engine_runs.runs[request.key] if run.ended]
+        came = [submission.at for submission in request.submissions if submission.at > at]
         if ends and came:
-            beyond.append(max(asked.over_at - max(ends[0], came[0]), 0.0))
+            beyond.append(max(request.over_at - max(ends[0], came[0]), 0.0))
     wasted, spent = engine_seconds(engine_runs, clients)
-    over = done(clients)
-    in_time = sum(a.outcome == "returned" and a.over_at - a.at <= GOAL for a in over) / max(len(over), 1)
+    over = finished(clients)
+    in_time = sum(a.outcome == "returned" and a.over_at - a.at <= LATENCY_GOAL_S for a in over) / max(
+        len(over), 1
+    )
     return {
         "in_time": round(in_time, 4),
         "in_time_after_a_kill": {g: round(sum(v) / len(v), 3) for g, v in sorted(shares.items())},
@@ -186,32 +209,40 @@
     }
 
 
-def first_hit(play, asked):
-    """When a kill first met one of the request's tries before its outcome; None where none did."""
-    if asked.over_at is None:
+def first_hit(play, request):
+    """Returns when the first kill hit an open submission of the request, or None."""
+    if request.over_at is None:
         return None
-    for at, front, life in play.kills:
-        for one in asked.tries:
-            open_then = one.at <= at < (one.answered_at or float("inf"))
-            if one.front is front and one.start_number == life and open_then and asked.over_at > at:
+    for at, front, start_number in play.kills:
+        for submission in request.submissions:
+            open_then = submission.at <= at < (submission.answered_at or float("inf"))
+            if (
+                submission.front is front
+                and submission.start_number == start_number
+                and open_then
+                and request.over_at > at
+            ):
                 return at
     return None
 
 
 def engine_seconds(engine_runs, clients):
-    """What engines worked for nobody, and in all."""
+    """Returns the engine seconds whose result no client got, and all engine seconds."""
     now = asyncio.get_running_loop().time()
     runs = [run for of_one in engine_runs.runs.values() for run in of_one]
     brought = {
-        run.txn for a in clients.requests if a.outcome == "returned" for run in engine_runs.runs[a.mark][-1:]
+        run.txn for a in clients.requests if a.outcome == "returned" for run in engine_runs.runs[a.key][-1:]
     }
     wasted = sum(
-        (run.ended or min(now, run.began + DROPS_AFTER)) - run.began for run in runs if run.txn not in brought
+        (run.ended or min(now, run.began + ENGINE_DROP_S)) - run.began
+        for run in runs
+        if run.txn not in brought
     )
     return wasted, sum((run.ended or now) - run.began for run in runs)
 
 
 def spread(times):
+    """Returns median, 99th percentile and maximum; empty for no times."""
     times = sorted(times)
     return (
         {
--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -14,8 +14,8 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.ground import interface as it
-from thistlelever.ground.settings import build_settings
 from thistlelever.ground.config import ConfigNode, SettingsReader, flatten_settings
+from thistlelever.ground.settings import build_settings
 from thistlelever.standins.papers import SETTINGS
 
 EVENTS = (
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 from thistlelever.carrier import clients, directory
+from thistlelever.ground import config as front_config
+from thistlelever.lifecycle import run
 from thistlelever.standins.directory import Directory, dns_answer
 from thistlelever.standins.http_engine import Engine, rows, unescaped
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.ground import config as front_config
-from thistlelever.lifecycle import run
 
 TXN = "0000000000000000"
 LONGEST_WAIT = 8.0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -3,11 +3,19 @@
 from math import log2
 
 import pytest
-
-from rigs.capacity_slopes import FORMS, LONGEST_DATAGRAM, Slope, fit, fit_form, most_in_a_datagram
-from rigs.capacity_slopes import dns_answer, listed_engines
 from test_rigs import played
 
+from rigs.capacity_slopes import (
+    FORMS,
+    LONGEST_DATAGRAM,
+    Slope,
+    dns_answer,
+    fit,
+    fit_form,
+    listed_engines,
+    most_in_a_datagram,
+)
+
 SIZES = (30, 300, 3_000, 22_000)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,11 +10,12 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.carrier import http_engines
-from thistlelever.carrier.dispatch import Dispatcher, End, NoResultError, DispatchProgress
+from thistlelever.carrier.dispatch import Dispatcher, DispatchProgress, End, NoResultError
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.validation import RequestValidator
 from thistlelever.carrier.loop_lag import LoopLagMonitor
-from thistlelever.ground import clock, config as front_config
+from thistlelever.carrier.validation import RequestValidator
+from thistlelever.ground import clock
+from thistlelever.ground import config as front_config
 from thistlelever.ground import interface as it
 from thistlelever.ground.metrics import Metrics
 from thistlelever.standins.papers import configuration
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from thistlelever.ground import interface as it
 from thistlelever.carrier.batch_tasks import CLIENT_LEFT, OVERDUE, BatchTasks
 from thistlelever.carrier.decision_loop import DecisionLoop
-from thistlelever.carrier.dispatch import End, DispatchProgress
+from thistlelever.carrier.dispatch import DispatchProgress, End
 from thistlelever.carrier.http_engines import RETRY_DELAY_S, HttpEngines
 from thistlelever.ground import clock
+from thistlelever.ground import interface as it
+from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, Batches
 from thistlelever.store.connections import MIN_IDLE, ConnectionPool, Unreached
-from thistlelever.ground.metrics import Metrics
 
 TICK = 0.02
 
--- a/tests/test_distribution_claims.py
+++ b/tests/test_distribution_claims.py
@@ -2,9 +2,9 @@
 backup."""
 
 import pytest
-
 from test_distribution import drain, engine, publisher_of, same_content
 from test_distribution_publishing import expect_refusal
+
 from thistlelever.distribution.claim import Claim, catch_up, majority, promise
 from thistlelever.distribution.history import History
 from thistlelever.distribution.messages import Snapshot
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -12,9 +12,9 @@
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-
 from test_distribution import engine
 from test_distribution_world import DISTRIBUTORS, FRONTS, World
+
 from thistlelever.distribution.claim import TERMS_PER_ROUND, Claim
 from thistlelever.distribution.messages import Snapshot
 from thistlelever.distribution.replica import Outcome, Replica
--- a/tests/test_distribution_publishing.py
+++ b/tests/test_distribution_publishing.py
@@ -4,8 +4,8 @@
 import math
 
 import pytest
-
 from test_distribution import NeverIterated, engine, follower_of, publisher_of, state
+
 from thistlelever.distribution import publisher as publisher_module
 from thistlelever.distribution import validation
 from thistlelever.distribution.messages import Removal
--- a/tests/test_distribution_views.py
+++ b/tests/test_distribution_views.py
@@ -1,8 +1,8 @@
 """The updates that a distributor sends to one front."""
 
 import pytest
-
 from test_distribution import TERM, engine, state
+
 from thistlelever.distribution.messages import Delta, Removal
 from thistlelever.distribution.replica import Outcome, Replica
 from thistlelever.distribution.versions import Version
--- a/tests/test_papers.py
+++ b/tests/test_papers.py
@@ -7,14 +7,14 @@
 
 import pytest
 from click.testing import CliRunner
-from thistlelever.standins.papers import configuration
 
 from thistlelever.__main__ import main
-from thistlelever.ground import interface as it
 from thistlelever.ground import config as front_config
+from thistlelever.ground import interface as it
 from thistlelever.ground.log import MAX_LINES_A_MINUTE, LibraryLogHandler, Log
-from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.ground.metrics import Metrics
+from thistlelever.standins.papers import configuration
+from thistlelever.store.engine_registry import EngineRegistry
 
 ENTRY = [("s-1", "127.0.0.1:8443")]
 HOSTS = "known.entries.0.hosts.instances.0."
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,10 +4,10 @@
 from math import inf
 
 import pytest
+from test_rigs import played
 
 from rigs.loop_lag import lag_between
 from rigs.scale_verdict import Held, InForce, last_in_force
-from test_rigs import played
 from thistlelever.distribution.versions import Version
 
 # Half the usual heartbeat, as most of the time goes by waiting for one.
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,8 +7,8 @@
 import pytest
 from stage import played
 
-from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
+from thistlelever.ground import interface as it
 
 FILES = sorted(Path(__file__).with_name("scenarios").glob("*.txt"))
 SOCKETS = sorted(Path(__file__).with_name("scenarios").glob("*/*.txt"))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -10,19 +10,19 @@
 
 from rigs import takeover_model as model
 from thistlelever.takeover.facts import (
-    KeepAlive,
     CancelRun,
-    StopKeepAlive,
+    KeepAlive,
+    Liveness,
     QueryClassPolicy,
     QuorumOutcome,
-    Liveness,
+    StopKeepAlive,
     TakeoverConfig,
 )
+from thistlelever.takeover.lease import Phase, RunEnd
 from thistlelever.takeover.lease_manager import LeaseManager
 from thistlelever.takeover.placement import Placement
-from thistlelever.takeover.lease import Phase, RunEnd
 from thistlelever.wire import peers, work
-from thistlelever.wire.work import Owner, RunState, RunStatus, Verb, Message
+from thistlelever.wire.work import Message, Owner, RunState, RunStatus, Verb
 
 FRONTS = tuple(("127.0.0.1", 7000 + n) for n in range(5))
 QUERY_CLASSES = (
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,8 +16,8 @@
 from thistlelever.standins.directory import beside
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.papers import SETTINGS, configuration
-from thistlelever.store.engine_starts import RETENTION, LISTING_DELAY, EngineStarts, estimate_start
 from thistlelever.store.engine_registry import EngineRegistry
+from thistlelever.store.engine_starts import LISTING_DELAY, RETENTION, EngineStarts, estimate_start
 
 NOW, HOUR = 1_000_000.0, 3_600.0
 # An engine that starts during a run is warm after so many seconds, so that a short run covers both states,
--- a/thistlelever/carrier/batch_tasks.py
+++ b/thistlelever/carrier/batch_tasks.py
@@ -8,20 +8,20 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from thistlelever.ground import interface as it
 from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.dispatch import Dispatcher, End
 from thistlelever.carrier.result_stream import Begun
 from thistlelever.ground import clock
-from thistlelever.ground.log import Log
+from thistlelever.ground import interface as it
 from thistlelever.ground.commands import Preempt, Refuse, Release, TakenOver
-from thistlelever.store.batches import Batch, Batches
+from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
+from thistlelever.store.batches import Batch, Batches
 
 if TYPE_CHECKING:
     from thistlelever.carrier.budget_gate import BudgetGate
-    from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
     from thistlelever.carrier.leases import LeaseService
+    from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 
 # Messages to a batch's task, besides actions, commands and ends of dispatches: its client has left, or its
 # backstop timer has fired.
--- a/thistlelever/carrier/clients.py
+++ b/thistlelever/carrier/clients.py
@@ -9,17 +9,17 @@
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
-from thistlelever.ground import interface as it
 from thistlelever.carrier.batch_tasks import CLIENT_LEFT, BatchTasks
 from thistlelever.carrier.dispatch import End
 from thistlelever.carrier.validation import RequestValidator
 from thistlelever.ground import clock
+from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
+from thistlelever.ground.metrics import Metrics
 from thistlelever.ground.submission import InvalidFieldError
 from thistlelever.store.batches import Batch
 from thistlelever.store.connection_limits import ConnectionLimits
 from thistlelever.store.stream import Stream
-from thistlelever.ground.metrics import Metrics
 from thistlelever.wire import jsonrpc
 from thistlelever.wire.read_buffer import BufferQuota, ReadBuffer, TooLong
 
--- a/thistlelever/carrier/decision_loop.py
+++ b/thistlelever/carrier/decision_loop.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from time import perf_counter
 
-from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
 from thistlelever.ground import clock
+from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
-from thistlelever.store.batches import Batches
 from thistlelever.ground.metrics import Metrics
+from thistlelever.store.batches import Batches
 
 
 class DecisionLoop:
--- a/thistlelever/carrier/dispatch.py
+++ b/thistlelever/carrier/dispatch.py
@@ -11,11 +11,11 @@
 
 from thistlelever.admission.decide import MAY_RUN_ON
 from thistlelever.carrier.decision_loop import DecisionLoop
-from thistlelever.carrier.result_stream import ResultStream, ReaderLeftError
+from thistlelever.carrier.result_stream import ReaderLeftError, ResultStream
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.log import Log
 from thistlelever.ground.config import Entry
+from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batch, DispatchName
 from thistlelever.store.engine_registry import EngineRegistry
--- a/thistlelever/carrier/flight_engines.py
+++ b/thistlelever/carrier/flight_engines.py
@@ -14,7 +14,7 @@
 from grpc import StatusCode, aio
 
 from thistlelever.carrier.decision_loop import DecisionLoop
-from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
+from thistlelever.carrier.dispatch import DispatchProgress, End, NoResultError
 from thistlelever.carrier.result_stream import Begun, ResultStream
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
--- a/thistlelever/carrier/http_engines.py
+++ b/thistlelever/carrier/http_engines.py
@@ -7,7 +7,7 @@
 from math import ceil
 
 from thistlelever.carrier.decision_loop import DecisionLoop
-from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress
+from thistlelever.carrier.dispatch import DispatchProgress, End, NoResultError
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.config import Entry
--- a/thistlelever/carrier/leases.py
+++ b/thistlelever/carrier/leases.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from thistlelever.admission.decide import NEVER_RAN
-from thistlelever.carrier.dispatch import End, NoResultError, DispatchProgress, EngineProtocol
+from thistlelever.carrier.dispatch import DispatchProgress, End, EngineProtocol, NoResultError
 from thistlelever.carrier.peers import PeerSocket
 from thistlelever.carrier.remembered_outcomes import resume_from
 from thistlelever.ground import clock
--- a/thistlelever/flight/answers.py
+++ b/thistlelever/flight/answers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from google.protobuf.duration_pb2 import Duration
 from google.protobuf.any_pb2 import Any
+from google.protobuf.duration_pb2 import Duration
 from google.rpc.error_details_pb2 import RetryInfo
 from google.rpc.status_pb2 import Status
 from grpc import StatusCode
--- a/thistlelever/flight/catalog.py
+++ b/thistlelever/flight/catalog.py
@@ -5,7 +5,6 @@
 
 import re
 
-
 import pyarrow as pa
 from google.protobuf.message import Message
 
--- a/thistlelever/flight/door.py
+++ b/thistlelever/flight/door.py
@@ -29,9 +29,9 @@
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
 from thistlelever.ground.log import Log
+from thistlelever.ground.metrics import Metrics
 from thistlelever.ground.operator import Flight
 from thistlelever.ground.submission import InvalidFieldError
-from thistlelever.ground.metrics import Metrics
 from thistlelever.state.prepared import PreparedStatements
 from thistlelever.state.sessions import Sessions, parse_number
 from thistlelever.state.tickets import Tickets, TicketStatus
--- a/thistlelever/lifecycle/components.py
+++ b/thistlelever/lifecycle/components.py
@@ -14,8 +14,8 @@
 from thistlelever.carrier.directory import DirectoryClient
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.validation import RequestValidator
-from thistlelever.ground.log import Log
 from thistlelever.ground.config import Config
+from thistlelever.ground.log import Log
 from thistlelever.ground.metrics import Metrics
 from thistlelever.store.batches import Batches
 from thistlelever.store.engine_registry import EngineRegistry
--- a/thistlelever/lifecycle/distributed_configuration.py
+++ b/thistlelever/lifecycle/distributed_configuration.py
@@ -8,8 +8,8 @@
 from thistlelever.distribution.replica import Replica
 from thistlelever.distribution.versions import NO_VERSION, Version
 from thistlelever.ground import operator as operator_file
-from thistlelever.ground.settings import ConfigError
 from thistlelever.ground.operator import Operator
+from thistlelever.ground.settings import ConfigError
 from thistlelever.lifecycle.budgets import build_plan
 
 # The name of the document with sections of the operator file, and the sections that it may have: those whose
--- a/thistlelever/lifecycle/distribution.py
+++ b/thistlelever/lifecycle/distribution.py
@@ -14,8 +14,8 @@
 from thistlelever.distribution.records import engines_of
 from thistlelever.distribution.versions import unpacked
 from thistlelever.ground import interface as it
-from thistlelever.ground.operator import Distribution, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
+from thistlelever.ground.operator import Distribution, Operator, parse_address
 from thistlelever.lifecycle.distributed_configuration import DistributedConfiguration
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.subsetting import FrontIdentity, Requirement
--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -7,8 +7,8 @@
 
 from thistlelever.carrier.flight_engines import FlightEngines
 from thistlelever.flight.door import Door
-from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
+from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.lifecycle.components import FrontContext
 from thistlelever.wire.read_buffer import BufferQuota
 
--- a/thistlelever/lifecycle/membership.py
+++ b/thistlelever/lifecycle/membership.py
@@ -9,9 +9,9 @@
 from thistlelever.carrier.peers import PeerSocket
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.settings import ConfigError
-from thistlelever.ground.operator import Membership, Operator
 from thistlelever.ground.config import Config
+from thistlelever.ground.operator import Membership, Operator
+from thistlelever.ground.settings import ConfigError
 from thistlelever.lifecycle.components import FrontContext
 from thistlelever.membership import views
 from thistlelever.membership.config import MembershipConfig
--- a/thistlelever/lifecycle/run.py
+++ b/thistlelever/lifecycle/run.py
@@ -10,34 +10,34 @@
 from time import process_time
 from typing import TYPE_CHECKING, TypeVar
 
-from thistlelever.ground import interface as it
 from thistlelever.admission.decide import Front
-from thistlelever.carrier.clients import ClientListener
 from thistlelever.carrier.batch_tasks import BatchTasks
+from thistlelever.carrier.clients import ClientListener
 from thistlelever.carrier.decision_loop import DecisionLoop
 from thistlelever.carrier.directory import DirectoryClient, PeerDatagramSink
 from thistlelever.carrier.dispatch import Dispatcher
 from thistlelever.carrier.http_engines import HttpEngines
-from thistlelever.carrier.validation import RequestValidator
 from thistlelever.carrier.loop_lag import LoopLagMonitor
+from thistlelever.carrier.validation import RequestValidator
 from thistlelever.ground import clock
+from thistlelever.ground import interface as it
+from thistlelever.ground.config import Config, load
 from thistlelever.ground.log import Log
+from thistlelever.ground.metrics import Metrics
 from thistlelever.ground.settings import ConfigError
-from thistlelever.ground.config import Config, load
 from thistlelever.lifecycle.start_times import StartTimes
 from thistlelever.store.batches import Batches
 from thistlelever.store.connection_limits import connection_limits
 from thistlelever.store.connections import LOCAL_SHORTAGE_ERRNOS, ConnectionPool
 from thistlelever.store.engine_registry import EngineRegistry
-from thistlelever.ground.metrics import Metrics
 
 if TYPE_CHECKING:
     from thistlelever.ground.operator import Operator, Takeover
     from thistlelever.lifecycle.admin import AdminServer
+    from thistlelever.lifecycle.components import Component, FrontContext
     from thistlelever.lifecycle.distribution import SubscribedDiscovery
     from thistlelever.lifecycle.flight import FlightComponent
     from thistlelever.lifecycle.membership import MembershipComponent
-    from thistlelever.lifecycle.components import Component, FrontContext
     from thistlelever.lifecycle.state import StateComponent
     from thistlelever.lifecycle.takeover import TakeoverComponent
 
--- a/thistlelever/lifecycle/state.py
+++ b/thistlelever/lifecycle/state.py
@@ -12,8 +12,8 @@
 from thistlelever.carrier.remembered_outcomes import RememberedOutcomes
 from thistlelever.ground import clock
 from thistlelever.ground import interface as it
-from thistlelever.ground.operator import Operator, State
 from thistlelever.ground.config import Config, Entry
+from thistlelever.ground.operator import Operator, State
 from thistlelever.ledger import file, records
 from thistlelever.ledger.file import LedgerFile
 from thistlelever.ledger.records import (
--- a/thistlelever/lifecycle/takeover.py
+++ b/thistlelever/lifecycle/takeover.py
@@ -7,11 +7,11 @@
 
 from thistlelever.carrier.leases import LeaseService, query_class_policies
 from thistlelever.ground import clock
-from thistlelever.ground.settings import ConfigError
-from thistlelever.ground.operator import Operator, Takeover
 from thistlelever.ground.config import Config
-from thistlelever.lifecycle.membership import MembershipComponent
+from thistlelever.ground.operator import Operator, Takeover
+from thistlelever.ground.settings import ConfigError
 from thistlelever.lifecycle.components import FrontContext
+from thistlelever.lifecycle.membership import MembershipComponent
 from thistlelever.takeover import views
 from thistlelever.takeover.facts import Address, Liveness, TakeoverConfig
 from thistlelever.takeover.lease_manager import LeaseManager
--- a/thistlelever/wirehost/host.py
+++ b/thistlelever/wirehost/host.py
@@ -6,8 +6,8 @@
 from typing import BinaryIO, TextIO
 
 from thistlelever.admission.decide import Front
-from thistlelever.wirehost import codec
 from thistlelever.ground.settings import ConfigError, parse_settings
+from thistlelever.wirehost import codec
 
 
 class Host:
