--- a/rigs/membership_model.py
+++ b/rigs/membership_model.py
@@ -1,8 +1,8 @@
-"""Membership at sizes that processes don't reach: the same judgement under a virtual clock, seeded.
+"""Simulates membership at sizes beyond real processes: the fronts' failure detector under a virtual clock.
 
 `python -m rigs.membership_model --seed 1 --members 300 --loss 0.2` kills members one after the other,
-measures when all the living know, counts false deaths, and plays the plain ways beside ours: `swim` (no own
-health, nobody sees for itself, no ring) and `heartbeats` (all to all).
+measures when all running members know, and counts false deaths. It compares two simpler protocols: `swim`
+(no local health, no verification by other members, no ring) and `heartbeats` (all to all).
 """
 
 import json
@@ -21,12 +21,12 @@
 from thistlelever.wire.peers import State, decode, decode_frame, encode, tag
 
 TIER = tag("model")
-# One way between two members, in seconds: of the platform's kind.
-SHORT, LONG = 0.001, 0.02
+# Shortest and longest one-way delay between two members.
+MIN_DELAY_S, MAX_DELAY_S = 0.001, 0.02
 
 
 class Swim(FailureDetector):
-    """Without what departs from it: no own health, no ring, no witnesses, every death believed."""
+    """Plain SWIM: no local health, no ring order of probes; every reported death is accepted unverified."""
 
     def __init__(self, *settings):
         super().__init__(*settings)
@@ -38,25 +38,32 @@
 
 
 class Network:
-    """Carries datagrams between detectors: loses, delays, cuts one way, stops members."""
+    """A simulated network of failure detectors: loss, delay, one-way cuts, stopped and killed members.
 
-    def __init__(self, seed, loss, way=FailureDetector, terms=None, bursts=False, check=False):
-        self.chance, self.loss, self.way, self.terms = Chance(seed), loss, way, terms or MembershipConfig()
+    `loss` is a probability, `now` the virtual time in seconds. With `bursts` losses come in bursts per pair;
+    with `check` datagrams are decoded from their bytes on delivery.
+    """
+
+    def __init__(self, seed, loss, detector_class=FailureDetector, config=None, bursts=False, check=False):
+        self.chance, self.loss = Chance(seed), loss
+        self.detector_class, self.config = detector_class, config or MembershipConfig()
         self.bursts, self.check, self.burst_till = bursts, check, {}
         self.now, self.queue, self.order = 1000.0, [], count()
         self.detectors, self.names, self.dead, self.stopped = {}, {}, set(), {}
         self.cut = lambda source, target: False
         self.sent, self.bytes, self.drawn, self.cpu = 0, 0, 0, 0.0
-        # Deaths believed: (who believes, of whom) -> since when; each false one.
-        self.held, self.false = {}, []
+        # (observer, member) -> since when the observer has the member as dead; and each false death.
+        self.dead_views, self.false_deaths = {}, []
         self.paused_at, self.changes = defaultdict(lambda: -1e9), defaultdict(list)
         self.waits = defaultdict(list)
 
     def share(self):
+        """Returns the next random number of the run, from 0 to 1."""
         self.drawn += 1
         return self.chance.share("net", self.drawn)
 
     def add(self, name, peers=None, life=None, fronts=0):
+        """Adds or restarts a member; `peers` are the addresses it knows. Returns its detector."""
         high, low = divmod(len(self.names), 250)
         address = (f"127.1.{high}.{low}", 7946)
         if name in self.detectors:
@@ -66,10 +73,12 @@
         me = Identity(name, address, life)
         known = peers if peers is not None else [j.identity.address for j in self.detectors.values()][:8]
         seed = self.chance.below(2**31, name, life)
-        self.detectors[name] = self.way(self.terms, me, TierSettings(tuple(known), fronts), seed, self.now)
+        self.detectors[name] = self.detector_class(
+            self.config, me, TierSettings(tuple(known), fronts), seed, self.now
+        )
         self.dead.discard(name)
         self.at(
-            self.now + self.terms.period * self.chance.share("start", name),
+            self.now + self.config.period * self.chance.share("start", name),
             "turn",
             name,
             self.detectors[name],
@@ -77,10 +86,11 @@
         return self.detectors[name]
 
     def at(self, when, what, *facts):
+        """Schedules `do_<what>(*facts)` at a virtual time."""
         heappush(self.queue, (when, next(self.order), what, facts))
 
     def known(self, names, life=0):
-        """As if all had met long ago, for sizes at which a start takes long."""
+        """Makes all members known to each other, as a regular start takes long at large sizes."""
         for name in names:
             me = self.detectors[name]
             me.joined, me.health.answered_at = True, self.now
@@ -92,15 +102,18 @@
             me.changes.clear()
 
     def run(self, till):
+        """Executes all events up to a virtual time."""
         while self.queue and self.queue[0][0] <= till:
             self.now, _, what, facts = heappop(self.queue)
             getattr(self, "do_" + what)(*facts)
         self.now = till
 
     def do_call(self, work):
+        """Event: calls a function."""
         work()
 
     def do_turn(self, name, detector):
+        """Event: the next tick of a detector; deferred while its member is stopped."""
         if self.detectors.get(name) is not detector or name in self.dead:
             return
         if name in self.stopped:
@@ -108,25 +121,27 @@
             return
         begun = process_time()
         if detector.check_for_pause(self.now):
-            # As the carrier does: what waited at the socket is dropped.
+            # As in the front: datagrams that queued at the socket during a pause are dropped.
             self.waits.pop((name, "old"), None)
         for source, data in self.waits.pop((name, "old"), ()):
-            self.hand(name, detector, source, data)
+            self.deliver(name, detector, source, data)
         sends = detector.tick(self.now)
         self.cpu += process_time() - begun
         self.carry(name, detector, sends)
         self.at(max(detector.next_tick_at(), self.now + 1e-4), "turn", name, detector)
 
     def do_datagram(self, source, name, data):
+        """Event: a datagram arrives; queued while its receiver is stopped."""
         detector = self.detectors.get(name)
         if detector is None or name in self.dead:
             return
         if name in self.stopped:
             self.waits[name, "old"].append((source, data))
             return
-        self.hand(name, detector, source, data)
+        self.deliver(name, detector, source, data)
 
-    def hand(self, name, detector, source, data):
+    def deliver(self, name, detector, source, data):
+        """Hands a datagram to a detector and sends its replies."""
         begun = process_time()
         message, updates = decode(decode_frame(data, TIER)[1]) if self.check else data
         sends = detector.handle_message(self.now, source, message, updates)
@@ -134,9 +149,10 @@
         self.carry(name, detector, sends)
 
     def lost(self, source, target):
+        """Draws whether a datagram is lost."""
         if not self.bursts:
             return self.share() < self.loss
-        # In bursts: a pair is out for 0.3 s at a time, as often as makes the same share.
+        # A burst cuts a pair for 0.3 s; bursts start at a tenth of the rate of single losses.
         pair = source, target
         if self.burst_till.get(pair, 0.0) > self.now:
             return True
@@ -146,6 +162,7 @@
         return False
 
     def carry(self, name, detector, sends):
+        """Records the changes in a detector's view and schedules the delivery of its datagrams."""
         for change in detector.changes:
             self.changed(name, change)
         detector.changes.clear()
@@ -157,55 +174,61 @@
             if target is None or self.cut(name, target) or self.loss and self.lost(name, target):
                 continue
             if not self.check:
-                # Bytes were counted; decoding them again would only take time.
+                # The encoded size has been counted; `deliver` then need not decode.
                 data = decode(decode_frame(data, TIER)[1])
-            delay = SHORT + (LONG - SHORT) * self.share() ** 3
+            delay = MIN_DELAY_S + (MAX_DELAY_S - MIN_DELAY_S) * self.share() ** 3
             self.at(self.now + delay, "datagram", detector.identity.address, target, data)
 
     def changed(self, name, change):
+        """Records a change of state in one view, and whether it is a false death."""
         if change.name not in self.detectors or change.name == name:
             return
         self.changes[change.name].append((change.at, name, change.state, change.by, change.path))
         if change.state is State.DEAD:
-            self.held[name, change.name] = change.at
-            lives = change.name not in self.dead and change.name not in self.stopped
-            if lives and self.now - self.paused_at[change.name] > 2.0:
-                self.false.append((self.now, name, change.name, change.by, change.path))
+            self.dead_views[name, change.name] = change.at
+            is_running = change.name not in self.dead and change.name not in self.stopped
+            if is_running and self.now - self.paused_at[change.name] > 2.0:
+                self.false_deaths.append((self.now, name, change.name, change.by, change.path))
         else:
-            self.held.pop((name, change.name), None)
+            self.dead_views.pop((name, change.name), None)
 
     def kill(self, name):
+        """Ends a member without notice."""
         self.dead.add(name)
 
     def stop(self, name):
+        """Pauses a member."""
         self.stopped[name] = self.now
 
-    def go_on(self, name):
+    def resume(self, name):
+        """Continues a paused member and its deferred events."""
         del self.stopped[name]
         self.paused_at[name] = self.now
         for what, facts in self.waits.pop(name, []):
             self.at(self.now, what, *facts)
 
-    def living(self):
+    def running(self):
+        """Returns the names of all members that are neither dead nor paused."""
         return [n for n in self.detectors if n not in self.dead and n not in self.stopped]
 
     def agree(self):
-        """Whether all the living hold just the living for alive."""
-        living = set(self.living())
+        """Whether each running member has exactly the running members as alive."""
+        running = set(self.running())
         return all(
-            {m.name for m in self.detectors[n].members.values() if m.is_alive} == living - {n} for n in living
+            {m.name for m in self.detectors[n].members.values() if m.is_alive} == running - {n}
+            for n in running
         )
 
 
 class Heartbeats:
-    """The plain way: each tells all, each period, that it is alive; silence for a fixed time is death."""
+    """All-to-all heartbeats: each member sends to all each period; a fixed silence counts as death."""
 
     def __init__(self, members, loss, seed, period, silence):
         self.members, self.loss, self.period, self.silence = members, loss, period, silence
         self.chance, self.drawn = Chance(seed), 0
 
     def play(self, seconds, deaths):
-        """Times to know of each death, by each of the living, and false deaths; sampled for pairs."""
+        """Returns detection times in seconds and false deaths per hour, from a sample of pairs."""
         false, times = 0, []
         beats = int(seconds / self.period)
         for pair in range(min(self.members * (self.members - 1), 4000)):
@@ -227,15 +250,17 @@
         return times, false * scale / seconds * 3600
 
 
-def figures(times):
+def percentiles(times):
+    """Returns median and 99th percentile; empty for no times."""
     times = sorted(times)
     if not times:
         return {}
     return {"p50": round(times[len(times) // 2], 3), "p99": round(times[int(len(times) * 0.99)], 3)}
 
 
-def measure(way, members, loss, seconds, deaths, seed, bursts=False, pauses=False, terms=None):
-    net = Network(seed, loss, way, terms, bursts)
+def measure(detector_class, members, loss, seconds, deaths, seed, bursts=False, pauses=False, config=None):
+    """Simulates kills (and, with `pauses`, every second time a pause) and returns the figures."""
+    net = Network(seed, loss, detector_class, config, bursts)
     names = [f"n{i}" for i in range(members)]
     for name in names:
         net.add(name, fronts=members, peers=())
@@ -256,28 +281,28 @@
             victim = names[(names.index(victim) + 1) % len(names)]
         if pauses and death % 2:
             net.stop(victim)
-            net.at(net.now + (0.3, 1.0, 3.0)[death % 3], "call", lambda v=victim: net.go_on(v))
+            net.at(net.now + (0.3, 1.0, 3.0)[death % 3], "call", lambda v=victim: net.resume(v))
             continue
         net.kill(victim)
         at = net.now
         net.run(begun + every * (death + 1))
-        for name in net.living():
-            held = net.held.get((name, victim))
-            if held is None:
+        for name in net.running():
+            dead_since = net.dead_views.get((name, victim))
+            if dead_since is None:
                 missed += 1
             else:
-                known.append(held - at)
+                known.append(dead_since - at)
     net.run(begun + seconds)
     took = net.now - begun
     return {
-        "detect_s": figures(known),
+        "detect_s": percentiles(known),
         "missed": missed,
-        "false_deaths": len(net.false),
-        "false_deaths_an_hour": round(len(net.false) / took * 3600, 1),
+        "false_deaths": len(net.false_deaths),
+        "false_deaths_an_hour": round(len(net.false_deaths) / took * 3600, 1),
         "bytes_a_member_s": round(net.bytes / members / took),
         "sends_a_member_s": round(net.sent / members / took, 1),
         "cpu_ms_a_member_s": round(net.cpu / members / took * 1e3, 2),
-        "why": net.false[:3],
+        "why": net.false_deaths[:3],
     }
 
 
@@ -297,12 +322,12 @@
     found["swim"] = measure(Swim, members, loss, seconds, deaths, seed, bursts, pauses, plain)
     times, false = Heartbeats(members, loss, seed, 0.1, 1.0).play(seconds, deaths * 20)
     found["heartbeats"] = {
-        "detect_s": figures(times),
+        "detect_s": percentiles(times),
         "false_deaths_an_hour": round(false, 1),
         "bytes_a_member_s": round((members - 1) * 60 / 0.1),
     }
-    for way, told in found.items():
-        print(json.dumps({"way": way, **told}))
+    for way, result in found.items():
+        print(json.dumps({"way": way, **result}))
     broken = []
     if found["ours"]["false_deaths"]:
         broken.append("a live member was held dead")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -149,12 +149,12 @@
     till = net.now + within
     while net.now < till and not net.agree():
         net.run(net.now + 0.1)
-    assert net.agree(), {n: net.detectors[n].view(net.now) for n in net.living()}
+    assert net.agree(), {n: net.detectors[n].view(net.now) for n in net.running()}
 
 
 def states(net, of):
     """The state of one member in the views of all other running members."""
-    return {n: net.detectors[n].members[of].state for n in net.living() if n != of}
+    return {n: net.detectors[n].members[of].state for n in net.running() if n != of}
 
 
 def test_one_that_leaves_is_not_asked_for_its_list_again_and_again():
@@ -175,7 +175,7 @@
     net.kill("n3")
     at = net.now
     settle(net)
-    assert all(net.held[n, "n3"] - at < 1.6 for n in net.living()) and not net.false
+    assert all(net.dead_views[n, "n3"] - at < 1.6 for n in net.running()) and not net.false_deaths
 
 
 @pytest.mark.parametrize("seconds", [0.3, 1.0, 3.0, 10.0])
@@ -187,7 +187,7 @@
         net.stop(name)
     net.run(net.now + seconds)
     for name in paused:
-        net.go_on(name)
+        net.resume(name)
     woken = net.now
     net.run(woken + 0.001)
     # After the pause the view must not be acted on until the list of another member has been read.
@@ -199,7 +199,7 @@
         for c in log
         if c[0] >= woken and c[1] in paused and c[2] is State.DEAD and c[3] == c[1]
     ]
-    assert not by_woken and not net.false
+    assert not by_woken and not net.false_deaths
 
 
 def test_refutations_of_long_ago_make_no_suspicion_longer():
@@ -222,7 +222,7 @@
     net = tier(6)
     net.cut = lambda source, target: (source, target) == ("n1", "n2")
     net.run(net.now + 10)
-    assert not net.false and net.agree()
+    assert not net.false_deaths and net.agree()
     suspicions = [c for c in net.changes["n2"] if c[2] is State.SUSPECTED]
     assert not suspicions, suspicions
     # A real death behind the broken link is still detected.
@@ -249,7 +249,7 @@
         for change in net.changes["n2"]
         if change[1] == change[3] == "n1" and change[2] is State.SUSPECTED and change[0] >= cut_at
     ]
-    assert len(suspicions) <= 2 and not net.false, suspicions
+    assert len(suspicions) <= 2 and not net.false_deaths, suspicions
 
 
 @pytest.mark.parametrize("mute", [True, False])
@@ -297,7 +297,7 @@
     left = {f"n{n}" for n in range(4)}
     net.cut = lambda s, t: (s in left) != (t in left)
     net.run(net.now + 2)
-    assert all(net.detectors[n].view(net.now).alive == (4 if n in left else 6) for n in net.living())
+    assert all(net.detectors[n].view(net.now).alive == (4 if n in left else 6) for n in net.running())
     net.kill("n1")
     net.kill("n8")
     net.run(net.now + 1.5)
@@ -329,9 +329,9 @@
     net.cut = lambda source, target: (source in near) != (target in near)
     net.run(net.now + 2.0)
     net.cut = lambda source, target: False
-    net.false.clear()
+    net.false_deaths.clear()
     net.run(net.now + 1.5)
-    believed = [death for death in net.false if (death[1] in near) == (death[2] in near)]
+    believed = [death for death in net.false_deaths if (death[1] in near) == (death[2] in near)]
     assert not believed, believed
     settle(net)
 
@@ -376,7 +376,7 @@
     net.names[net.detectors.pop("n2").identity.address] = "nobody"
     net.add("n2", peers=(net.detectors["n0"].identity.address,), fronts=5)
     settle(net)
-    where = {net.detectors[n].members["n2"].address for n in net.living() if n != "n2"}
+    where = {net.detectors[n].members["n2"].address for n in net.running() if n != "n2"}
     assert where == {net.detectors["n2"].identity.address}
 
 
@@ -411,7 +411,7 @@
 
     net.do_datagram = late
     net.run(net.now + 10)
-    assert not net.false
+    assert not net.false_deaths
 
 
 def test_one_that_serves_nobody_says_so_and_is_not_dead():
@@ -492,7 +492,7 @@
         "for first in range(6):\n"
         "    [net.stop(name) for name in names[first::3][:5]]\n"
         "    net.run(net.now + 0.6)\n"
-        "    [net.go_on(name) for name in list(net.stopped)]\n"
+        "    [net.resume(name) for name in list(net.stopped)]\n"
         "    net.run(net.now + 0.5)\n"
         "print(net.sent, net.bytes, crc32(repr(changes).encode()))"
     )
@@ -533,7 +533,7 @@
         if event == "pause":
             net.stop("n1")
             net.run(net.now + 0.7)
-            net.go_on("n1")
+            net.resume("n1")
         else:
             net.kill("n1")
             if event == "restart":
@@ -559,7 +559,7 @@
         net.at = at
         for _ in range(18):
             net.run(net.now + 0.1)
-            for name in net.living():
+            for name in net.running():
                 for other, member in net.detectors[name].members.items():
                     key = name, net.detectors[name].identity.life, other
                     assert member.incarnation >= seen.get(key, 0), "an incarnation went back"
@@ -580,10 +580,10 @@
     def time_passes(self, seconds):
         self.net.run(self.net.now + seconds)
 
-    @precondition(lambda self: len(self.net.living()) > 2)
+    @precondition(lambda self: len(self.net.running()) > 2)
     @rule(place=st.integers(0, 4))
     def dies(self, place):
-        if f"n{place}" in self.net.living():
+        if f"n{place}" in self.net.running():
             self.net.kill(f"n{place}")
 
     @rule(place=st.integers(0, 4), back=st.sampled_from((0, 0, 90)))
@@ -591,16 +591,16 @@
         if f"n{place}" in self.net.dead:
             self.net.add(f"n{place}", peers=self.peers, life=int(self.net.now * 8) - back, fronts=5)
 
-    @precondition(lambda self: len(self.net.living()) > 2)
+    @precondition(lambda self: len(self.net.running()) > 2)
     @rule(place=st.integers(0, 4))
     def stops(self, place):
-        if f"n{place}" in self.net.living():
+        if f"n{place}" in self.net.running():
             self.net.stop(f"n{place}")
 
     @rule()
     def go_on(self):
         for name in list(self.net.stopped):
-            self.net.go_on(name)
+            self.net.resume(name)
 
     @rule(
         pairs=st.sets(st.tuples(st.integers(0, 4), st.integers(0, 4)), max_size=5),
@@ -612,7 +612,7 @@
 
     @invariant()
     def incarnations_never_go_back(self):
-        for name in self.net.living():
+        for name in self.net.running():
             detector = self.net.detectors[name]
             for other, member in detector.members.items():
                 key = name, detector.identity.life, other
--- a/tests/test_rig_ports.py
+++ b/tests/test_rig_ports.py
@@ -1,13 +1,13 @@
-"""Ports that rigs and tests choose, starts that fail, and what a client says as it connects.
+"""Port conflicts, failed starts of fronts, and clients that send too late.
 
-`rigs.takeover --seed 6002`, six rigs side by side, ended in a bare TimeoutError after 20 s: its front had
-said `[Errno 98] listen: 127.0.0.1:33057: Address already in use` and was gone, and the rig waited on. Three
-of 24 runs of `rigs.membership` eight at a time ended so. The port was drawn at 127.0.0.1 from the range that
-outgoing connections draw theirs from, and any process could take it before the front had bound it.
+A port chosen at 127.0.0.1 can be taken by any process, also for an outgoing connection, before the front
+binds it. The front then exits with `Address already in use` while the rig waits until its timeout of 20 s.
+This ended three of 24 runs of `rigs.membership`, eight at a time, and `rigs.takeover --seed 6002`, six
+rigs at a time.
 
-`rigs.takeover`, twelve at a time beside eight busy processes: 9 of 24 runs had requests that nobody answered.
-Their lines had left 1.55 to 2.66 s after the connection came up, as the rig's loop lagged up to 1.8 s, and a
-front closes a client that has said nothing for 1.5 s.
+A front closes a client that has sent nothing for 1.5 s. When the event loop of the rig lagged by up to 1.8 s,
+requests left 1.55 to 2.66 s after the connection was established and got no answer: in 9 of 24 runs of
+`rigs.takeover`, twelve at a time beside eight busy processes.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 def test_a_port_that_was_chosen_is_taken_by_nobody_else_on_loopback():
     port = free_port(socket.SOCK_STREAM)
     with socket.socket() as other, socket.socket() as own:
-        # As another process would: at the address that all connections go out from.
+        # Another process would bind the address that outgoing connections use.
         other.bind(("127.0.0.1", port))
         other.listen()
         own.bind((HOST, port))
@@ -48,11 +48,11 @@
 
     with pytest.raises(NotStartedError, match="front-0: ended with 1"):
         asyncio.run(run())
-    # One that may write no file has no way to say why: what it says is caught in one here.
+    # A diskless front cannot report the reason: the output is captured in a file, and it may write none.
     assert diskless or "Address already in use" in capfd.readouterr().err
 
 
-def listening():
+def listening_socket():
     raw = socket.socket()
     raw.setblocking(False)
     raw.bind((HOST, 0))
@@ -62,7 +62,7 @@
 
 def test_a_line_leaves_in_the_turn_of_the_loop_that_connects():
     async def run():
-        with listening() as port:
+        with listening_socket() as port:
             opening = asyncio.create_task(connect_and_send(port.getsockname(), b"a line\n"))
             await asyncio.sleep(0)
             taken = port.accept()[0]
@@ -78,7 +78,7 @@
 
 def test_a_connection_where_nobody_listens_is_refused():
     async def run():
-        with listening() as port:
+        with listening_socket() as port:
             address = port.getsockname()
         with pytest.raises(OSError):
             await connect_and_send(address, b"a line\n")
--- a/tests/test_rigs.py
+++ b/tests/test_rigs.py
@@ -1,4 +1,4 @@
-"""Each rig small, as CI plays it; and that it says no where a guard of the front is broken on purpose."""
+"""Runs each rig at a small size, and checks that it fails when a safeguard of the front is disabled."""
 
 import json
 import subprocess
@@ -10,23 +10,24 @@
 ROOT = Path(__file__).parents[1]
 
 
-def played(name, *words, within=240):
-    said = subprocess.run(
-        [sys.executable, "-m", f"rigs.{name}", *words],
+def run_rig(name, *options, timeout_s=240):
+    """Runs a rig as a command; returns the result on its last line."""
+    process = subprocess.run(
+        [sys.executable, "-m", f"rigs.{name}", *options],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=within,
+        timeout=timeout_s,
         check=False,
     )
-    assert said.stdout, said.stderr[-2000:]
-    last = json.loads(said.stdout.splitlines()[-1])
-    assert last["holds"] == (said.returncode == 0)
+    assert process.stdout, process.stderr[-2000:]
+    last = json.loads(process.stdout.splitlines()[-1])
+    assert last["holds"] == (process.returncode == 0)
     return last
 
 
 def test_flight():
-    last = played("flight", "--seed", "1", "--batches", "1000")
+    last = run_rig("flight", "--seed", "1", "--batches", "1000")
     assert last["holds"], last
     assert last["answers"]["0"] == last["answers"]["2+"] == 0 and last["answers"]["1"] > 500
     assert all(count > 100 for count in last["dispatches_by_protocol"].values())
@@ -42,16 +43,16 @@
     ],
 )
 def test_flight_says_no(guard, broken):
-    # Few results break off after they have begun to go on; enough batches, that some surely do. With the
-    # usual results, 15% of them long, none did in one of 20 runs (1 to 6 in the others), and CI failed once:
-    # this sabotage is played with long results alone (rigs/flight_sabotage.LONG_SHARES).
+    # Few results break off after a part of them was forwarded. With the usual 15% of long results none did in
+    # one of 20 runs (1 to 6 in the others), and CI failed once; this sabotage therefore runs more batches,
+    # with long results only (rigs/flight_sabotage.LONG_SHARES).
     batches = "1500" if guard == "short" else "600"
-    last = played("flight", "--seed", "2", "--batches", batches, "--sabotage", guard)
+    last = run_rig("flight", "--seed", "2", "--batches", batches, "--sabotage", guard)
     assert not last["holds"] and broken in last["broken_rules"], last
 
 
 def test_membership():
-    last = played("membership", "--seed", "1")
+    last = run_rig("membership", "--seed", "1")
     assert last["holds"], last
     assert last["views_agree"] and last["answers"]["0"] == last["answers"]["2+"] == last["missed_deaths"] == 0
 
@@ -60,13 +61,13 @@
     "guard, broken", [("health", "own health"), ("detour", "detours"), ("incarnation", "incarnations")]
 )
 def test_membership_says_no(guard, broken):
-    last = played("membership", "--seed", "2", "--sabotage", guard)
+    last = run_rig("membership", "--seed", "2", "--sabotage", guard)
     assert not last["holds"] and any(broken in rule for rule in last["broken_rules"]), last
 
 
 @pytest.fixture(scope="module")
 def budgets():
-    return played("budgets", "--seed", "1", "--seconds", "3")
+    return run_rig("budgets", "--seed", "1", "--seconds", "3")
 
 
 def test_budgets(budgets):
@@ -75,7 +76,7 @@
 
 
 def test_budgets_breaks_nothing_but_what_is_known(budgets):
-    # Two of the rig's rules are known red in the test above; the others hold all the same.
+    # Two rules of the rig are known to fail in the test above; all others must hold.
     known = {
         "the victim's share in time falls under the flood",
         "estimates are not within a fifth for nine in ten",
@@ -84,17 +85,17 @@
 
 
 def test_takeover():
-    last = played("takeover", "--seed", "1")
+    last = run_rig("takeover", "--seed", "1")
     assert last["holds"], last
     assert last["taken_over"] and last["adopted"] and last["called_off"]
 
 
 @pytest.mark.parametrize("guard, broken", [("promise", "2: "), ("fate", "2: ")])
 def test_takeover_says_no(guard, broken):
-    last = played("takeover", "--seed", "1", "--sabotage", guard)
+    last = run_rig("takeover", "--seed", "1", "--sabotage", guard)
     assert not last["holds"] and any(rule.startswith(broken) for rule in last["broken_rules"]), last
 
 
 def test_takeover_killed_at_each_step():
-    last = played("takeover_steps", "--faults", "kill")
+    last = run_rig("takeover_steps", "--faults", "kill")
     assert last["holds"] and last["cases"] == 12, last
