--- a/rigs/takeover_steps.py
+++ b/rigs/takeover_steps.py
@@ -1,8 +1,7 @@
-"""Each step of a batch's life, and its front killed or stopped just there: what its client hears at another
-front, what the engine ran.
+"""Kills or stops a front at each step of a batch; checks the answer at another front and the engine's runs.
 
-`python -m rigs.takeover_steps` plays every step with every fault, once-only batches on five processes, and
-prints the table; `--faults kill` and `--steps NAME` narrow it.
+`python -m rigs.takeover_steps` combines every step with every fault, with batches that must not run twice on
+five processes, and prints a table; `--faults kill` and `--steps NAME` restrict it.
 """
 
 import asyncio
@@ -22,9 +21,10 @@
 from thistlelever.wire import peers, work
 from thistlelever.wire.work import RunState, Verb
 
-LIMIT, KEEP, PATIENCE, RUNS_FOR = 2.5, 0.5, 0.7, 0.4
-# A place knows all that it should only once a life is older than its records.
-GROWN = 2 * LIMIT + KEEP
+TIME_LIMIT_S, RETENTION_S, RESUBMIT_S, RUN_S = 2.5, 0.5, 0.7, 0.4
+# A replica is complete only when it has run for longer than its records are kept.
+REPLICAS_COMPLETE_S = 2 * TIME_LIMIT_S + RETENTION_S
+# How long the front is stopped, in seconds; a kill ends it.
 FAULTS = {"kill": 0.0, "stop 1 s": 1.0, "stop 3 s": 3.0}
 TIER = "steps"
 PAGES = 8
@@ -32,50 +32,54 @@
 
 
 def settings():
-    told = json.loads(json.dumps(SETTINGS))
-    limit = {"Deadline": int(LIMIT * 1e6), "Slo": int(LIMIT * 1e6)}
-    told["Classes"] = [
+    """Returns the settings that the directory gives to the fronts."""
+    changed = json.loads(json.dumps(SETTINGS))
+    limit = {"Deadline": int(TIME_LIMIT_S * 1e6), "Slo": int(TIME_LIMIT_S * 1e6)}
+    changed["Classes"] = [
         GROUP | limit,
         GROUP | limit | {"Name": "load", "Idempotency": "by_key"},
         GROUP | limit | {"Name": "pay", "Idempotency": "once"},
     ]
-    return told
+    return changed
 
 
 class Case:
-    """One batch, the step at which its front is hit, and what came of it."""
+    """One batch, the step at which the fault is injected, and the answers at the first and second front."""
 
-    def __init__(self, step, fault, mark, txns):
-        self.step, self.fault, self.mark, self.txns = step, fault, mark, txns
+    def __init__(self, step, fault, key, txns):
+        self.step, self.fault, self.key, self.txns = step, fault, key, txns
         self.hit, self.runs, self.calls, self.first, self.second = asyncio.Event(), 0, 0, "", ""
 
 
-class Yard:
-    """The fleet, its one engine, and the case that is being played."""
+class Environment:
+    """The fleet, its one engine, and the current case.
+
+    Hooks into the engine, the relay of the owner and the network detect when the batch reaches a step.
+    """
 
     def __init__(self, fleet):
         self.fleet, self.owner, self.other = fleet, fleet.fronts[0], fleet.fronts[1]
         self.engine = fleet.engines["e-0"]
         self.engine.drops_after, self.engine.works = 2.0, self.work
-        self.engine.result, self.act = lambda statement: ROWS, self.engine.act
-        self.engine.act = self.call
+        self.engine.result, self.engine_act = lambda statement: ROWS, self.engine.act
+        self.engine.act = self.observe_call
         self.relay, self.case = self.owner.relays["e-0"], None
-        fleet.network.takes = self.datagram
+        fleet.network.takes = self.drops_datagram
         self.placement = Placement(tuple(f.known_as for f in fleet.fronts), 3)
-        self.numbers, self.marks, self.real = count(1), count(1), self.relay.carry
-        self.relay.carry = self.bytes_there
+        self.numbers, self.keys, self.relay_connection = count(1), count(1), self.relay.carry
+        self.relay.carry = self.relay_bytes
 
-    def mark(self):
-        """One whose places are neither the owner, which comes and goes, nor the front that is asked next."""
-        away = {self.owner.known_as, self.other.known_as}
+    def new_key(self):
+        """Returns a key whose replicas are neither the owner, which is restarted, nor the second front."""
+        excluded = {self.owner.known_as, self.other.known_as}
         return next(
             m
-            for m in (f"{n:032x}" for n in self.marks)
-            if not away & set(self.placement.replicas_for(bytes.fromhex(m)))
+            for m in (f"{n:032x}" for n in self.keys)
+            if not excluded & set(self.placement.replicas_for(bytes.fromhex(m)))
         )
 
-    def reaches(self, step):
-        """The batch has come to a step: where it is this case's, the fault comes now."""
+    def reach(self, step):
+        """Injects the fault if this is the step of the case; returns whether it did."""
         case = self.case
         if case and case.step == step and not case.hit.is_set():
             case.hit.set()
@@ -84,40 +88,41 @@
         return False
 
     async def work(self, txn, statement):
+        """Runs a statement and counts the runs of the case; called by the fake engine."""
         if self.case and txn in self.case.txns:
             self.case.runs += 1
-        await asyncio.sleep(RUNS_FOR)
+        await asyncio.sleep(RUN_S)
 
-    async def call(self, writer, call, fields, path, body):
-        """Each call that the engine gets, before it answers."""
+    async def observe_call(self, writer, call, fields, path, body):
+        """Handles a call at the engine and detects the steps between calls."""
         txn = fields.get("x-txn") or (path.split("/") + ["", ""])[2]
         if self.case and txn == self.case.txns[0]:
             self.case.calls += 1
             if call == "POST":
-                self.reaches("after the request")
+                self.reach("after the request")
             elif call == "GET0":
-                self.reaches("a poll is out")
+                self.reach("a poll is out")
             elif call == "GET2":
-                self.reaches("after page 1")
+                self.reach("after page 1")
             elif call == f"GET{PAGES - 1}":
-                asyncio.get_running_loop().call_later(0.003, self.reaches, "after the last page")
-        return await self.act(writer, call, fields, path, body)
+                asyncio.get_running_loop().call_later(0.003, self.reach, "after the last page")
+        return await self.engine_act(writer, call, fields, path, body)
 
-    async def bytes_there(self, reader, writer, left):
-        """The owner's way to the engine: held up where the fault comes before the request is whole."""
+    async def relay_bytes(self, reader, writer, left):
+        """Relays the owner's connection to the engine; `mid-request` first forwards a part of the request."""
         if self.case and self.case.step == "mid-request" and not self.case.hit.is_set():
             with suppress(ConnectionError):
                 data = await reader.read(65_536)
                 if data.startswith(b"POST"):
                     writer.write(data[:40])
-                    self.reaches("mid-request")
+                    self.reach("mid-request")
                     await asyncio.sleep(max(FAULTS[self.case.fault], 0.01))
                     data = data[40:]
                 writer.write(data)
-        await self.real(reader, writer, left)
+        await self.relay_connection(reader, writer, left)
 
-    def datagram(self, sender, target, data):
-        """Whether a datagram between fronts is lost, as the step wants it."""
+    def drops_datagram(self, sender, target, data):
+        """Whether a datagram between fronts is dropped for the current step; detects steps of takeover."""
         case = self.case
         if not case or self.owner.place not in (sender, target):
             return False
@@ -127,56 +132,57 @@
         if case.hit.is_set():
             return False
         for message in work.decode(body):
-            if message.key != bytes.fromhex(case.mark):
+            if message.key != bytes.fromhex(case.key):
                 continue
             sends, state = sender == self.owner.place, message.value and message.value.state
             if sends and message.verb is Verb.CLAIM and case.step.startswith("claim"):
-                return case.step == "claim lost" and self.reaches("claim lost")
+                return case.step == "claim lost" and self.reach("claim lost")
             if sends and message.verb is Verb.PUT and state is RunState.OUT and case.step.startswith("word"):
-                return case.step == "word lost" and self.reaches("word lost")
+                return case.step == "word lost" and self.reach("word lost")
             if not sends and message.verb is Verb.YES:
-                self.reaches("claim not acknowledged" if message.lease_ms else "word not acknowledged")
+                self.reach("claim not acknowledged" if message.lease_ms else "word not acknowledged")
             if sends and message.verb is Verb.PUT and state is RunState.RETURNED and not message.lease_ms:
-                return self.reaches("before it is taken back")
+                return self.reach("before it is taken back")
         return False
 
-    async def without_disks(self):
-        """All places of a mark without a file that can be written: its record is kept all the same."""
+    async def restart_diskless(self):
+        """Restarts all replicas without writable files, to check that records do not depend on files."""
         for front in self.fleet.fronts[2:]:
             await front.stop()
             await front.start(diskless=True)
-        await asyncio.gather(self.fleet.agree(10.0), asyncio.sleep(GROWN + 0.3))
+        await asyncio.gather(self.fleet.agree(10.0), asyncio.sleep(REPLICAS_COMPLETE_S + 0.3))
 
     async def play(self, step, fault):
-        mark = self.mark()
+        """Runs one case and returns it; raises TimeoutError when its step is not reached within 8 s."""
+        key = self.new_key()
         txns = [f"{next(self.numbers):016x}" for _ in range(3)]
-        case = self.case = Case(step, fault, mark, txns)
-        half = step == "answer half written"
-        # A kept connection is past the place where its bytes are looked at.
+        case = self.case = Case(step, fault, key, txns)
+        slow_reader = step == "answer half written"
+        # Only the first bytes of a connection pass the hook, so that open connections are closed first.
         self.relay.break_all()
         await asyncio.sleep(0.02)
-        first = asyncio.create_task(self.submit(self.owner, txns[0], mark, half))
+        first = asyncio.create_task(self.submit(self.owner, txns[0], key, slow_reader))
         async with asyncio.timeout(8):
-            if half:
-                # The result is in, and more of it is written than the client's side takes.
-                while not self.got(f"GET{PAGES - 1}", txns[0]):
+            if slow_reader:
+                # The result has arrived, and more of it was written than the client's buffers take.
+                while not self.was_called(f"GET{PAGES - 1}", txns[0]):
                     await asyncio.sleep(0.005)
                 await asyncio.sleep(0.03)
-                self.reaches(step)
+                self.reach(step)
             await case.hit.wait()
-        woken = None
+        resuming = None
         if fault == "kill":
             await self.owner.process.wait()
             await asyncio.sleep(0.05)
         else:
-            woken = asyncio.create_task(self.wake(FAULTS[fault]))
-            await asyncio.sleep(PATIENCE)
-        case.second = await self.submit(self.other, txns[1], mark, again=True)
+            resuming = asyncio.create_task(self.resume_owner(FAULTS[fault]))
+            await asyncio.sleep(RESUBMIT_S)
+        case.second = await self.submit(self.other, txns[1], key, is_retry=True)
         if case.second == "not known" and fault != "kill":
             await asyncio.sleep(0.3)
-        if woken:
-            await woken
-        if half:
+        if resuming:
+            await resuming
+        if slow_reader:
             self.reading.set()
         case.first = await asyncio.wait_for(first, 8)
         await asyncio.sleep(0.1)
@@ -184,42 +190,44 @@
         if fault == "kill":
             await self.owner.start()
         await self.fleet.agree(6.0)
-        # A front that was stopped gives batches less time until its lag is past.
+        # A front that was stopped reduces the time of batches until its measured lag has decreased.
         await asyncio.sleep(0.3 * FAULTS[fault])
         return case
 
-    def got(self, call, txn):
+    def was_called(self, call, txn):
+        """Whether the engine has received a call recently."""
         return self.case.calls >= 2 and any(c == call for c, _, _ in self.engine.calls[-40:])
 
-    async def wake(self, seconds):
+    async def resume_owner(self, seconds):
+        """Continues the stopped owner after some seconds."""
         await asyncio.sleep(seconds)
         self.owner.signal(signal.SIGCONT)
 
-    async def submit(self, front, txn, mark, half=False, again=False):
+    async def submit(self, front, txn, key, slow_reader=False, is_retry=False):
         raw = socket.socket()
-        if half:
+        if slow_reader:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
         raw.setblocking(False)
         await asyncio.get_running_loop().sock_connect(raw, (front.host, front.port))
-        reader, writer = await asyncio.open_connection(sock=raw, limit=2_048 if half else 2**20)
+        reader, writer = await asyncio.open_connection(sock=raw, limit=2_048 if slow_reader else 2**20)
         params = {
             "id": txn,
-            "wait": LIMIT * 1e3,
+            "wait": TIME_LIMIT_S * 1e3,
             "tenant": "acme",
             "need_mb": 4,
-            "cost": RUNS_FOR * 1e3,
-            "once": mark,
+            "cost": RUN_S * 1e3,
+            "once": key,
             "bytes": b64encode(b"insert into sales_17.orders").decode(),
         }
-        params |= {"retry": "1"} if again else {}
+        params |= {"retry": "1"} if is_retry else {}
         call = {"jsonrpc": "2.0", "id": 1, "method": "pay", "params": params}
         writer.write(json.dumps(call).encode() + b"\n")
-        if half:
+        if slow_reader:
             self.reading = asyncio.Event()
             await self.reading.wait()
         found = bytearray()
         with suppress(ConnectionError, TimeoutError):
-            async with asyncio.timeout(LIMIT + 4):
+            async with asyncio.timeout(TIME_LIMIT_S + 4):
                 while not found.endswith(b"\n") and (data := await reader.read(65_536)):
                     found += data
         writer.close()
@@ -247,46 +255,47 @@
     "answer half written",
     "before it is taken back",
 )
-# Where the batch's fate is known, the client that comes back has to hear it.
-KNOWN = STEPS[5:]
+# From these steps on the outcome is known to the replicas, and a resubmission must return it.
+STEPS_WITH_KNOWN_OUTCOME = STEPS[5:]
 
 
-def judged(case):
-    """What is wrong with a case."""
-    wrong = []
+def check_case(case):
+    """Returns the rules that a case breaks."""
+    broken = []
     if case.runs > 1:
-        wrong.append("2: ran twice")
+        broken.append("2: ran twice")
     if "two answers" in (case.first, case.second):
-        wrong.append("1: two answers")
+        broken.append("1: two answers")
     if "another's rows" in (case.first, case.second):
-        wrong.append("1: rows of another run")
+        broken.append("1: rows of another run")
     if case.second == "nothing" or case.first == "nothing" and case.fault != "kill":
-        wrong.append("1: no answer")
+        broken.append("1: no answer")
     if case.second == "harmless" and case.runs:
-        wrong.append("2: told harmless, yet it ran")
-    if case.step in KNOWN and case.second != "the outcome":
-        wrong.append("the outcome is known, and not told")
-    return wrong
+        broken.append("2: told harmless, yet it ran")
+    if case.step in STEPS_WITH_KNOWN_OUTCOME and case.second != "the outcome":
+        broken.append("the outcome is known, and not told")
+    return broken
 
 
-async def played(steps, faults):
-    sections = {"membership": {"tier": TIER}, "takeover": {"keep_s": KEEP}}
+async def run_cases(steps, faults):
+    """Runs all cases on one fleet; returns the broken rules and the cases."""
+    sections = {"membership": {"tier": TIER}, "takeover": {"keep_s": RETENTION_S}}
     async with Fleet(Chance(1), 5, 1, sections, settings()) as fleet:
-        yard, cases, broken = Yard(fleet), [], []
-        await asyncio.gather(fleet.agree(10.0), asyncio.sleep(GROWN + 0.3))
+        environment, cases, broken = Environment(fleet), [], []
+        await asyncio.gather(fleet.agree(10.0), asyncio.sleep(REPLICAS_COMPLETE_S + 0.3))
         for fault in faults:
             for step in steps:
-                case = await yard.play(step, fault)
+                case = await environment.play(step, fault)
                 cases.append(case)
-                broken += [f"{step}, {fault}: {why}" for why in judged(case)]
+                broken += [f"{step}, {fault}: {why}" for why in check_case(case)]
                 print(
                     f"{fault:10} {step:26} ran {case.runs}  there: {case.first:12} back: {case.second}",
                     flush=True,
                 )
-        await yard.without_disks()
-        case = await yard.play("after the request", "kill")
+        await environment.restart_diskless()
+        case = await environment.play("after the request", "kill")
         print(f"kill       {'places without disks':26} ran {case.runs}  back: {case.second}", flush=True)
-        broken += [f"places without disks: {why}" for why in judged(case)]
+        broken += [f"places without disks: {why}" for why in check_case(case)]
         return broken, [*cases, case]
 
 
@@ -295,7 +304,7 @@
 @click.option("--steps", type=click.Choice(STEPS), multiple=True)
 @click.option("--faults", type=click.Choice(sorted(FAULTS)), multiple=True)
 def main(seed, steps, faults):
-    broken, cases = asyncio.run(played(steps or STEPS, faults or FAULTS))
+    broken, cases = asyncio.run(run_cases(steps or STEPS, faults or FAULTS))
     report_and_exit("takeover_steps", seed, broken, {"cases": len(cases), "ran": sum(c.runs for c in cases)})
 
 
