--- a/rigs/front_process.py
+++ b/rigs/front_process.py
@@ -8,8 +8,8 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from thistlelever.standins.directory import beside
-from thistlelever.standins.papers import configuration
+from thistlelever.standins.directory import start_directory
+from thistlelever.standins.configuration import configuration
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ROOT = Path(__file__).parents[1]
@@ -39,7 +39,7 @@
     `operator` is the content of an operator file. On exit the front gets SIGTERM and the engines are stopped.
     Raises TimeoutError when the front is not ready within 20 s.
     """
-    directory, known = await beside(asyncio.Event(), engines)
+    directory, known = await start_directory(asyncio.Event(), engines)
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
         config.write_text(json.dumps(configuration(known, f"127.0.0.1:{directory.port}", settings)))
--- a/rigs/membership.py
+++ b/rigs/membership.py
@@ -23,7 +23,7 @@
 from rigs.membership_checks import check_run, flat
 from rigs.results import Chance, report_and_exit
 from rigs.sabotaged import GUARDS
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.standins.configuration import SETTINGS
 
 LATENCY_GOAL_S, TIME_LIMIT_MS = 2.0, 2_000
 # How long views may take to agree after a fault is over.
--- a/rigs/takeover_engines.py
+++ b/rigs/takeover_engines.py
@@ -27,7 +27,7 @@
         for name, engine in fleet.engines.items():
             engine.drops_after = ENGINE_DROP_S
             engine.result = self.columns if name in fleet.flight else self.result
-            engine.works = lambda txn, statement, name=name: self.work(name, txn, statement)
+            engine.run_statement = lambda txn, statement, name=name: self.work(name, txn, statement)
 
     def parse(self, statement):
         """Returns query class, key and run time in seconds of a statement."""
--- a/rigs/takeover_terms.py
+++ b/rigs/takeover_terms.py
@@ -2,7 +2,7 @@
 
 import json
 
-from thistlelever.standins.papers import GROUP, SETTINGS
+from thistlelever.standins.configuration import GROUP, SETTINGS
 
 # After RESUBMIT_S without an answer a client submits to another front and leaves the first submission open.
 RESUBMIT_S, TIME_LIMIT_S, LATENCY_GOAL_S = 0.9, 1.6, 3.0
--- a/tests/distributor_stage.py
+++ b/tests/distributor_stage.py
@@ -15,20 +15,20 @@
 
 HEARTBEAT = 0.3
 PATIENCE = 0.3
-WITHIN = 8.0
+TIMEOUT_S = 8.0
 
 
 def engine(number, **fields):
-    """An engine as it is published; its address follows from its number."""
-    facts = {"id": f"engine-{number:05}", "zone": f"zone-{number % 3}", "kind": "std"}
-    return facts | {"address": f"10.0.{number // 250}.{number % 250 + 1}:7000"} | fields
+    """An engine as in a publish request; its address is derived from its number."""
+    entry = {"id": f"engine-{number:05}", "zone": f"zone-{number % 3}", "kind": "std"}
+    return entry | {"address": f"10.0.{number // 250}.{number % 250 + 1}:7000"} | fields
 
 
 class Tier:
-    """Some distributors by index, of which any may be started and stopped."""
+    """Distributors by index, each of which can be started and stopped."""
 
     def __init__(self, count, stores=None, **sections):
-        # Where each distributor keeps its content; None: nowhere.
+        # The folder of the distributors' stores; None: they store nothing.
         self.stores = stores
         self.ports = [free_port(socket.SOCK_STREAM) for _ in range(count)]
         self.sections = {"heartbeat_s": HEARTBEAT, "subset": {"fronts": 12, "engines": 6}} | sections
@@ -39,8 +39,8 @@
         return tuple((HOST, port) for port in self.ports)
 
     async def start(self, index, **sections):
-        """Start one distributor; index 0 publishes unless it is said otherwise."""
-        facts = {
+        """Start one distributor; index 0 claims the publisher's role unless `sections` override it."""
+        entry = {
             "name": f"distributor-{index}",
             "index": index,
             "listen": f"{HOST}:{self.ports[index]}",
@@ -48,9 +48,9 @@
             "publisher": index == 0,
         }
         if self.stores:
-            facts["store"] = str(self.stores / f"distributor-{index}.db")
-        config = configuration.read(json.dumps(facts | self.sections | sections).encode())
-        distributor = Distributor(config, lambda event, **told: self.events.append((index, event, told)))
+            entry["store"] = str(self.stores / f"distributor-{index}.db")
+        config = configuration.read(json.dumps(entry | self.sections | sections).encode())
+        distributor = Distributor(config, lambda event, **fields: self.events.append((index, event, fields)))
         await distributor.open()
         self.running[index] = distributor
         return distributor
@@ -59,21 +59,21 @@
         await self.running.pop(index).close()
 
     async def call(self, index, method, path, body=None):
-        """One call as an operator makes it: status and answer."""
+        """Make an operator's HTTP call; the status and the decoded answer."""
         data = None if body is None else json.dumps(body)
         request = HTTPRequest(f"http://{HOST}:{self.ports[index]}{path}", method, body=data)
         reply = await AsyncHTTPClient().fetch(request, raise_error=False)
         return reply.code, json.loads(reply.body)
 
     async def publish(self, index=0, **body):
-        """Publish; the version."""
+        """Publish a change; its version."""
         status, answer = await self.call(index, "POST", "/v1/publish", body)
         assert status in (200, 202), answer
         return answer["version"]
 
     async def until(self, holds):
-        """Look again and again until it holds; fail where it does not before long."""
-        async with asyncio.timeout(WITHIN):
+        """Poll until `holds()` is true; `TimeoutError` after TIMEOUT_S."""
+        async with asyncio.timeout(TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.01)
 
@@ -81,10 +81,10 @@
         await self.until(lambda: all(str(s.replica.version) == version for s in subscriptions))
 
     def subscribe(self, name="front-0", rank=0, zone="zone-0", distributors=None, listener=None):
-        """A front's subscription, running."""
+        """Start a front's subscription."""
         terms = SubscriptionTerms(distributors or self.addresses, HEARTBEAT, PATIENCE, seed=3)
-        place = FrontIdentity(name, zone, rank)
-        subscription = Subscription(terms, place, (), False, listener or (lambda listing: None))
+        identity = FrontIdentity(name, zone, rank)
+        subscription = Subscription(terms, identity, (), False, listener or (lambda listing: None))
         task = asyncio.get_running_loop().create_task(subscription.run())
         self.subscriptions.append((subscription, task))
         return subscription
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def tier(count, engines=0, **sections):
-    """Distributors that run, with so many engines published."""
+    """Running distributors, with this number of engines published."""
     stage = Tier(count, **sections)
     try:
         for index in range(count):
--- a/tests/recorded_stream.py
+++ b/tests/recorded_stream.py
@@ -14,9 +14,9 @@
 
 from thistlelever.admission.decide import Front
 from thistlelever.ground import interface as it
-from thistlelever.ground.config import ConfigNode, SettingsReader, flatten_settings
 from thistlelever.ground.settings import build_settings
-from thistlelever.standins.papers import SETTINGS
+from thistlelever.ground.config import ConfigNode, SettingsReader, flatten_settings
+from thistlelever.standins.configuration import SETTINGS
 
 EVENTS = (
     it.BatchReceived,
--- a/thistlelever/distributor/promises.py
+++ b/thistlelever/distributor/promises.py
@@ -1,4 +1,4 @@
-"""Whether this distributor remembers what it promised, and how it keeps a promise."""
+"""Storage of this distributor's promises, and whether they survived its restart."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from thistlelever.distributor.content_writer import ContentWriter
 
 
-class PromiseMemory:
-    """A promise is on disk before it is told. `kept` is whether the store held anything when this process
-    started: with an empty one, or with none, promises of a former life may be forgotten."""
+class PromiseStore:
+    """Stores a promise before it is sent. `restored` is whether the store held anything when this process
+    started: if it was empty, or if there is none, promises made before the restart may be lost."""
 
-    def __init__(self, replica: Replica, writer: ContentWriter | None, kept: bool) -> None:
-        """`writer` is None where there is no store."""
-        self.replica, self.writer, self.kept = replica, writer, kept
+    def __init__(self, replica: Replica, writer: ContentWriter | None, restored: bool) -> None:
+        """`writer` is None if there is no store."""
+        self.replica, self.writer, self.restored = replica, writer, restored
 
-    def remembers(self) -> bool:
-        """Whether this distributor's own answer counts in a claim. In a new tier it does once it has promised
-        something in this life."""
-        return self.writer is not None and (self.kept or self.replica.floor > NO_VERSION)
+    def is_intact(self) -> bool:
+        """Returns whether this distributor's own reply counts in a claim. In a new tier it counts once the
+        distributor has promised something since it started."""
+        return self.writer is not None and (self.restored or self.replica.floor > NO_VERSION)
 
-    async def keep(self, floor: Version) -> None:
-        """Keep a promise; `StoreError` where the disk does not take it."""
+    async def save(self, floor: Version) -> None:
+        """Stores a promise, if there is a store. Raises `StoreError` if that fails."""
         if self.writer:
-            await self.writer.keep_floor(floor)
+            await self.writer.write_floor(floor)
