--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 from rigs.capacity_slopes import FORMS, LONGEST_DATAGRAM, Slope, fit, fit_form, most_in_a_datagram
 from rigs.capacity_slopes import dns_answer, listed_engines
-from test_rigs import played
+from test_rigs import run_rig
 
 SIZES = (30, 300, 3_000, 22_000)
 
@@ -55,7 +55,7 @@
 
 
 def test_capacity():
-    last = played("capacity", "--seed", "1")
+    last = run_rig("capacity", "--seed", "1")
     assert last["holds"], last["broken_rules"]
     slopes = last["slopes"]
     assert all(len(slope["sizes"]) >= 4 for slope in slopes.values())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 
 from rigs.loop_lag import lag_between
 from rigs.scale_verdict import Held, InForce, last_in_force
-from test_rigs import played
+from test_rigs import run_rig
 from thistlelever.distribution.versions import Version
 
 # Half the usual heartbeat, as most of the time goes by waiting for one.
@@ -15,7 +15,7 @@
 
 
 def test_scale_holds_small():
-    last = played("scale", "--seed", "1", *SMALL)
+    last = run_rig("scale", "--seed", "1", *SMALL)
     assert last["holds"], last
     assert last["went_back"] == last["mixed"] == last["versions_differ"] == 0
     assert last["checked"] > 1_000 and last["answers"]["1"] > 100
@@ -31,7 +31,7 @@
     ],
 )
 def test_scale_says_no(guard, rule):
-    last = played("scale", "--seed", "2", *SMALL, "--sabotage", guard)
+    last = run_rig("scale", "--seed", "2", *SMALL, "--sabotage", guard)
     assert not last["holds"] and any(broken.startswith(rule) for broken in last["broken_rules"]), last
 
 
