--- a/rigs/system_calls.py
+++ b/rigs/system_calls.py
@@ -22,7 +22,7 @@
 
 import click
 
-from rigs.verdict import Chance, close
+from rigs.results import Chance, report_and_exit
 from thistlelever.standins.directory import start_directory
 from thistlelever.standins.http_engine import Engine
 from thistlelever.standins.configuration import configuration
@@ -343,9 +343,11 @@
             run = asyncio.run(run_one(folder, asyncio.Semaphore(1), call, error, number))
         for line in run.lines:
             print(json.dumps(line))
-        close("system_calls", seed, run.broken, {"answers": {str(k): v for k, v in run.answers.items()}})
+        report_and_exit(
+            "system_calls", seed, run.broken, {"answers": {str(k): v for k, v in run.answers.items()}}
+        )
     broken, figures = asyncio.run(run_sweep(seed, share, all_errors))
-    close("system_calls", seed, broken, figures)
+    report_and_exit("system_calls", seed, broken, figures)
 
 
 if __name__ == "__main__":
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,7 +12,7 @@
 from test_moments import served
 
 from rigs.system_calls import plan_sweep, run_one, run_sweep
-from rigs.verdict import Chance
+from rigs.results import Chance
 
 CASES = (
     # At the start: the directory's socket and the listening one.
