--- a/thistlelever/lifecycle/flight.py
+++ b/thistlelever/lifecycle/flight.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from thistlelever.carrier.flight_engines import FlightEngines
-from thistlelever.flight.door import Door
+from thistlelever.flight.server import FlightServer
 from thistlelever.ground.operator import Flight, Operator, parse_address
 from thistlelever.ground.config import Config, Entry
 from thistlelever.lifecycle.components import FrontContext
@@ -35,7 +35,7 @@
             BufferQuota(section.held_bytes_all),
         )
         self.kinds = config.kinds
-        self.door = Door(
+        self.server = FlightServer(
             section, config.name, context.validator, context.batch_tasks, context.metrics, context.log
         )
 
@@ -48,13 +48,13 @@
         """Listen for clients, where the section has an address."""
         if not self.section.listen:
             return {}
-        await self.door.listen(parse_address(self.section.listen))
-        return {"flight": (parse_address(self.section.listen)[0], self.door.port)}
+        await self.server.listen(parse_address(self.section.listen))
+        return {"flight": (parse_address(self.section.listen)[0], self.server.port)}
 
     def reload(self, operator: Operator, config: Config) -> None:
         """Use the new section from the next call on."""
         if operator.flight:
-            self.section = self.door.terms = operator.flight
+            self.section = self.server.options = operator.flight
 
     def admin_handlers(self) -> dict[str, Callable[..., dict]]:
         """None."""
@@ -62,9 +62,9 @@
 
     def begin_shutdown(self) -> None:
         """Tell the server that the front stops."""
-        self.door.stopping = True
+        self.server.stopping = True
 
     async def close(self, grace: float) -> None:
         """Stop the server, then close the connections to engines."""
-        await self.door.stop(grace)
+        await self.server.stop(grace)
         await self.engines.close()
--- a/thistlelever/standins/flight_engine.py
+++ b/thistlelever/standins/flight_engine.py
@@ -1,4 +1,4 @@
-"""An engine that speaks Arrow Flight SQL, as `docs/flight-engines.md` says that engines do."""
+"""A fake engine with Arrow Flight SQL, as described in `docs/flight-engines.md`."""
 
 import asyncio
 from collections import defaultdict, deque
@@ -7,13 +7,13 @@
 import grpc
 from grpc import StatusCode, aio
 
-from thistlelever.standins.book import Book
+from thistlelever.standins.recorder import Recorder
 from thistlelever.standins.http_engine import rows
 from thistlelever.wire.flight import codec, columns
 from thistlelever.wire.flight import flight_pb2 as pb
 from thistlelever.wire.flight import flight_sql_pb2 as sql
 
-CODES = {
+STEP_CODES = {
     "full": StatusCode.RESOURCE_EXHAUSTED,
     "unsent": StatusCode.DEADLINE_EXCEEDED,
     "error": StatusCode.INVALID_ARGUMENT,
@@ -27,8 +27,10 @@
 
 
 class Engine(grpc.GenericRpcHandler):
-    """Answers each call by what its script says next for it, else as a healthy engine. `result` makes a
-    batch's messages of its statement; calls are GetFlightInfo, DoGet, DoPut and the names of actions.
+    """Answers each call by its next scripted step, or else as a healthy engine.
+
+    `result` returns the messages of a statement's result. `steps` holds the steps by call: GetFlightInfo,
+    DoGet, DoPut or the name of an action.
 
     Steps: `full`, `unsent`, `error`, `lost` end the call with that status, the first two with x-unrun;
     `silent` says nothing; `hold STEP` waits for release; `ran STEP` takes effect first; `cut N` ends a DoGet
@@ -37,33 +39,37 @@
     """
 
     def __init__(self, stir, options=()):
-        self.stir, self.steps, self.calls, self.book = stir, defaultdict(deque), [], Book()
+        """Take the event to set on each call, and gRPC server options."""
+        self.stir, self.steps, self.calls, self.recorder = stir, defaultdict(deque), [], Recorder()
         self.text = rows("rows")
-        # How long a batch runs, in seconds, by its id.
-        self.lasts = lambda txn: 0.0
+        # The running time of a batch in seconds, by its id.
+        self.duration = lambda txn: 0.0
         self.result = lambda statement: columns.encode_rows([self.text.encode()])
         self.changed = lambda statement: 1
         self.fault = lambda call, txn: None
-        self.trailers, self.cancels = (), True
-        # Results by batch and dispatch; which dispatches have come, and which were called off.
-        self.kept, self.begun, self.called_off = {}, set(), set()
+        self.trailers, self.supports_cancel = (), True
+        # Results by batch and dispatch; the dispatches that have arrived, and those cancelled.
+        self.kept, self.begun, self.cancelled = {}, set(), set()
         self.released = asyncio.Event()
         self.options, self.held_up, self.sent = options, set(), 0
-        # Where it is on a dispatch runs on when its calls break, and its result lies here until nobody has
-        # asked for it in so long; runs by batch and dispatch, when each was last asked for, and what runs
-        # each.
-        self.drops_after, self.runs, self.asked, self.works = None, {}, {}, None
+        # With `drops_after` seconds set, a dispatch runs on when its call breaks, and its result is kept
+        # until it has not been requested for that long. By batch and dispatch, `runs` has the tasks and
+        # `asked` the times of the last request; `run_statement`, if set, runs a statement.
+        self.drops_after, self.runs, self.asked, self.run_statement = None, {}, {}, None
 
     async def start(self, port=0):
+        """Listen on a port of the loopback address; 0 picks a free one."""
         self.server = aio.server(options=(("grpc.so_reuseport", 0), *self.options))
         self.server.add_generic_rpc_handlers((self,))
         self.port = self.server.add_insecure_port(f"127.0.0.1:{port}")
         await self.server.start()
 
     async def stop(self, grace=None):
+        """Stop serving; open calls have `grace` seconds."""
         await self.server.stop(grace)
 
     def service(self, details):
+        """Return the handler of a Flight method."""
         handlers = {
             "GetFlightInfo": (UNARY, self.get_flight_info),
             "DoGet": (STREAM, self.do_get),
@@ -75,13 +81,14 @@
             return None
 
         async def served(request, context):
-            # A write to a front that has left the call is nothing to report.
+            # Writing fails where the front has ended the call, which is not an error here.
             with suppress(aio.InternalError):
                 return await serve(request, context)
 
         return kind(served)
 
     def arrived(self, call, context, body):
+        """Note a call; returns its batch and the key of its dispatch."""
         fields = {k: v for k, v in context.invocation_metadata() if isinstance(v, str)}
         self.calls.append((call, fields, body))
         self.stir.set()
@@ -89,36 +96,37 @@
         return batch, (batch[0], fields.get("x-dispatch", "0"))
 
     async def act(self, call, batch, context, body=b""):
-        """The step that is due, once what it wants first is done; None to go on as usual."""
+        """Do the next step's preliminaries and return the rest; an empty list means a healthy answer."""
         step = list((self.steps[call].popleft() if self.steps[call] else self.fault(call, batch[0])) or ())
         if step[:1] == ["hold"]:
             await self.released.wait()
             step = step[1:]
         if step[:1] == ["ran"]:
-            self.book.runs(*batch)
+            self.recorder.record_run(*batch)
             step = step[1:]
         if step[:1] == ["silent"]:
             try:
                 await asyncio.Event().wait()
             finally:
                 self.stir.set()
-        if step and step[0] in CODES:
+        if step and step[0] in STEP_CODES:
             unrun = step[0] in ("full", "unsent")
-            self.book.ends(*batch, "refused" if unrun else "answered")
+            self.recorder.record_end(*batch, "refused" if unrun else "answered")
             said = (*self.trailers, ("x-unrun", "1")) if unrun else self.trailers
-            await context.abort(CODES[step[0]], step[0], said)
+            await context.abort(STEP_CODES[step[0]], step[0], said)
         return step
 
     async def begin(self, batch, which, context):
-        """A dispatch that was called off before it came is not begun."""
-        if which in self.called_off:
+        """Record the arrival of a dispatch, unless it was cancelled before it arrived, and let it run."""
+        if which in self.cancelled:
             await context.abort(StatusCode.CANCELLED, "called off", (("x-unrun", "1"),))
         self.begun.add(which)
-        self.book.arrives(*batch)
-        if self.lasts(batch[0]):
-            await asyncio.sleep(self.lasts(batch[0]))
+        self.recorder.record_arrival(*batch)
+        if self.duration(batch[0]):
+            await asyncio.sleep(self.duration(batch[0]))
 
     async def get_flight_info(self, request, context):
+        """Serve GetFlightInfo, which runs the statement or resumes a dispatch."""
         descriptor = pb.FlightDescriptor.FromString(request)
         resumed = ("x-resume", "1") in context.invocation_metadata()
         statement = b"" if resumed else codec.decode_command(descriptor.cmd).query.encode()
@@ -145,22 +153,24 @@
         ).SerializeToString()
 
     async def run(self, batch, which, statement):
-        if self.works:
-            await self.works(batch[0], statement)
-        self.book.runs(*batch)
+        """Run a statement and keep its result."""
+        if self.run_statement:
+            await self.run_statement(batch[0], statement)
+        self.recorder.record_run(*batch)
         self.kept[which] = self.result(statement), batch
 
     def sweep(self):
-        """Drop what nobody has asked for in so long."""
+        """Drop runs and results that have not been requested for `drops_after` seconds."""
         till = asyncio.get_running_loop().time() - self.drops_after
         for which in [which for which, at in self.asked.items() if at < till]:
             del self.asked[which]
             if run := self.runs.pop(which, None):
                 run.cancel()
             if kept := self.kept.pop(which, None):
-                self.book.ends(*kept[1], "dropped unasked")
+                self.recorder.record_end(*kept[1], "dropped unasked")
 
     async def do_get(self, request, context):
+        """Serve DoGet."""
         which = tuple(pb.Ticket.FromString(request).ticket.decode().split("/"))
         self.arrived("DoGet", context, b"")
         messages, batch = self.kept.get(which, (None, (which[0], "", "")))
@@ -173,7 +183,7 @@
                 await context.write(codec.encode_stream_message(b"", metadata=word.encode()))
         if what in ("empty", "raw"):
             self.kept.pop(which, None)
-            self.book.ends(*batch, "answered")
+            self.recorder.record_end(*batch, "answered")
             if what == "raw":
                 await context.write(bytes.fromhex(words[0]))
             return
@@ -185,39 +195,41 @@
             if what == "wait" and not place:
                 await self.released.wait()
         if what == "cut":
-            # A number past the last message: all rows are out, the status is not.
-            self.book.ends(*batch, "lost")
+            # With a number past the last message all rows have been sent, but not the status.
+            self.recorder.record_end(*batch, "lost")
             await context.abort(StatusCode.UNAVAILABLE, "cut", self.trailers)
         context.set_trailing_metadata(self.trailers)
         self.asked[which] = asyncio.get_running_loop().time()
         if self.drops_after is None and self.kept.pop(which, None):
-            self.book.ends(*batch, "answered")
+            self.recorder.record_end(*batch, "answered")
 
     async def do_put(self, requests, context):
+        """Serve DoPut of an update."""
         first = codec.decode_stream_message(await anext(requests))
         statement = codec.decode_command(first.command).query.encode()
         batch, which = self.arrived("DoPut", context, statement)
         await self.begin(batch, which, context)
         await self.act("DoPut", batch, context)
-        self.book.runs(*batch)
-        self.book.ends(*batch, "answered")
+        self.recorder.record_run(*batch)
+        self.recorder.record_end(*batch, "answered")
         context.set_trailing_metadata(self.trailers)
         count = sql.DoPutUpdateResult(record_count=self.changed(statement))
         await context.write(pb.PutResult(app_metadata=count.SerializeToString()).SerializeToString())
 
     async def do_action(self, request, context):
+        """Serve CancelFlightInfo and the actions of the platform."""
         action = pb.Action.FromString(request)
         batch, which = self.arrived(action.type, context, action.body)
         await self.act(action.type, batch, context)
         if action.type == "CancelFlightInfo":
-            if not self.cancels:
+            if not self.supports_cancel:
                 await context.abort(StatusCode.UNIMPLEMENTED, "CancelFlightInfo")
-            self.called_off.add(which)
+            self.cancelled.add(which)
             if run := self.runs.pop(which, None):
                 run.cancel()
             whose = self.kept.pop(which, (None, batch))[1]
             if which in self.begun:
-                self.book.ends(*whose, "given up")
+                self.recorder.record_end(*whose, "given up")
             else:
                 await context.abort(StatusCode.NOT_FOUND, "no such batch")
             await context.write(
