--- a/thistlelever/distributor/sessions.py
+++ b/thistlelever/distributor/sessions.py
@@ -116,7 +116,7 @@
         if request.held is not None:
             self.admit_snapshot()
         elif request.front not in self.by_front:
-            # No session: it expired, or its connection ended. The front reconnects and lists all records it holds.
+            # The session expired or its connection ended. The front reconnects and lists all its records.
             raise BusyError(UNKNOWN_FRONT_RETRY_S)
         return self.get_or_create(request)
 
