--- a/rigs/subsetting_model.py
+++ b/rigs/subsetting_model.py
@@ -1,9 +1,8 @@
-"""Ways to choose the engines of each front, at sizes that processes don't reach: how even, how stable, and
-what they cost.
+"""Compares subsetting algorithms at sizes that cannot be run as processes: balance, stability and cost.
 
-`python -m rigs.subsetting_model --seed 1` plays every way with 30, 300, 3,000 and 22,000 engines in 23 zones
-and 3,200 fronts: it counts the fronts of each engine, and what changes where one engine, one front or a whole
-zone goes and comes back. It holds where `thistlelever.subsetting` keeps what it claims.
+`python -m rigs.subsetting_model --seed 1` runs every algorithm with 30, 300, 3,000 and 22,000 engines in 23
+zones and 3,200 fronts. It counts the fronts that hold each engine, and what changes when one engine, one
+front or a whole zone leaves and returns. It passes if `thistlelever.subsetting` keeps the bounds below.
 """
 
 from __future__ import annotations
@@ -16,62 +15,63 @@
 
 import click
 
-from rigs.subsetting_ways import ENGINES, WAYS, ZONES, Chosen, FirstEngines, Way
+from rigs.subsetting_ways import ALGORITHMS, ENGINES, ZONES, FirstEngines, ProductSubsets, SubsettingAlgorithm
 from rigs.verdict import Chance, close
 from thistlelever.distribution.records import EngineRecord
 from thistlelever.subsetting import FrontIdentity
 
-Held = list[frozenset[str]]
-# How many engines go and come back, one after the other.
+Subsets = list[frozenset[str]]
+# How many single engines leave and return, one after the other.
 SINGLES = 3
-# What the chosen way claims. The most fronts of an engine, as a multiple of the mean.
+# Bounds of the product's algorithm. The most fronts that hold one engine, as a multiple of the mean.
 MOST_LOAD = 1.35
-# How many fronts one engine's change touches, as a multiple of those that hold one engine.
+# The most fronts that the change of one engine affects, as a multiple of those that hold an engine.
 MOST_TOUCHED = 4.0
-# How many engines a zone's loss changes in a front's subset, as a multiple of those that it held of a zone.
+# The most engines that the loss of a zone changes in a front's subset, as a multiple of the engines of one
+# zone in a subset.
 MOST_CHANGED = 4.0
-# Seconds of CPU to take one engine in or out.
+# Seconds of CPU time to add or remove one engine.
 MOST_CHANGE_CPU = 0.001
 
 
 def engines_of(count: int, seed: int) -> list[EngineRecord]:
-    """Engines in turn over all zones."""
+    """Records of engines, spread round-robin over all zones."""
     return [
         EngineRecord(
-            f"engine-{seed}-{place:05d}",
-            f"zone-{place % ZONES}",
-            place // ZONES % 50,
+            f"engine-{seed}-{index:05d}",
+            f"zone-{index % ZONES}",
+            index // ZONES % 50,
             "std",
             "127.0.0.1:1",
             False,
             0.0,
             1.0,
         )
-        for place in range(count)
+        for index in range(count)
     ]
 
 
-def front_places(count: int) -> list[FrontIdentity]:
-    """Fronts in turn over all zones."""
+def front_identities(count: int) -> list[FrontIdentity]:
+    """Identities of fronts, spread round-robin over all zones."""
     return [
         FrontIdentity(f"front-{rank}", f"zone-{rank % ZONES}", rank, rank // ZONES) for rank in range(count)
     ]
 
 
-def cpu_of(work: Callable[[], object]) -> float:
-    """Seconds of this process's CPU time."""
-    begun = process_time()
+def cpu_seconds(work: Callable[[], object]) -> float:
+    """Seconds of this process's CPU time that a call takes."""
+    started = process_time()
     work()
-    return process_time() - begun
+    return process_time() - started
 
 
-def held_by(way: Way, fronts: Sequence[FrontIdentity]) -> Held:
-    """What each front holds."""
-    return [frozenset(way.subset(front)) for front in fronts]
+def subsets_of(algorithm: SubsettingAlgorithm, fronts: Sequence[FrontIdentity]) -> Subsets:
+    """The subset of each front."""
+    return [frozenset(algorithm.subset(front)) for front in fronts]
 
 
-def changed(before: Held, after: Held) -> dict[str, float]:
-    """How many engines differ in the fronts' subsets."""
+def changed(before: Subsets, after: Subsets) -> dict[str, float]:
+    """Share of fronts whose subset differs, and how many engines differ per front."""
     counts = [len(a ^ b) for a, b in zip(before, after, strict=True)]
     touched = sum(map(bool, counts))
     return {
@@ -81,9 +81,9 @@
     }
 
 
-def evenness(held: Held, engines: Sequence[EngineRecord]) -> dict[str, float]:
-    """How many fronts hold an engine, and how much of the fronts' queries it gets where each front spreads
-    its own evenly: the most and the least, as multiples of the mean."""
+def evenness(held: Subsets, engines: Sequence[EngineRecord]) -> dict[str, float]:
+    """How many fronts hold an engine, and which part of all queries it gets if each front spreads its own
+    evenly: the maximum and the minimum, as multiples of the mean."""
     fronts: Counter[str] = Counter()
     queries: Counter[str] = Counter()
     for subset in held:
@@ -99,88 +99,102 @@
     return {name: round(figure, 4) for name, figure in found.items()}
 
 
-def filled(make: Callable[[int], Way], fronts: int, engines: Sequence[EngineRecord]) -> Way:
-    way = make(fronts)
+def filled(
+    make: Callable[[int], SubsettingAlgorithm], fronts: int, engines: Sequence[EngineRecord]
+) -> SubsettingAlgorithm:
+    """The algorithm for a number of fronts that holds all engines."""
+    algorithm = make(fronts)
     for engine in engines:
-        way.put(engine)
-    return way
+        algorithm.put(engine)
+    return algorithm
 
 
-def costs(
-    make: Callable[[int], Way], engines: Sequence[EngineRecord], fronts: Sequence[FrontIdentity]
+def cost_figures(
+    make: Callable[[int], SubsettingAlgorithm],
+    engines: Sequence[EngineRecord],
+    fronts: Sequence[FrontIdentity],
 ) -> dict:
-    """CPU of one change and of one subset, and the memory of the whole."""
+    """CPU time of one change and of one subset in microseconds, and memory of the whole in megabytes."""
     tracemalloc.start()
-    way = filled(make, len(fronts), engines)
+    algorithm = filled(make, len(fronts), engines)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    some = engines[:: max(len(engines) // 200, 1)]
-    out = cpu_of(lambda: [way.discard(engine.id) for engine in some])
-    back = cpu_of(lambda: [way.put(engine) for engine in some])
-    asked = fronts[:: max(len(fronts) // 400, 1)]
-    way.subset(asked[0])
-    subset = cpu_of(lambda: [way.subset(front) for front in asked])
+    sampled_engines = engines[:: max(len(engines) // 200, 1)]
+    discard = cpu_seconds(lambda: [algorithm.discard(engine.id) for engine in sampled_engines])
+    put = cpu_seconds(lambda: [algorithm.put(engine) for engine in sampled_engines])
+    sampled_fronts = fronts[:: max(len(fronts) // 400, 1)]
+    algorithm.subset(sampled_fronts[0])
+    subset = cpu_seconds(lambda: [algorithm.subset(front) for front in sampled_fronts])
     return {
-        "put_us": round(back / len(some) * 1e6, 1),
-        "discard_us": round(out / len(some) * 1e6, 1),
-        "subset_us": round(subset / len(asked) * 1e6, 1),
+        "put_us": round(put / len(sampled_engines) * 1e6, 1),
+        "discard_us": round(discard / len(sampled_engines) * 1e6, 1),
+        "subset_us": round(subset / len(sampled_fronts) * 1e6, 1),
         "memory_mb": round(memory / 1e6, 3),
     }
 
 
-def worst(found: Sequence[dict[str, float]]) -> dict[str, float]:
-    """The largest of each figure."""
+def maxima(found: Sequence[dict[str, float]]) -> dict[str, float]:
+    """The maximum of each figure."""
     return {name: max(figures[name] for figures in found) for name in found[0]}
 
 
-def stability(way: Way, before: Held, engines: Sequence[EngineRecord], places, chance: Chance) -> dict:
-    """What changes where engines go and come back."""
+def stability(
+    algorithm: SubsettingAlgorithm,
+    before: Subsets,
+    engines: Sequence[EngineRecord],
+    identities: Sequence[FrontIdentity],
+    chance: Chance,
+) -> dict:
+    """What changes in the subsets when single engines and a whole zone leave and return."""
     single, same_after = [], True
     for turn in range(SINGLES):
         engine = engines[chance.below(len(engines), "engine", len(engines), turn)]
-        way.discard(engine.id)
-        single.append(changed(before, held_by(way, places)))
-        way.put(engine)
-    same_after &= held_by(way, places) == before
+        algorithm.discard(engine.id)
+        single.append(changed(before, subsets_of(algorithm, identities)))
+        algorithm.put(engine)
+    same_after &= subsets_of(algorithm, identities) == before
     lost = [engine for engine in engines if engine.zone == f"zone-{chance.below(ZONES, 'zone')}"]
     for engine in lost:
-        way.discard(engine.id)
-    zone = changed(before, held_by(way, places))
+        algorithm.discard(engine.id)
+    zone = changed(before, subsets_of(algorithm, identities))
     for engine in lost:
-        way.put(engine)
-    same_after &= held_by(way, places) == before
-    return {"one_engine": worst(single), "zone": {"engines": len(lost), **zone}, "same_after": same_after}
-
-
-def play(make: Callable[[int], Way], count: int, fronts: int, seed: int) -> dict:
-    """One way at one size."""
-    engines, places = engines_of(count, seed), front_places(fronts)
-    way = filled(make, fronts, engines)
-    before = held_by(way, places)
-    found = {"load": evenness(before, engines), **stability(way, before, engines, places, Chance(seed))}
-    found["one_front"] = changed(before, held_by(filled(make, fronts + 1, engines), places))
-    found["cost"] = costs(make, engines, places)
-    if isinstance(way, Chosen):
-        found["bound"] = bounds(way, before, places)
+        algorithm.put(engine)
+    same_after &= subsets_of(algorithm, identities) == before
+    return {"one_engine": maxima(single), "zone": {"engines": len(lost), **zone}, "same_after": same_after}
+
+
+def measure(make: Callable[[int], SubsettingAlgorithm], count: int, fronts: int, seed: int) -> dict:
+    """All figures of one algorithm at one number of engines."""
+    engines, identities = engines_of(count, seed), front_identities(fronts)
+    algorithm = filled(make, fronts, engines)
+    before = subsets_of(algorithm, identities)
+    found = {
+        "load": evenness(before, engines),
+        **stability(algorithm, before, engines, identities, Chance(seed)),
+    }
+    found["one_front"] = changed(before, subsets_of(filled(make, fronts + 1, engines), identities))
+    found["cost"] = cost_figures(make, engines, identities)
+    if isinstance(algorithm, ProductSubsets):
+        found["bound"] = bound_figures(algorithm, before, identities)
     return found
 
 
-def bounds(way: Chosen, held: Held, places: Sequence[FrontIdentity]) -> dict:
-    """How the bounds that came with the subsets compare with the true counts."""
+def bound_figures(algorithm: ProductSubsets, held: Subsets, identities: Sequence[FrontIdentity]) -> dict:
+    """Compares the upper bounds that come with the subsets with the true counts of fronts."""
     counts = Counter(engine_id for subset in held for engine_id in subset)
-    true = [max(counts[engine_id] for engine_id in subset) for subset in held]
-    told: list[int] = []
-    cpu = cpu_of(lambda: told.extend(way.bound(front) for front in places))
+    true_counts = [max(counts[engine_id] for engine_id in subset) for subset in held]
+    bounds_given: list[int] = []
+    cpu = cpu_seconds(lambda: bounds_given.extend(algorithm.bound(front) for front in identities))
     return {
-        "bound_us": round(cpu / len(places) * 1e6, 1),
-        "most_true": max(true),
-        "most_told": max(told),
-        "safe": all(count <= bound for count, bound in zip(true, told, strict=True)),
+        "bound_us": round(cpu / len(identities) * 1e6, 1),
+        "most_true": max(true_counts),
+        "most_told": max(bounds_given),
+        "safe": all(count <= bound for count, bound in zip(true_counts, bounds_given, strict=True)),
     }
 
 
-def faults(count: int, found: dict) -> list[str]:
-    """Which claims of the chosen way do not hold at one size."""
+def broken_bounds(count: int, found: dict) -> list[str]:
+    """The broken bounds of the product's algorithm at one number of engines."""
     share = min(ENGINES / count, 1.0)
     load, single, zone = found["load"], found["one_engine"], found["zone"]
     held_of_zone = ENGINES * zone["engines"] / count
@@ -206,17 +220,17 @@
 @click.option("--only", is_flag=True, help="Nothing but the chosen way.")
 @click.option("--sabotage", is_flag=True, help="Every front holds the same engines: the rig must say no.")
 def main(seed: int, fronts: int, engines: tuple[int, ...], only: bool, sabotage: bool) -> None:
-    ways = {"chosen": WAYS["chosen"]} if only else dict(WAYS)
+    algorithms = {"chosen": ALGORITHMS["chosen"]} if only else dict(ALGORITHMS)
     if sabotage:
-        ways["chosen"] = FirstEngines
-    figures: dict[str, dict[int, dict]] = {name: {} for name in ways}
+        algorithms["chosen"] = FirstEngines
+    figures: dict[str, dict[int, dict]] = {name: {} for name in algorithms}
     broken = []
     for count in engines:
-        for name, make in ways.items():
-            figures[name][count] = found = play(make, count, fronts, seed)
+        for name, make in algorithms.items():
+            figures[name][count] = found = measure(make, count, fronts, seed)
             print(json.dumps({"way": name, "engines": count, **found}), flush=True)
             if name == "chosen":
-                broken += faults(count, found)
+                broken += broken_bounds(count, found)
     close("subsetting_model", seed, broken, {"fronts": fronts, "ways": figures})
 
 
--- a/rigs/subsetting_ways.py
+++ b/rigs/subsetting_ways.py
@@ -1,6 +1,6 @@
-"""Ways to choose the engines of each front, one beside the other: those of the literature, and ours.
+"""Subsetting algorithms for `rigs.subsetting_model`: those of the literature, and `EngineRing`.
 
-Each takes the records of all engines and answers with the ids that the front at a place holds.
+Each takes the records of all engines and returns the ids of the engines in one front's subset.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 ENGINES = SubsetParameters().engines
 
 
-class Way(Protocol):
-    """One way to choose subsets."""
+class SubsettingAlgorithm(Protocol):
+    """A subsetting algorithm."""
 
     def put(self, record: EngineRecord) -> None: ...
 
@@ -29,7 +29,7 @@
 
 
 class SortedIds:
-    """What ways have in common that need no more than the sorted ids."""
+    """Base class of the algorithms that need only the sorted engine ids."""
 
     def __init__(self, fronts: int) -> None:
         self.ids: list[str] = []
@@ -42,14 +42,14 @@
 
 
 class FirstEngines(SortedIds):
-    """Sabotage: every front holds the same first engines."""
+    """Sabotage: every front gets the same engines, the first by id."""
 
     def subset(self, front: FrontIdentity) -> Sequence[str]:
         return self.ids[:ENGINES]
 
 
 class RandomSubsets(SortedIds):
-    """Each front draws by itself, from a seed of its name."""
+    """Each front draws a random sample, seeded with its name."""
 
     def subset(self, front: FrontIdentity) -> Sequence[str]:
         if len(self.ids) <= ENGINES:
@@ -58,7 +58,7 @@
 
 
 class Rendezvous(SortedIds):
-    """Highest random weight (Thaler and Ravishankar 1998): the engines of the highest hashes of front and
+    """Highest random weight (Thaler and Ravishankar 1998): the engines with the highest hashes of front and
     engine. Vectorized, as plain Python would take minutes."""
 
     def __init__(self, fronts: int) -> None:
@@ -74,7 +74,7 @@
         self.hashes = None
 
     def subset(self, front: FrontIdentity) -> Sequence[str]:
-        # NumPy comes with the `plot` extra.
+        # Imported here because NumPy is only installed with the `plot` extra.
         import numpy
 
         if len(self.ids) <= ENGINES:
@@ -89,11 +89,12 @@
             mixed *= numpy.uint64(factor)
         mixed ^= mixed >> numpy.uint64(33)
         best = numpy.argpartition(mixed, len(self.ids) - ENGINES)[-ENGINES:]
-        return [self.ids[place] for place in best]
+        return [self.ids[index] for index in best]
 
 
 class DeterministicSubsets(SortedIds):
-    """Rounds of fronts that divide a shuffled list among them (Site Reliability Engineering, chapter 20)."""
+    """Deterministic subsetting: the fronts of a round split one shuffled list of all engines (Site
+    Reliability Engineering, chapter 20)."""
 
     def __init__(self, fronts: int) -> None:
         super().__init__(fronts)
@@ -111,15 +112,15 @@
         subsets = len(self.ids) // ENGINES
         if subsets <= 1:
             return self.ids[:ENGINES]
-        turn, place = divmod(front.rank, subsets)
-        if turn not in self.rounds:
-            self.rounds[turn] = self.ids.copy()
-            random.Random(turn).shuffle(self.rounds[turn])
-        return self.rounds[turn][place * ENGINES : (place + 1) * ENGINES]
+        round_number, index = divmod(front.rank, subsets)
+        if round_number not in self.rounds:
+            self.rounds[round_number] = self.ids.copy()
+            random.Random(round_number).shuffle(self.rounds[round_number])
+        return self.rounds[round_number][index * ENGINES : (index + 1) * ENGINES]
 
 
 class HashRing:
-    """One arc of a fixed number of engines, on a ring in which engines lie by their hash."""
+    """Consistent hashing: an arc with a fixed number of engines, on a ring ordered by the engines' hashes."""
 
     def __init__(self, fronts: int) -> None:
         self.ring = Ring()
@@ -131,22 +132,23 @@
     def discard(self, engine_id: str) -> None:
         self.ring.remove(engine_positions(engine_id)[0], engine_id)
 
-    def first_place(self, start: int) -> int:
+    def first_index(self, start: int) -> int:
         return bisect_left(self.ring.positions, start)
 
     def subset(self, front: FrontIdentity) -> Sequence[str]:
-        return following(self.ring, self.first_place(self.fronts.position(front.rank)), ENGINES)
+        return arc(self.ring, self.first_index(self.fronts.position(front.rank)), ENGINES)
 
 
 class EvenRing(HashRing):
-    """One arc of a fixed number of engines, on a ring in which they lie at even distances."""
+    """An arc with a fixed number of engines, on a ring on which the engines are evenly spaced."""
 
-    def first_place(self, start: int) -> int:
+    def first_index(self, start: int) -> int:
         return start * len(self.ring) // RING_SIZE
 
 
 class TwoArcsByCount(HashRing):
-    """Half from the front's own zone and half from all, each an arc of a fixed number of engines."""
+    """Half of the subset from the front's own zone and half from all zones, each an arc with a fixed number
+    of engines."""
 
     def __init__(self, fronts: int) -> None:
         super().__init__(fronts)
@@ -166,17 +168,17 @@
     def subset(self, front: FrontIdentity) -> Sequence[str]:
         home = self.zones.get(front.zone, Ring())
         start = bisect_left(home.positions, self.home_fronts.position(front.zone_rank))
-        held = dict.fromkeys(following(home, start, ENGINES // 2))
-        place = self.first_place(self.fronts.position(front.rank))
-        for engine_id in following(self.ring, place, 2 * ENGINES):
+        held = dict.fromkeys(arc(home, start, ENGINES // 2))
+        index = self.first_index(self.fronts.position(front.rank))
+        for engine_id in arc(self.ring, index, 2 * ENGINES):
             if len(held) == ENGINES:
                 break
             held[engine_id] = None
         return list(held)
 
 
-class Chosen:
-    """`EngineRing`: two arcs of fixed widths."""
+class ProductSubsets:
+    """The product's algorithm, `EngineRing`: two arcs of fixed widths."""
 
     def __init__(self, fronts: int) -> None:
         zone_fronts = -(-fronts // ZONES)
@@ -187,23 +189,23 @@
         return self.ring.ids(front, (), False)
 
     def bound(self, front: FrontIdentity) -> int:
-        """The most fronts that hold any engine of that front's, as its subset tells."""
+        """The upper bound that comes with a front's subset: how many fronts hold any one of its engines."""
         return self.ring.max_fronts(front, self.ring.ids(front, (), False), (), False)
 
 
-def following(ring: Ring, place: int, count: int) -> list[str]:
-    """So many engines from a place on, at most each once."""
+def arc(ring: Ring, index: int, count: int) -> list[str]:
+    """`count` engine ids from an index of the ring on, wrapping around; none occurs twice."""
     count = min(count, len(ring))
-    return ring.ids[place : place + count] + ring.ids[: max(place + count - len(ring), 0)]
+    return ring.ids[index : index + count] + ring.ids[: max(index + count - len(ring), 0)]
 
 
 ZONES = 23
-WAYS = {
+ALGORITHMS = {
     "random": RandomSubsets,
     "rendezvous": Rendezvous,
     "deterministic": DeterministicSubsets,
     "hash_ring": HashRing,
     "even_ring": EvenRing,
     "two_arcs_by_count": TwoArcsByCount,
-    "chosen": Chosen,
+    "chosen": ProductSubsets,
 }
--- a/tests/test_subsetting_model.py
+++ b/tests/test_subsetting_model.py
@@ -1,4 +1,4 @@
-"""The rigs of subsets and of lists in a small size, as in CI, and that the subsetting rig rejects uneven
+"""The rigs `subsetting_model` and `list_cost` at a small size, and that `subsetting_model` rejects uneven
 subsets."""
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 def test_the_chosen_way_holds_beside_the_others():
     last = played("subsetting_model", "--seed", "3", *SMALL)
     assert last["holds"], last["broken_rules"]
-    ways = {name: sizes["400"] for name, sizes in last["ways"].items()}
-    load = {name: found["load"]["load_max_over_mean"] for name, found in ways.items()}
+    by_algorithm = {name: sizes["400"] for name, sizes in last["ways"].items()}
+    load = {name: found["load"]["load_max_over_mean"] for name, found in by_algorithm.items()}
     assert load["chosen"] < min(load["random"], load["rendezvous"], load["hash_ring"])
-    touched = {name: found["one_engine"]["touched"] for name, found in ways.items()}
+    touched = {name: found["one_engine"]["touched"] for name, found in by_algorithm.items()}
     assert touched["chosen"] < min(touched["random"], touched["deterministic"], touched["even_ring"])
 
 
