--- a/rigs/flight_batches.py
+++ b/rigs/flight_batches.py
@@ -1,57 +1,66 @@
-"""The batches of the Flight rig as their clients know them, and what a right result of one is."""
+"""The batches of the rig `flight` from their clients' side, and the correct result of each."""
 
-from rigs.flight_terms import DOORS, GROUPS, LIMIT_MS, LONG_SHARE, MANNERS, ROWS_LONG
+from rigs.flight_terms import (
+    INTERFACES,
+    QUERY_CLASSES,
+    DEADLINE_MS,
+    LONG_RESULT_SHARE,
+    BEHAVIOURS,
+    LONG_RESULT_ROWS,
+)
 
 
-class Asked:
-    """One batch as its client knows it."""
+class ClientBatch:
+    """One batch from its client's side: drawn from the seed and its index, or the retry of another."""
 
-    def __init__(self, chance, place, retry_of=None, long_share=LONG_SHARE):
-        self.place, self.of = place, retry_of
-        self.door = chance.among(DOORS, "door", place)
+    def __init__(self, chance, index, retry_of=None, long_result_share=LONG_RESULT_SHARE):
+        self.index, self.retry_of = index, retry_of
+        self.interface = chance.among(INTERFACES, "door", index)
         if retry_of:
-            self.door = "flight" if retry_of.door == "rpc" else "rpc"
-        self.group = retry_of.group if retry_of else chance.among(GROUPS, "group", place)
-        self.manner = "usual" if retry_of else chance.among(MANNERS[self.door], "manner", place)
-        if self.group == "load":
-            self.table = f"ledger_{chance.below(12, 'table', place)}.entries"
+            self.interface = "flight" if retry_of.interface == "rpc" else "rpc"
+        self.query_class = retry_of.query_class if retry_of else chance.among(QUERY_CLASSES, "group", index)
+        self.behaviour = "usual" if retry_of else chance.among(BEHAVIOURS[self.interface], "manner", index)
+        if self.query_class == "load":
+            self.table = f"ledger_{chance.below(12, 'table', index)}.entries"
         else:
-            self.table = f"sales_{chance.below(60, 'table', place)}.orders"
+            self.table = f"sales_{chance.below(60, 'table', index)}.orders"
         self.table = retry_of.table if retry_of else self.table
-        self.mark = retry_of.mark if retry_of else chance.seed.to_bytes(8, "big").hex() + f"{place:016x}"
-        long = chance.share("long", place) < long_share
-        self.rows = ROWS_LONG if long else 1 + chance.below(30, "rows", place)
+        self.key = retry_of.key if retry_of else chance.seed.to_bytes(8, "big").hex() + f"{index:016x}"
+        is_long = chance.share("long", index) < long_result_share
+        self.rows = LONG_RESULT_ROWS if is_long else 1 + chance.below(30, "rows", index)
         self.rows = retry_of.rows if retry_of else self.rows
-        self.answers, self.what = 0, ""
+        self.answer_count, self.outcome = 0, ""
 
     def statement(self):
-        return f"select n{self.rows} from {self.table} -- {self.mark}"
+        """The statement, which names the number of rows, the table and the idempotency key."""
+        return f"select n{self.rows} from {self.table} -- {self.key}"
 
     def headers(self):
-        said = [
-            ("x-group", self.group),
+        """The metadata of a Flight SQL call."""
+        headers = [
+            ("x-group", self.query_class),
             ("x-cost-ms", "10"),
             ("x-need-mb", "8"),
-            ("x-wait-ms", str(LIMIT_MS)),
+            ("x-wait-ms", str(DEADLINE_MS)),
         ]
-        if self.group == "load":
-            said.append(("x-once", self.mark))
-        return tuple(said)
+        if self.query_class == "load":
+            headers.append(("x-once", self.key))
+        return tuple(headers)
 
 
-def result(engine, runs, statement):
-    """Rows that tell whose they are: the batch, their place, and the one run that made them."""
+def result(engine, run_count, statement):
+    """The rows of a result as text: each names its batch, its index and the engine's run."""
     text = statement.decode()
-    count, mark = int(text.split()[1][1:]), text.rpartition(" ")[2]
-    runs[0] += 1
-    return "".join(f"{mark}\t{row}\t{engine}.{runs[0]}\n" for row in range(count))
+    count, key = int(text.split()[1][1:]), text.rpartition(" ")[2]
+    run_count[0] += 1
+    return "".join(f"{key}\t{row}\t{engine}.{run_count[0]}\n" for row in range(count))
 
 
-def right(asked, rows):
-    """Whether it is the whole result of one run of the batch, and of nothing else."""
-    made = {row[2] for row in rows}
+def is_correct(batch, rows):
+    """Whether rows are the complete result of exactly one run of this batch."""
+    runs_seen = {row[2] for row in rows}
     return (
-        len(made) == 1
-        and [row[1] for row in rows] == [str(n) for n in range(asked.rows)]
-        and {row[0] for row in rows} == {asked.mark}
+        len(runs_seen) == 1
+        and [row[1] for row in rows] == [str(n) for n in range(batch.rows)]
+        and {row[0] for row in rows} == {batch.key}
     )
--- a/rigs/flight_line.py
+++ b/rigs/flight_line.py
@@ -1,4 +1,4 @@
-"""The Flight rig's clients at the JSON-RPC door."""
+"""The JSON-RPC clients of the rig `flight`."""
 
 import asyncio
 import json
@@ -6,75 +6,81 @@
 from collections import Counter
 from contextlib import suppress
 
-from rigs.flight_batches import right
-from rigs.flight_terms import LIMIT_MS
+from rigs.flight_batches import is_correct
+from rigs.flight_terms import DEADLINE_MS
 
-# What clients do that leaves them without an answer to wait for.
-LEAVERS = ("withdraws", "hangs up", "cancels", "calls off")
+# Behaviours of clients that do not wait for an answer.
+ABANDONING_BEHAVIOURS = ("withdraws", "hangs up", "cancels", "calls off")
 
 
-class Line:
-    """One client's connection to the JSON-RPC door; every line that comes is counted."""
+class RpcClient:
+    """A client of the front's JSON-RPC interface, with one connection. It counts every response."""
 
     def __init__(self, rig):
-        self.rig, self.next, self.open_calls, self.heard = rig, 0, {}, Counter()
+        self.rig, self.last_call_id, self.open_calls, self.response_counts = rig, 0, {}, Counter()
 
     async def open(self):
+        """Connects and starts to read responses."""
         self.reader, self.writer = await asyncio.open_connection(*self.rig.listen, limit=2**20)
-        self.hearing = asyncio.create_task(self.hear())
+        self.reader_task = asyncio.create_task(self.read_responses())
         return self
 
-    async def ask(self, asked):
-        if self.writer.is_closing() or self.hearing.done():
-            # Closed while it idled, as a front may.
+    async def send(self, batch):
+        """Sends the call of a batch, on a new connection if the old one was closed."""
+        if self.writer.is_closing() or self.reader_task.done():
+            # The front may close an idle connection.
             await self.open()
-        self.next += 1
-        asked.number, done = self.next, asyncio.get_running_loop().create_future()
-        self.open_calls[self.next] = asked, done
+        self.last_call_id += 1
+        batch.call_id, done = self.last_call_id, asyncio.get_running_loop().create_future()
+        self.open_calls[self.last_call_id] = batch, done
         params = {
-            "id": self.rig.chance.seed.to_bytes(4, "big").hex() + f"{asked.place:08x}",
-            "wait": LIMIT_MS,
+            "id": self.rig.chance.seed.to_bytes(4, "big").hex() + f"{batch.index:08x}",
+            "wait": DEADLINE_MS,
             "tenant": "acme",
             "cost": 10,
             "need_mb": 8,
-            "bytes": b64encode(asked.statement().encode()).decode(),
+            "bytes": b64encode(batch.statement().encode()).decode(),
         }
-        if asked.group == "load":
-            params["once"] = asked.mark
-        if asked.of:
+        if batch.query_class == "load":
+            params["once"] = batch.key
+        if batch.retry_of:
             params["retry"] = 1
-        call = {"jsonrpc": "2.0", "id": self.next, "method": asked.group, "params": params}
+        call = {"jsonrpc": "2.0", "id": self.last_call_id, "method": batch.query_class, "params": params}
         self.writer.write(json.dumps(call).encode() + b"\n")
 
-    async def answered(self, asked):
+    async def wait_for_response(self, batch):
+        """Waits for the response to a batch, for 2 s past its deadline at most."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LIMIT_MS / 1e3 + 2):
-                await self.open_calls[asked.number][1]
+            async with asyncio.timeout(DEADLINE_MS / 1e3 + 2):
+                await self.open_calls[batch.call_id][1]
 
-    def withdraw(self, asked):
-        call = {"jsonrpc": "2.0", "method": "withdraw", "params": {"id": asked.number}}
+    def withdraw(self, batch):
+        """Sends a notification that withdraws a batch."""
+        call = {"jsonrpc": "2.0", "method": "withdraw", "params": {"id": batch.call_id}}
         self.writer.write(json.dumps(call).encode() + b"\n")
 
-    def leave(self):
-        self.hearing.cancel()
+    def close(self):
+        """Closes the connection without waiting for open calls."""
+        self.reader_task.cancel()
         self.writer.close()
 
-    async def hear(self):
+    async def read_responses(self):
+        """Counts each response and checks its rows, until the connection ends."""
         with suppress(ConnectionError):
             while line := await self.reader.readline():
-                said = json.loads(line)
-                asked, done = self.open_calls[said["id"]]
-                asked.answers += 1
-                # A second answer is one too many whoever it is for.
-                self.heard[said["id"]] += 1
-                if asked.manner in LEAVERS and self.heard[said["id"]] > 1:
+                response = json.loads(line)
+                batch, done = self.open_calls[response["id"]]
+                batch.answer_count += 1
+                # A second answer to one call is an error, also for a client that abandoned the call.
+                self.response_counts[response["id"]] += 1
+                if batch.behaviour in ABANDONING_BEHAVIOURS and self.response_counts[response["id"]] > 1:
                     self.rig.extra_answers += 1
-                if "result" in said:
-                    asked.what = "returned"
-                    rows = b64decode(said["result"]["bytes"]).decode().splitlines()
-                    self.rig.rows_wrong += not right(asked, [tuple(row.split("\t")) for row in rows])
+                if "result" in response:
+                    batch.outcome = "returned"
+                    rows = b64decode(response["result"]["bytes"]).decode().splitlines()
+                    self.rig.rows_wrong += not is_correct(batch, [tuple(row.split("\t")) for row in rows])
                 else:
-                    asked.what = "pushed back" if said["error"]["code"] == -32001 else "errored"
-                    self.rig.statuses[str(said["error"]["code"])] += 1
+                    batch.outcome = "pushed back" if response["error"]["code"] == -32001 else "errored"
+                    self.rig.statuses[str(response["error"]["code"])] += 1
                 if not done.done():
                     done.set_result(None)
--- a/rigs/flight_sabotage.py
+++ b/rigs/flight_sabotage.py
@@ -1,4 +1,4 @@
-"""Guards of the front that the Flight rig breaks on purpose, so that it must say no."""
+"""Ways to break the front on purpose: with each, the rig `flight` must report a broken rule."""
 
 from thistlelever.carrier.clients import ClientSession
 from thistlelever.carrier.flight_engines import FlightEngines
@@ -8,7 +8,7 @@
 
 
 def resend():
-    """What may have run is told as never run."""
+    """Reports dispatches that may have run as never sent."""
 
     async def outcome(self, why, entry, batch, sent):
         return it.DispatchOutcome.UNSENT
@@ -22,12 +22,12 @@
 
 
 def short():
-    """A result that broke off ends well."""
+    """Reports a result that was cut off as complete."""
     ResultStream.end = lambda self, outcome, end=ResultStream.end: end(self, it.DispatchOutcome.RETURNED)
 
 
 def twice():
-    """Each answer on the platform's own door is given twice."""
+    """Sends each answer on the JSON-RPC interface twice."""
     write = ClientSession.write
 
     def double(self, data):
@@ -38,7 +38,7 @@
 
 
 def forget():
-    """A dispatch that is given up is not called off at its engine."""
+    """Does not cancel an abandoned dispatch at its engine."""
 
     async def nothing(self, batch, entry, sent):
         return None
@@ -46,6 +46,6 @@
     FlightEngines.cancel_dispatch = HttpEngines.cancel_dispatch = nothing
 
 
-SABOTAGE = {"": lambda: None, "resend": resend, "short": short, "twice": twice, "forget": forget}
-# The share of long results, where a sabotage shows by one that breaks off after it has begun to go on.
-LONG_SHARES = {"short": 1.0}
+SABOTAGES = {"": lambda: None, "resend": resend, "short": short, "twice": twice, "forget": forget}
+# The share of long results for a sabotage that only shows in a result cut off after streaming has begun.
+LONG_RESULT_SHARES = {"short": 1.0}
--- a/rigs/flight_terms.py
+++ b/rigs/flight_terms.py
@@ -1,21 +1,21 @@
-"""The terms of the Flight rig: its engines, the faults of their calls, and what its clients do."""
+"""Parameters of the rig `flight`: engines, faults of their calls, and behaviours of clients."""
 
 import json
 
 from thistlelever.standins.configuration import GROUP, SETTINGS
 
-# How many batches clients have under way at once, and how large a result is held before it goes on.
-MOST_OPEN_BATCHES, HELD_BYTES = 24, 16_384
-# How long a key rests after an attempt that may still run; after a drain is told, how long sends go on, and
-# how much later the rig may see one.
-KEY_REST_S, DRAIN_GRACE_S, DRAIN_SEEN_LATE_S = 0.1, 0.25, 0.15
-# The budget of further dispatches: so many, and a share of what was taken in the window.
-RETRY_FLOOR, RETRY_SHARE, RETRY_WINDOW_S = 20.0, 0.5, 2.0
-# The time limit of each batch, the rows of a long result, and how many are long.
-LIMIT_MS, ROWS_LONG, LONG_SHARE = 1_500, 900, 0.15
-# The engines by the protocol that they speak, and their zones.
+# The most batches open at once, and the bytes of a result that the front buffers before it streams it.
+MAX_OPEN_BATCHES, MAX_BUFFERED_BYTES = 24, 16_384
+# The cool-down of a key after a dispatch that may still run; how long dispatches continue after a list with a
+# drain was sent, and how much later one may arrive at the engine.
+KEY_COOL_DOWN_S, DRAIN_GRACE_S, DRAIN_OBSERVATION_DELAY_S = 0.1, 0.25, 0.15
+# The retry budget: a fixed number of dispatches, and a share of the batches received in the window.
+RETRY_BUDGET_FLOOR, RETRY_BUDGET_SHARE, RETRY_WINDOW_S = 20.0, 0.5, 2.0
+# The deadline of each batch, the rows of a long result, and the share of long results.
+DEADLINE_MS, LONG_RESULT_ROWS, LONG_RESULT_SHARE = 1_500, 900, 0.15
+# The zone of each engine. Names with h- speak HTTP, names with f- Flight.
 ZONES = {"h-alba": "nord", "h-bruma": "sud", "f-cala": "nord", "f-duna": "sud"}
-# Faults by call, with how often each comes; the rest of calls go as usual.
+# The weighted faults of each call; an empty name is a call without a fault.
 HTTP_FAULTS = {
     "POST": [
         (2, "full"),
@@ -56,9 +56,9 @@
     "DoPut": [(2, "full"), (1, "lost"), (1, "ran lost"), (96, "")],
     "CancelFlightInfo": [(5, "lost"), (95, "")],
 }
-DOORS = [(50, "rpc"), (50, "flight")]
-GROUPS = [(55, "lookup"), (25, "load"), (20, "pay")]
-MANNERS = {
+INTERFACES = [(50, "rpc"), (50, "flight")]
+QUERY_CLASSES = [(55, "lookup"), (25, "load"), (20, "pay")]
+BEHAVIOURS = {
     "rpc": [(90, "usual"), (6, "withdraws"), (4, "hangs up")],
     "flight": [
         (66, "usual"),
@@ -76,22 +76,22 @@
 
 
 def settings():
-    """Three groups: look-ups that may be repeated, loads in order by key whose repeats one zone drops, and
-    payments that run once."""
-    told = json.loads(json.dumps(SETTINGS))
-    limit = {"Deadline": LIMIT_MS * 1000, "Slo": 800_000}
-    told["Classes"] = [
-        GROUP | limit,
+    """Settings with three query classes: idempotent look-ups, sequential loads that the engines of a zone
+    deduplicate by idempotency key, and non-idempotent payments."""
+    result = json.loads(json.dumps(SETTINGS))
+    deadline = {"Deadline": DEADLINE_MS * 1000, "Slo": 800_000}
+    result["Classes"] = [
+        GROUP | deadline,
         GROUP
-        | limit
+        | deadline
         | {"Name": "load", "Value": 0.8, "Idempotency": "by_key", "DedupScope": "zone", "Sequential": True},
-        GROUP | limit | {"Name": "pay", "Value": 0.6, "Idempotency": "once"},
+        GROUP | deadline | {"Name": "pay", "Value": 0.6, "Idempotency": "once"},
     ]
-    told["Limits"]["MaxAttempts"] = 4
-    told["Invariants"] |= {
-        "KeyRest": int(KEY_REST_S * 1e6),
-        "ExtraFloor": RETRY_FLOOR,
-        "ResendRatio": RETRY_SHARE,
+    result["Limits"]["MaxAttempts"] = 4
+    result["Invariants"] |= {
+        "KeyRest": int(KEY_COOL_DOWN_S * 1e6),
+        "ExtraFloor": RETRY_BUDGET_FLOOR,
+        "ResendRatio": RETRY_BUDGET_SHARE,
         "LookBack": int(RETRY_WINDOW_S * 1e6),
     }
-    return told
+    return result
--- a/tests/test_rigs.py
+++ b/tests/test_rigs.py
@@ -44,7 +44,7 @@
 def test_flight_says_no(guard, broken):
     # Few results break off after they have begun to go on; enough batches, that some surely do. With the
     # usual results, 15% of them long, none did in one of 20 runs (1 to 6 in the others), and CI failed once:
-    # this sabotage is played with long results alone (rigs/flight_sabotage.LONG_SHARES).
+    # this sabotage is played with long results alone (rigs/flight_sabotage.LONG_RESULT_SHARES).
     batches = "1500" if guard == "short" else "600"
     last = played("flight", "--seed", "2", "--batches", batches, "--sabotage", guard)
     assert not last["holds"] and broken in last["broken_rules"], last
