--- a/rigs/capacity_slopes.py
+++ b/rigs/capacity_slopes.py
@@ -1,5 +1,5 @@
-"""Slopes of what one process can measure by itself: the engine list by DNS, the decisions that are told of
-it, and membership. Each is a series over at least four sizes with a least-squares fit.
+"""Slopes that one process can measure by itself: the engine list by DNS, the decisions that receive it, and
+membership. Each is a series over at least four sizes with a least-squares fit.
 
 `python -m rigs.capacity` runs these beside the ones that need a front in a process of its own.
 """
@@ -14,7 +14,7 @@
 from statistics import fmean
 from time import process_time
 
-from rigs.membership_model import measure as play_membership
+from rigs.membership_model import measure as measure_membership
 from thistlelever.admission.decide import Front
 from thistlelever.carrier.directory import SERVICE_NAME, DirectoryClient
 from thistlelever.ground import interface as it
@@ -29,13 +29,13 @@
 from thistlelever.store.engine_registry import EngineRegistry
 from thistlelever.wire import dns
 
-# A constant is kept where its residual is this small, or where no other form halves it; a line where no bent
-# form brings its residual to a quarter.
-GOOD_FIT, BETTER_THAN_CONSTANT, BETTER_THAN_LINE = 0.05, 0.5, 0.25
+# A constant is chosen if its residual is at most the first value, or if no other form reduces it to the
+# second as a share; a line if no curve reduces its residual to the third as a share.
+GOOD_RESIDUAL, GROWTH_RESIDUAL_SHARE, CURVE_RESIDUAL_SHARE = 0.05, 0.5, 0.25
 ZONES = tuple(f"region-{zone % 9}-{zone // 9}" for zone in range(23))
-# IPv4's longest packet without its own header and UDP's.
-LONGEST_DATAGRAM = 65_507
-MOST_TRIED = 2_000
+# The longest IPv4 packet without the headers of IP and UDP.
+MAX_DATAGRAM_BYTES = 65_507
+MAX_ENGINES_TRIED = 2_000
 MEGABYTE = 1e6
 
 FORMS: dict[str, Callable[[float], float]] = {
@@ -48,8 +48,10 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`intercept + slope * FORMS[form](size)`; the residual is the root mean square of what the fit misses
-    the values by, as a share of their mean."""
+    """The fit `intercept + slope * FORMS[form](size)`.
+
+    The residual is the root mean square of the differences to the values, as a share of their mean.
+    """
 
     form: str
     intercept: float
@@ -57,6 +59,7 @@
     residual: float
 
     def at(self, size: float) -> float:
+        """The fitted value at a size."""
         return self.intercept + self.slope * FORMS[self.form](size)
 
 
@@ -70,25 +73,25 @@
         sum((term - mean_term) * (value - mean_value) for term, value in pairs) / spread if spread else 0.0
     )
     intercept = mean_value - slope * mean_term
-    missed = [value - intercept - slope * term for term, value in zip(terms, values, strict=True)]
+    errors = [value - intercept - slope * term for term, value in zip(terms, values, strict=True)]
     scale = abs(mean_value) or 1.0
-    return Fit(form, intercept, slope, sqrt(fmean(miss * miss for miss in missed)) / scale)
+    return Fit(form, intercept, slope, sqrt(fmean(error * error for error in errors)) / scale)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """A constant where that fits, else a line, else whichever form fits best."""
+    """The simplest form that fits well: a constant, a line or a curve."""
     fits = {form: fit_form(form, sizes, values) for form in FORMS}
     constant, line = fits["constant"], fits["linear"]
-    bent = min((fits["logarithmic"], fits["n log n"]), key=lambda found: found.residual)
-    growing = bent if bent.residual < BETTER_THAN_LINE * line.residual else line
-    if constant.residual <= GOOD_FIT or growing.residual > BETTER_THAN_CONSTANT * constant.residual:
+    curve = min((fits["logarithmic"], fits["n log n"]), key=lambda found: found.residual)
+    growing = curve if curve.residual < CURVE_RESIDUAL_SHARE * line.residual else line
+    if constant.residual <= GOOD_RESIDUAL or growing.residual > GROWTH_RESIDUAL_SHARE * constant.residual:
         return constant
     return growing
 
 
 @dataclass(frozen=True)
 class Slope:
-    """One figure over sizes. `target` is the size that is coming, in the same unit as `sizes`."""
+    """One figure over sizes. `target` is the size to compute it for, in the same unit as `sizes`."""
 
     name: str
     unit: str
@@ -98,16 +101,18 @@
 
     @property
     def fit(self) -> Fit:
+        """The fit of the values."""
         return fit(self.sizes, self.values)
 
     @property
     def extrapolated(self) -> bool:
+        """Whether the target is above the largest size."""
         return self.target > max(self.sizes)
 
 
 @dataclass(frozen=True)
 class Sizes:
-    """What is played: quick in CI, full for the page."""
+    """The sizes of a run; the defaults are small, for CI."""
 
     datagram_engines: tuple[int, ...] = (30, 100, 300, 400)
     engines: tuple[int, ...] = (30, 100, 200, 400)
@@ -119,6 +124,7 @@
     front_seconds: float = 0.8
 
 
+# The sizes of docs/CAPACITY.md.
 FULL = Sizes(
     engines=(30, 300, 3_000, 22_000),
     members=(30, 100, 300, 1_000),
@@ -132,43 +138,46 @@
 
 
 def listed_engines(count: int) -> dict[str, tuple[int, bool, str]]:
-    """Engines for a stand-in directory, over all zones."""
-    return {f"engine-{place:05d}": (9_000, False, ZONES[place % len(ZONES)]) for place in range(count)}
+    """Entries of a fake directory, spread round-robin over all zones."""
+    return {f"engine-{index:05d}": (9_000, False, ZONES[index % len(ZONES)]) for index in range(count)}
 
 
 def settings() -> dict:
+    """Settings with all zones."""
     return SETTINGS | {"FailureDomains": list(ZONES)}
 
 
 def decisions() -> Front:
+    """The decisions of a front."""
     return Front(front_config.read(configuration(settings=settings()), {}).settings, 1)
 
 
-def cpu_of(work: Callable[[], object]) -> float:
-    """Seconds of this process's CPU time."""
-    begun = process_time()
+def cpu_seconds(work: Callable[[], object]) -> float:
+    """Seconds of this process's CPU time that a call takes."""
+    started = process_time()
     work()
-    return process_time() - begun
+    return process_time() - started
 
 
 def engine_records(count: int, version: int) -> it.EngineListReceived:
+    """The event of a whole engine list."""
     zones = len(ZONES)
     engines = tuple(
-        it.Engine(b"engine-%05d" % place, place % zones, 2, 0, it.EngineState.READY, 0.0, 4.0)
-        for place in range(count)
+        it.Engine(b"engine-%05d" % index, index % zones, 2, 0, it.EngineState.READY, 0.0, 4.0)
+        for index in range(count)
     )
     return it.EngineListReceived(it.ListKind.WHOLE, version, engines)
 
 
 class AnswerTimer:
-    """In place of the event loop's handle: no answer is late here."""
+    """Replaces the event loop's timer handle: no answer is late here."""
 
     def cancel(self) -> None:
         pass
 
 
-class DecisionDesk:
-    """Tells the decisions at once, as the decision loop does within the same turn."""
+class ImmediateDecisions:
+    """Passes each event to the decisions immediately, as the decision loop does within one turn."""
 
     def __init__(self) -> None:
         self.front, self.now = decisions(), 1.0
@@ -177,6 +186,7 @@
         pass
 
     def add_event(self, event: it.EngineListReceived) -> None:
+        """Handles an event one second after the last."""
         self.now += 1.0
         self.front.handle(self.now, [event])
 
@@ -187,41 +197,47 @@
     def __init__(self) -> None:
         zones = {"zones": ZONES, "kinds": ("std",), "seed": 1}
         self.client = DirectoryClient(
-            EngineRegistry(), lambda engine: None, DecisionDesk(), Metrics(), **zones
+            EngineRegistry(), lambda engine: None, ImmediateDecisions(), Metrics(), **zones
         )
-        # The second answer that a newer list needs is handed to it by the rig.
+        # The rig itself passes in the second answer that a newer list needs.
         self.client.poll = lambda requested: None
 
     def take(self, answer: bytes) -> None:
+        """Receives an answer as if the client had asked for it."""
         number = int.from_bytes(answer[:2], "big")
         self.client.awaited[number] = number, AnswerTimer()
         self.client.receive(answer)
 
 
-def times_played(size: int) -> int:
+def trial_count(size: int) -> int:
+    """The number of trials at a size: fewer for large ones."""
     return 5 if size <= 300 else 3
 
 
 def answer_cpu(count: int) -> tuple[float, float, float, float]:
-    """CPU seconds: to parse one answer; to take the first, an equal one, and the two by which a list with one
-    engine changed is in force.
-    The least of several tries: what others on the machine add is no cost of ours."""
+    """CPU seconds to parse one answer, and to take the first answer, an equal one, and the two after which a
+    list with one changed engine is in force.
+
+    Each is the minimum of several trials, which excludes what other load on the machine adds.
+    """
     entries = listed_engines(count)
     first, equal = dns_answer(1, 3, entries), dns_answer(2, 3, entries)
     another = entries | {"engine-00000": (9_000, True, ZONES[0])}
-    after, confirming = dns_answer(3, 4, another), dns_answer(4, 4, another)
+    changed_answer, confirming = dns_answer(3, 4, another), dns_answer(4, 4, another)
     parsed, taken, compared, changed = [], [], [], []
-    for _ in range(times_played(count)):
+    for _ in range(trial_count(count)):
         client = DetachedDirectoryClient()
-        parsed.append(cpu_of(lambda: dns.decode_list(first, 1, SERVICE_NAME)))
-        taken.append(cpu_of(lambda client=client: client.take(first)))
-        compared.append(cpu_of(lambda client=client: client.take(equal)))
-        changed.append(cpu_of(lambda client=client: (client.take(after), client.take(confirming))))
+        parsed.append(cpu_seconds(lambda: dns.decode_list(first, 1, SERVICE_NAME)))
+        taken.append(cpu_seconds(lambda client=client: client.take(first)))
+        compared.append(cpu_seconds(lambda client=client: client.take(equal)))
+        changed.append(
+            cpu_seconds(lambda client=client: (client.take(changed_answer), client.take(confirming)))
+        )
     return min(parsed), min(taken), min(compared), min(changed)
 
 
 def list_memory(count: int) -> float:
-    """Megabytes that directory client, engine list and decisions hold for one list."""
+    """Megabytes that directory client, engine registry and decisions allocate for one list."""
     answer = dns_answer(1, 3, listed_engines(count))
     client = DetachedDirectoryClient()
     tracemalloc.start()
@@ -232,28 +248,31 @@
 
 
 def decision_memory(count: int) -> float:
-    """Megabytes that the decisions alone hold for one list."""
-    front, told = decisions(), engine_records(count, 1)
+    """Megabytes that the decisions alone allocate for one list."""
+    front, event = decisions(), engine_records(count, 1)
     tracemalloc.start()
-    front.handle(1.0, [told])
+    front.handle(1.0, [event])
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return held / MEGABYTE
 
 
 def decision_cpu(count: int) -> tuple[float, float]:
-    """CPU seconds of one call that tells the decisions of a list: the first, and the same again; the
-    least of several tries."""
+    """CPU seconds in which the decisions handle a first list, and the same list again.
+
+    Each is the minimum of several trials.
+    """
     firsts, again = [], []
-    for _ in range(times_played(count)):
-        front, told = decisions(), engine_records(count, 1)
-        firsts.append(cpu_of(lambda front=front, told=told: front.handle(1.0, [told])))
-        told = engine_records(count, 2)
-        again.append(cpu_of(lambda front=front, told=told: front.handle(2.0, [told])))
+    for _ in range(trial_count(count)):
+        front, event = decisions(), engine_records(count, 1)
+        firsts.append(cpu_seconds(lambda front=front, event=event: front.handle(1.0, [event])))
+        event = engine_records(count, 2)
+        again.append(cpu_seconds(lambda front=front, event=event: front.handle(2.0, [event])))
     return min(firsts), min(again)
 
 
 def engine_slope(name: str, unit: str, sizes: Sequence[int], values: Sequence[float]) -> Slope:
+    """A slope by the number of engines."""
     return Slope(name, unit, tuple(sizes), tuple(values), TARGET_ENGINES)
 
 
@@ -274,7 +293,7 @@
 
 
 def decision_slopes(sizes: Sizes) -> list[Slope]:
-    """The decisions alone, told of a list."""
+    """The decisions alone, when they receive a list."""
     counts = sizes.engines
     firsts, again = zip(*map(decision_cpu, counts), strict=True)
     return [
@@ -285,7 +304,7 @@
 
 
 def fits_in_a_datagram(raw: socket.socket, count: int) -> bool:
-    """Whether the kernel takes the answer with so many engines as one datagram."""
+    """Whether the kernel accepts the answer with so many engines as one datagram."""
     try:
         raw.sendto(dns_answer(1, 3, listed_engines(count)), raw.getsockname())
     except OSError:
@@ -293,9 +312,9 @@
     return True
 
 
-def most_in_a_datagram() -> int:
-    """The most engines whose answer a datagram holds, tried on a real socket."""
-    fits, too_many = 1, MOST_TRIED
+def max_engines_in_datagram() -> int:
+    """The most engines whose answer fits into one datagram, found by bisection on a real socket."""
+    fits, too_many = 1, MAX_ENGINES_TRIED
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as raw:
         raw.bind(("127.0.0.1", 0))
         while too_many - fits > 1:
@@ -308,24 +327,24 @@
 
 
 def member_memory(count: int) -> float:
-    """Megabytes of one member that knows all others."""
+    """Megabytes that one member's table of all others takes."""
     identity = Identity("front-0", ("127.1.0.0", 7_946), 1)
     detector = FailureDetector(MembershipConfig(), identity, TierSettings((), count), 1, 1.0)
     tracemalloc.start()
-    for place in range(1, count):
-        address = (f"127.1.{place // 250}.{place % 250}", 7_946)
-        detector.table.add(1.0, Member(f"front-{place}", address, 1, 1, 1.0), "front-0", "list")
+    for index in range(1, count):
+        address = (f"127.1.{index // 250}.{index % 250}", 7_946)
+        detector.table.add(1.0, Member(f"front-{index}", address, 1, 1, 1.0), "front-0", "list")
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return held / MEGABYTE
 
 
 def membership_slopes(sizes: Sizes, seed: int) -> list[Slope]:
-    """An ordinary second of membership under the model's virtual clock, without deaths."""
+    """Costs of a second of membership without failures, under the model's virtual clock."""
     found = []
     for loss in (0.0, 0.05):
         runs = [
-            play_membership(FailureDetector, count, loss, sizes.membership_seconds, 0, seed)
+            measure_membership(FailureDetector, count, loss, sizes.membership_seconds, 0, seed)
             for count in sizes.members
         ]
         label = f"membership, {loss:.0%} loss"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,10 +1,10 @@
-"""The capacity rig: its fit on known data, and the whole rig small."""
+"""The rig `capacity`: its fit on known data, and the whole rig at a small size."""
 
 from math import log2
 
 import pytest
 
-from rigs.capacity_slopes import FORMS, LONGEST_DATAGRAM, Slope, fit, fit_form, most_in_a_datagram
+from rigs.capacity_slopes import FORMS, MAX_DATAGRAM_BYTES, Slope, fit, fit_form, max_engines_in_datagram
 from rigs.capacity_slopes import dns_answer, listed_engines
 from test_rigs import played
 
@@ -32,7 +32,7 @@
 
 
 def test_the_residual_is_the_root_mean_square_as_a_share_of_the_mean():
-    # The best line through these is 2 throughout; it misses each by 1.
+    # The best line through these values is the constant 2, which differs from each by 1.
     found = fit_form("linear", (1, 2, 3, 4), [1.0, 3.0, 3.0, 1.0])
     assert found.slope == pytest.approx(0.0) and found.residual == pytest.approx(0.5)
 
@@ -49,9 +49,9 @@
 
 
 def test_the_most_engines_that_a_datagram_holds():
-    most = most_in_a_datagram()
-    assert len(dns_answer(1, 3, listed_engines(most))) <= LONGEST_DATAGRAM
-    assert len(dns_answer(1, 3, listed_engines(most + 1))) > LONGEST_DATAGRAM
+    most = max_engines_in_datagram()
+    assert len(dns_answer(1, 3, listed_engines(most))) <= MAX_DATAGRAM_BYTES
+    assert len(dns_answer(1, 3, listed_engines(most + 1))) > MAX_DATAGRAM_BYTES
 
 
 def test_capacity():
@@ -59,6 +59,6 @@
     assert last["holds"], last["broken_rules"]
     slopes = last["slopes"]
     assert all(len(slope["sizes"]) >= 4 for slope in slopes.values())
-    # Bytes hang on nothing but the size.
+    # The bytes depend on the size alone.
     assert slopes["dns answer"]["form"] == "linear" and slopes["dns answer"]["residual"] < 1e-6
     assert slopes["queries: CPU"]["form"] != "constant"
