--- a/rigs/flight_sabotage.py
+++ b/rigs/flight_sabotage.py
@@ -10,12 +10,12 @@
 def resend():
     """Reports dispatches that may have run as never sent."""
 
-    async def outcome(self, why, entry, batch, sent):
+    async def outcome(self, why, entry, batch, progress):
         return it.DispatchOutcome.UNSENT
 
     FlightEngines.outcome = outcome
     HttpEngines.outcome = (
-        lambda self, reply, sent: it.DispatchOutcome.RETURNED
+        lambda self, reply, progress: it.DispatchOutcome.RETURNED
         if reply.status == 200
         else it.DispatchOutcome.UNSENT
     )
@@ -40,7 +40,7 @@
 def forget():
     """Does not cancel an abandoned dispatch at its engine."""
 
-    async def nothing(self, batch, entry, sent):
+    async def nothing(self, batch, entry, progress):
         return None
 
     FlightEngines.cancel_dispatch = HttpEngines.cancel_dispatch = nothing
