--- a/tests/test_rigs.py
+++ b/tests/test_rigs.py
@@ -45,7 +45,7 @@
 def test_flight_says_no(guard, broken):
     # Few results break off after a part of them was forwarded. With the usual 15% of long results none did in
     # one of 20 runs (1 to 6 in the others), and CI failed once; this sabotage therefore runs more batches,
-    # with long results only (rigs/flight_sabotage.LONG_SHARES).
+    # with long results only (rigs/flight_sabotage.LONG_RESULT_SHARES).
     batches = "1500" if guard == "short" else "600"
     last = run_rig("flight", "--seed", "2", "--batches", batches, "--sabotage", guard)
     assert not last["holds"] and broken in last["broken_rules"], last
