--- a/rigs/publisher_loss.py
+++ b/rigs/publisher_loss.py
@@ -47,13 +47,18 @@
         """One distributor, with its own store."""
         addresses = [f"{HOST}:{port}" for port in self.ports]
         config = self.folder / f"{index}.json"
-        facts = {"name": f"d{index}", "index": index, "listen": addresses[index], "distributors": addresses}
-        facts |= {"publisher": index == 0, "store": str(self.folder / f"{index}.db")}
-        facts |= {"election_after_s": ELECTION_AFTER_S, "subset": {"fronts": 1}}
-        config.write_text(json.dumps(facts))
-        words = [sys.executable, "-m", "thistlelever", "distributor", "serve", "--config", str(config)]
+        settings = {
+            "name": f"d{index}",
+            "index": index,
+            "listen": addresses[index],
+            "distributors": addresses,
+        }
+        settings |= {"publisher": index == 0, "store": str(self.folder / f"{index}.db")}
+        settings |= {"election_after_s": ELECTION_AFTER_S, "subset": {"fronts": 1}}
+        config.write_text(json.dumps(settings))
+        arguments = [sys.executable, "-m", "thistlelever", "distributor", "serve", "--config", str(config)]
         with open(self.folder / f"{index}.log", "ab") as log:
-            self.processes[index] = await asyncio.create_subprocess_exec(*words, cwd=ROOT, stdout=log)
+            self.processes[index] = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, stdout=log)
 
     async def call(self, index, method, path, body=None):
         """Status and answer; status 0 where there is none."""
@@ -66,7 +71,7 @@
         except (OSError, ValueError):
             return 0, {}
 
-    async def published(self, body, away=None, within=START_WITHIN_S):
+    async def publish_anywhere(self, body, away=None, within=START_WITHIN_S):
         """Publish at whichever distributor confirms it; its place, and None where none does in time."""
         till = monotonic() + within
         while monotonic() < till:
@@ -86,13 +91,13 @@
         return sum(code != 0 for code in codes)
 
 
-async def lose(tier, chance, number, publisher):
+async def cause_loss(tier, chance, number, publisher):
     """Kill or stop the publisher; who publishes next and how long that took, or None."""
     kind = "stopped" if chance.share("stopped", number) < 0.5 else "killed"
     began = monotonic()
     tier.processes[publisher].send_signal(signal.SIGSTOP if kind == "stopped" else signal.SIGKILL)
     change = {"upserts": [engine(number, float(number + 1))]}
-    following = await tier.published(change, publisher, 2 * LONGEST_LOSS_S)
+    following = await tier.publish_anywhere(change, publisher, 2 * LONGEST_LOSS_S)
     took = monotonic() - began
     if kind == "killed":
         await tier.processes[publisher].wait()
@@ -102,33 +107,33 @@
     return {"kind": kind, "lost": publisher, "next": following, "seconds": round(took, 2)}
 
 
-async def played(seed, distributors, losses):
-    chance, story, broken = Chance(seed), [], []
+async def run_rig(seed, distributors, losses):
+    chance, records, broken = Chance(seed), [], []
     with tempfile.TemporaryDirectory() as folder:
         tier = Tier(distributors, folder)
         for index in range(distributors):
             await tier.start(index)
-        publisher = await tier.published({"engines": [engine(number) for number in range(ENGINES)]})
+        publisher = await tier.publish_anywhere({"engines": [engine(number) for number in range(ENGINES)]})
         for number in range(losses):
             await asyncio.sleep(CALM_S)
-            story.append(await lose(tier, chance, number, publisher))
-            if story[-1]["next"] is None:
+            records.append(await cause_loss(tier, chance, number, publisher))
+            if records[-1]["next"] is None:
                 broken.append("nobody publishes")
                 break
-            publisher = story[-1]["next"]
+            publisher = records[-1]["next"]
         await asyncio.sleep(CALM_S)
-        reports = [(await tier.call(index, "GET", "/v1/status"))[1] for index in range(distributors)]
+        statuses = [(await tier.call(index, "GET", "/v1/status"))[1] for index in range(distributors)]
         crashed = await tier.close()
-    longest = max(loss["seconds"] for loss in story)
+    longest = max(loss["seconds"] for loss in records)
     if longest > LONGEST_LOSS_S:
         broken.append(f"a loss of more than {LONGEST_LOSS_S:g} s")
-    if len({(report.get("version"), report.get("digest")) for report in reports}) != 1:
+    if len({(status.get("version"), status.get("digest")) for status in statuses}) != 1:
         broken.append("distributors differ after healing")
-    if sum(report.get("role") == "publisher" for report in reports) != 1:
+    if sum(status.get("role") == "publisher" for status in statuses) != 1:
         broken.append("not one publisher at the end")
     if crashed:
         broken.append("a distributor crashed")
-    return broken, {"distributors": distributors, "longest_s": longest, "losses": story}
+    return broken, {"distributors": distributors, "longest_s": longest, "losses": records}
 
 
 @click.command()
@@ -137,7 +142,7 @@
 @click.option("--losses", default=6)
 def main(seed, distributors, losses):
     """Play it and print the verdict."""
-    broken, figures = asyncio.run(played(seed, distributors, losses))
+    broken, figures = asyncio.run(run_rig(seed, distributors, losses))
     close("publisher_loss", seed, broken, figures)
 
 
--- a/rigs/scale.py
+++ b/rigs/scale.py
@@ -14,14 +14,14 @@
 
 import click
 
-from rigs.scale_before import before
-from rigs.scale_book import Catalog
-from rigs.scale_figures import broken_rules, comparison_figures, judged, steady_figures
+from rigs.scale_before import directory_figures
+from rigs.scale_catalog import Catalog
+from rigs.scale_deployment import FULL, SMALL, Deployment, Programs, Size
+from rigs.scale_figures import broken_rules, comparison_figures, final_figures, steady_figures
 from rigs.scale_real import RealFronts
 from rigs.scale_sabotage import ENVIRONMENT_KEY, GUARDS
 from rigs.scale_steps import Steps
 from rigs.scale_verdict import Content
-from rigs.scale_yard import FULL, SMALL, Programs, Size, Yard
 from rigs.verdict import Chance, close
 from thistlelever.subsetting import FrontIdentity
 
@@ -32,7 +32,7 @@
 # Two steps in which the publisher breaks: one of them is played, both at the full size.
 PUBLISHER_STEPS = ("publisher_killed", "publisher_stopped")
 # With a guard taken out, only the fault is played that it is there for.
-SHOWN_BY = {
+FAULTS_OF_SABOTAGE = {
     "gap": ["misrouted"],
     "back": ["island"],
     "hash_order": ["distributor_killed"],
@@ -52,12 +52,12 @@
 )
 
 
-def addresses_of(count):
+def unused_addresses(count):
     """An address of loopback for each engine, where nothing listens."""
     return [f"127.{64 + (n >> 14)}.{n >> 7 & 127}.{1 + (n & 127)}:9" for n in range(count)]
 
 
-def order_of(seed, full):
+def shuffled_faults(seed, full):
     """The faults, shuffled by the seed."""
     chance = Chance(seed)
     names = list(FAULTS)
@@ -68,25 +68,25 @@
     return names
 
 
-async def open_real(yard, catalog, real):
+async def start_real_engines(deployment, catalog, real):
     """Stand-ins for the engines that the real fronts hold first, under their addresses in the list."""
-    content = Content(yard.subset)
+    content = Content(deployment.subset)
     content.apply(catalog.records.values(), ())
-    held = {engine for place in yard.real_places for engine in content.subset(FrontIdentity(**place))}
+    held = {engine for place in deployment.real_places for engine in content.subset(FrontIdentity(**place))}
     for engine, address in (await real.open_engines(sorted(held))).items():
         catalog.records[engine] = catalog.records[engine]._replace(address=address)
 
 
-async def begin(yard, play, real):
+async def send_first_list(deployment, steps, real):
     """The first list to every front; what an empty front is, and the bytes of a first list."""
-    await play.publish_whole("first list")
-    await yard.tier.follow(play.catalog.version, FIRST_LIST_WITHIN_S)
-    empty = await yard.make()
+    await steps.publish_whole("first list")
+    await deployment.tier.follow(steps.catalog.version, FIRST_LIST_WITHIN_S)
+    empty = await deployment.make()
     # The mass start that is measured comes later, where it competes with no process that starts.
-    await yard.each("subscribe", within=SUBSCRIBE_EACH_S * yard.size.fronts)
-    await play.settle("first list", within=FIRST_LIST_WITHIN_S)
-    first = await yard.measure()
-    await yard.each("freeze")
+    await deployment.each("subscribe", within=SUBSCRIBE_EACH_S * deployment.size.fronts)
+    await steps.settle("first list", within=FIRST_LIST_WITHIN_S)
+    first = await deployment.measure()
+    await deployment.each("freeze")
     await real.start()
     return empty, first
 
@@ -102,35 +102,35 @@
     plot: str | None
 
 
-async def played(run):
+async def run_rig(run):
     chance, size = Chance(run.seed), run.size
     with tempfile.TemporaryDirectory() as folder:
-        yard = Yard(run.seed, size, folder, run.programs)
-        catalog = Catalog(chance, size.engines, yard.zones, addresses_of(size.engines))
-        real = RealFronts(yard, folder)
-        await open_real(yard, catalog, real)
-        async with yard:
-            play = Steps(yard, catalog, chance)
+        deployment = Deployment(run.seed, size, folder, run.programs)
+        catalog = Catalog(chance, size.engines, deployment.zones, unused_addresses(size.engines))
+        real = RealFronts(deployment, folder)
+        await start_real_engines(deployment, catalog, real)
+        async with deployment:
+            steps = Steps(deployment, catalog, chance)
             try:
-                empty, first = await begin(yard, play, real)
-                steady = await play.steady(run.steady_s)
+                empty, first = await send_first_list(deployment, steps, real)
+                steady = await steps.steady(run.steady_s)
                 directory_core = asyncio.create_task(real.directory_core(DIRECTORY_S))
-                compared = await play.comparison()
-                figures = steady_figures(yard, real, empty, first, steady)
-                figures |= comparison_figures(yard, real, empty, compared, await directory_core)
-                real.traffic()
+                compared = await steps.comparison()
+                figures = steady_figures(deployment, real, empty, first, steady)
+                figures |= comparison_figures(deployment, real, empty, compared, await directory_core)
+                real.start_clients()
                 for name in run.faults:
                     began = monotonic()
-                    await getattr(play, name)()
-                    play.moments.append((name, round(monotonic() - began, 2)))
-                    print(f"{name}: {play.moments[-1][1]} s", file=sys.stderr)
-                figures |= await judged(yard, play, real, run.plot)
+                    await getattr(steps, name)()
+                    steps.step_durations.append((name, round(monotonic() - began, 2)))
+                    print(f"{name}: {steps.step_durations[-1][1]} s", file=sys.stderr)
+                figures |= await final_figures(deployment, steps, real, run.plot)
             finally:
                 await real.close()
-            figures |= {"peak_mb": round(yard.peak_mb), "processes": yard.most_processes}
-            figures["steps_s"] = dict(play.moments)
-            figures["before"] = before(catalog, yard.zones, len(yard.fronts))
-    return play.broken, figures
+            figures |= {"peak_mb": round(deployment.peak_mb), "processes": deployment.most_processes}
+            figures["steps_s"] = dict(steps.step_durations)
+            figures["before"] = directory_figures(catalog, deployment.zones, len(deployment.fronts))
+    return steps.broken, figures
 
 
 @click.command()
@@ -146,11 +146,13 @@
     size = size._replace(fronts=fronts or size.fronts, engines=engines or size.engines)
     size = size._replace(heartbeat_s=heartbeat_s or size.heartbeat_s)
     steady_s = STEADY_FULL_S if full else STEADY_S
-    run = Run(seed, size, steady_s, order_of(seed, full), Programs(), plot)
+    run = Run(seed, size, steady_s, shuffled_faults(seed, full), Programs(), plot)
     if sabotage:
         programs = Programs("rigs.scale_sabotage", "rigs.scale_sabotage", {ENVIRONMENT_KEY: sabotage})
-        run = run._replace(programs=programs, steady_s=STEADY_SABOTAGED_S, faults=SHOWN_BY[sabotage])
-    broken, figures = asyncio.run(played(run))
+        run = run._replace(
+            programs=programs, steady_s=STEADY_SABOTAGED_S, faults=FAULTS_OF_SABOTAGE[sabotage]
+        )
+    broken, figures = asyncio.run(run_rig(run))
     figures = {"fronts": size.fronts, "engines": size.engines, "distributors": size.distributors} | figures
     close("scale", seed, broken + broken_rules(figures), figures)
 
--- a/rigs/scale_book.py
+++ b/rigs/scale_catalog.py
@@ -39,10 +39,10 @@
         # applied to the newest version before it that was acknowledged.
         self.unacknowledged = defaultdict(list)
         for number in range(engines):
-            record = self.made(number)
+            record = self.make_record(number)
             self.records[record.id] = record
 
-    def made(self, number):
+    def make_record(self, number):
         zone = self.zones[number % len(self.zones)]
         return EngineRecord(
             id=f"engine-{number:05d}",
@@ -55,7 +55,7 @@
             weight=self.chance.among(WEIGHTS, "weight", number),
         )
 
-    def take(self, version, sent_at, upserts, removals, step, measured=True):
+    def record_publication(self, version, sent_at, upserts, removals, step, measured=True):
         """What was published is content from now on."""
         for record in upserts:
             self.records[record.id] = record
@@ -64,7 +64,7 @@
         publication = Publication(version, sent_at, tuple(upserts), tuple(removals), step, measured)
         self.publications.append(publication)
 
-    def may_be(self, version, upserts, removals):
+    def add_unacknowledged(self, version, upserts, removals):
         """A change under way as its publisher broke may be that version, and may never be."""
         self.unacknowledged[version].append((tuple(upserts), tuple(removals)))
 
@@ -80,16 +80,16 @@
         records = self.records | {record.id: record for record in upserts}
         return digest_of(record for record in records.values() if record.id not in removals)
 
-    def of_zone(self, zone):
+    def engines_of_zone(self, zone):
         return [record for record in self.records.values() if record.zone == zone]
 
-    def one(self, *what):
+    def choose_engine(self, *what):
         """Some engine that is there, by the seed."""
         names = sorted(self.records)
         return self.records[names[self.chance.below(len(names), *what)]]
 
 
-def restart(record, moment):
+def restart_changes(record, moment):
     """The three changes of an engine that restarts: drained, gone, and back with a later start."""
     return (
         ([record._replace(draining=True)], []),
--- a/rigs/scale_child.py
+++ b/rigs/scale_child.py
@@ -42,8 +42,8 @@
 class Child:
     """One process of the rig's own; `log` has the JSON lines that it wrote unasked."""
 
-    def __init__(self, *words, environment=None):
-        self.words, self.environment = words, environment or {}
+    def __init__(self, *arguments, environment=None):
+        self.arguments, self.environment = arguments, environment or {}
         self.process, self.log, self.answers = None, [], asyncio.Queue()
         self.reader, self.lock, self.ready = None, asyncio.Lock(), asyncio.Event()
 
@@ -52,7 +52,7 @@
         return self.process.pid
 
     @property
-    def lives(self):
+    def running(self):
         return self.process is not None and self.process.returncode is None
 
     async def start(self):
@@ -61,7 +61,7 @@
             sys.executable,
             "-O",
             "-m",
-            *self.words,
+            *self.arguments,
             cwd=ROOT,
             env=os.environ | self.environment,
             stdin=asyncio.subprocess.PIPE,
@@ -74,22 +74,22 @@
             await asyncio.wait((ready, self.reader), return_when=asyncio.FIRST_COMPLETED)
         if not ready.done():
             ready.cancel()
-            raise ChildFailedError(f"{self.words} ended before it was ready")
+            raise ChildFailedError(f"{self.arguments} ended before it was ready")
 
     async def read(self, process):
         while line := await process.stdout.readline():
             try:
-                told = json.loads(line)
+                message = json.loads(line)
             except json.JSONDecodeError:
                 continue
-            if "answer" in told:
-                self.answers.put_nowait(told["answer"])
+            if "answer" in message:
+                self.answers.put_nowait(message["answer"])
                 continue
-            self.log.append(told)
-            if told.get("event") == "ready":
+            self.log.append(message)
+            if message.get("event") == "ready":
                 self.ready.set()
 
-    async def ask(self, command, **fields):
+    async def request(self, command, **fields):
         """One command and its answer."""
         async with self.lock:
             self.process.stdin.write(json.dumps({"do": command, **fields}).encode() + b"\n")
@@ -98,15 +98,15 @@
             await asyncio.wait((answer, self.reader), return_when=asyncio.FIRST_COMPLETED)
             if not answer.done():
                 answer.cancel()
-                raise ChildFailedError(f"{self.words} ended before it answered {command!r}")
+                raise ChildFailedError(f"{self.arguments} ended before it answered {command!r}")
             return answer.result()
 
     def signal(self, number):
-        if self.lives:
+        if self.running:
             self.process.send_signal(number)
 
     async def kill(self):
-        if self.lives:
+        if self.running:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
             await self.process.wait()
@@ -115,18 +115,18 @@
             self.reader.cancel()
 
 
-async def commands(handlers):
+async def serve_commands(handlers):
     """The child's side: reads commands from standard input until it ends, and answers each in order."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=LONGEST_LINE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    say({"event": "ready"})
+    write_line({"event": "ready"})
     while line := await reader.readline():
         fields = json.loads(line)
         answer = await handlers[fields.pop("do")](**fields)
-        say({"answer": answer})
+        write_line({"answer": answer})
 
 
-def say(line):
+def write_line(line):
     sys.stdout.write(json.dumps(line) + "\n")
     sys.stdout.flush()
--- a/rigs/scale_yard.py
+++ b/rigs/scale_deployment.py
@@ -20,7 +20,7 @@
 SUBSET = {"engines": 96, "home_share": 0.5, "least": 4}
 SUBSET_SHARE = 0.05
 # One hollow process in which few fronts are put to sleep.
-SLEEPERS_SHARE = 0.05
+SUSPENDED_SHARE = 0.05
 SAMPLE_EVERY = 0.5
 # What a measurement of an idle process takes.
 IDLE_S = 1.5
@@ -75,8 +75,8 @@
         return [front["name"] for front in self.fronts]
 
 
-class Yard:
-    """All processes of one run: `async with Yard(...) as yard`."""
+class Deployment:
+    """All processes of one run: `async with Deployment(...) as yard`."""
 
     def __init__(self, seed, size, folder, programs):
         self.seed, self.size, self.programs = seed, size, programs
@@ -130,7 +130,7 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
         self.sampling = asyncio.create_task(self.sample())
         self.relays = [Child("rigs.scale_relay") for _ in range(self.size.relays)]
-        self.divide()
+        self.assign_fronts()
         for hollow in self.hollows:
             hollow.child = Child(self.programs.hollow, environment=self.programs.environment)
         starts = [child.start() for child in self.children()]
@@ -139,18 +139,18 @@
         await self.tier.start()
         return self
 
-    def divide(self):
+    def assign_fronts(self):
         """Hollow fronts over processes; the last few into one that is put to sleep."""
-        sleepers = max(2, int(self.size.fronts * SLEEPERS_SHARE))
-        awake = self.hollow_fronts[:-sleepers]
+        suspended_count = max(2, int(self.size.fronts * SUSPENDED_SHARE))
+        awake = self.hollow_fronts[:-suspended_count]
         count = self.size.hollow_processes
-        shares = [awake[number::count] for number in range(count)] + [self.hollow_fronts[-sleepers:]]
+        shares = [awake[number::count] for number in range(count)] + [self.hollow_fronts[-suspended_count:]]
         self.hollows = [
-            HollowProcess(f"hollow-{number}", fronts, self.relay_of(number))
+            HollowProcess(f"hollow-{number}", fronts, self.relay_for(number))
             for number, fronts in enumerate(shares)
         ]
 
-    def relay_of(self, number):
+    def relay_for(self, number):
         """The relay process of the hollow process at this place."""
         return self.relays[number % len(self.relays)] if number < self.size.relayed_processes else None
 
@@ -163,22 +163,22 @@
         return self.relays + [hollow.child for hollow in self.hollows]
 
     @property
-    def sleepers(self):
+    def suspended(self):
         return self.hollows[-1]
 
     async def open_island(self):
         """The last distributor reaches the others by relays, so that it can be cut off from them."""
         island = self.tier.distributors[-1]
         targets = [other.address for other in self.tier.distributors[:-1]]
-        ports = await self.relays[0].ask("open", seed=self.seed, group="island", targets=targets)
+        ports = await self.relays[0].request("open", seed=self.seed, group="island", targets=targets)
         island.peer_addresses = [(RELAY_HOST, port) for port in ports] + [island.address]
 
-    async def way(self, group, relay):
+    async def distributor_addresses(self, group, relay):
         """The address of each distributor, or of a relay of that group to it."""
         targets = [one.address for one in self.tier.distributors]
         if relay is None:
             return targets
-        ports = await relay.ask("open", seed=self.seed, group=group, targets=targets)
+        ports = await relay.request("open", seed=self.seed, group=group, targets=targets)
         return [(RELAY_HOST, port) for port in ports]
 
     async def make(self):
@@ -186,12 +186,12 @@
         before = []
         for hollow in self.hollows:
             terms = {
-                "distributors": await self.way(hollow.name, hollow.relay),
+                "distributors": await self.distributor_addresses(hollow.name, hollow.relay),
                 "heartbeat_s": self.size.heartbeat_s,
                 "patience_s": PATIENCE_S,
             }
             before.append(
-                await hollow.child.ask(
+                await hollow.child.request(
                     "make",
                     fronts=hollow.fronts,
                     zones=self.zones,
@@ -207,22 +207,22 @@
 
     async def each(self, command, **fields):
         """The same asked of every hollow process."""
-        return await asyncio.gather(*(hollow.child.ask(command, **fields) for hollow in self.hollows))
+        return await asyncio.gather(*(hollow.child.request(command, **fields) for hollow in self.hollows))
 
     async def measure(self):
         return await self.each("measure")
 
     async def each_relay(self, command, **fields):
         """The same asked for the group of every relayed process."""
-        asked = (hollow.relay.ask(command, group=hollow.name, **fields) for hollow in self.relayed)
+        asked = (hollow.relay.request(command, group=hollow.name, **fields) for hollow in self.relayed)
         return await asyncio.gather(*asked)
 
-    async def settle(self, version, within, but=()):
+    async def settle(self, version, within, excluding=()):
         """Until every hollow front holds that version; how long it took, or None."""
         began = monotonic()
-        awake = [hollow for hollow in self.hollows if hollow not in but]
+        awake = [hollow for hollow in self.hollows if hollow not in excluding]
         while monotonic() < began + within:
-            found = await asyncio.gather(*(hollow.child.ask("lowest") for hollow in awake))
+            found = await asyncio.gather(*(hollow.child.request("lowest") for hollow in awake))
             if all(one["lowest"] >= version.packed() for one in found):
                 return monotonic() - began
             await asyncio.sleep(0.1)
@@ -231,11 +231,11 @@
     def pids(self):
         children = self.children() + [one.child for one in self.tier.distributors if one.child]
         children += [one for one in self.real if one.process]
-        return [child.pid for child in children if child.process and child.lives]
+        return [child.pid for child in children if child.process and child.running]
 
     def distributor_cpu(self):
         """CPU seconds of each distributor that lives, by index."""
-        living = [one for one in self.tier.distributors if one.child and one.child.lives]
+        living = [one for one in self.tier.distributors if one.child and one.child.running]
         return {one.index: cpu_seconds(one.child.pid) for one in living}
 
     async def sample(self):
--- a/rigs/scale_figures.py
+++ b/rigs/scale_figures.py
@@ -3,57 +3,57 @@
 from collections import defaultdict
 from math import inf, isinf
 
-from rigs.scale_plot import picture
+from rigs.scale_plot import plot_in_force
 from rigs.scale_verdict import (
-    count_mixed,
-    count_went_back,
-    finite,
-    judge_ends,
+    check_final_state,
+    count_content_mismatches,
+    count_version_regressions,
     last_in_force,
     logs_of,
-    share,
+    quantile,
+    rounded_or_none,
     times_in_force,
 )
 from thistlelever.distribution.versions import parse
 
 # What a front may spend on control, and how long a change may take to be in force: the operators' figures.
-MOST_CONTROL_CORE, MOST_CONTROL_MB, MOST_CONTROL_BYTES_S = 0.049, 32.0, 18_000
-MOST_IN_FORCE_S = 9.0
+MAX_CONTROL_CORE, MAX_CONTROL_MB, MAX_CONTROL_BYTES_S = 0.049, 32.0, 18_000
+MAX_IN_FORCE_S = 9.0
 # How many connections a front may open in a mass restart, and how many in one second, on average. With
 # backoff and jitter it is about two, as each whole subset that is not admitted costs one more.
-MOST_CONNECTIONS_EACH, MOST_CONNECTIONS_PEAK = 3.5, 2.5
+MAX_CONNECTIONS_EACH, MAX_CONNECTIONS_PEAK = 3.5, 2.5
 
 
-def steady_figures(yard, real, empty, first, steady):
+def steady_figures(deployment, real, empty, first, steady):
     """What a front and a distributor cost where nothing is wrong."""
     before, after, cores = steady
-    hollow_mb, real_mb = hollow_memory(yard, first, empty[0]), real_memory(real)
+    hollow_mb, real_mb = hollow_memory(deployment, first, empty[0]), real_memory(real)
     seconds = after[0]["at"] - before[0]["at"]
     bytes_s = [
-        (all_bytes(b) - all_bytes(a)) / seconds
+        (total_bytes(b) - total_bytes(a)) / seconds
         for was, now in zip(before, after, strict=True)
         for a, b in zip(was["counts"], now["counts"], strict=True)
     ]
     return {
-        "control_core": round(hollow_cores(yard, before, after, empty[1]), 6),
+        "control_core": round(hollow_cores(deployment, before, after, empty[1]), 6),
         # A hollow front shares its modules with others of its process: the dearer of both counts.
         "control_mb": round(max(hollow_mb, real_mb), 3),
         "control_bytes_s": round(max(bytes_s)),
         "control_bytes_s_mean": round(sum(bytes_s) / len(bytes_s)),
         "steady_s": round(seconds, 1),
         "distributor_core": round(max(cores.values()), 4),
-        "snapshot_bytes": mean_first_list(first),
+        "snapshot_bytes": mean_first_list_bytes(first),
     }
 
 
-def comparison_figures(yard, real, empty, compared, directory_core):
+def comparison_figures(deployment, real, empty, compared, directory_core):
     """A hollow front beside a real one, while every front has changes to take in."""
     before, after, real_cores = compared
-    hollow_core = hollow_cores(yard, before, after, empty[1])
+    hollow_core = hollow_cores(deployment, before, after, empty[1])
     with_on, with_off = sum(real_cores[:-1]) / len(real_cores[:-1]), real_cores[-1]
     # The front without distribution asks the directory instead, which is none of what the other does.
     real_core = with_on - (with_off - directory_core)
-    hollow_mb = hollow_memory(yard, compared[0], empty[0])
+    hollow_mb = hollow_memory(deployment, compared[0], empty[0])
     return {
         "hollow_to_real": {"cpu": ratio(hollow_core, real_core), "mb": ratio(hollow_mb, real_memory(real))},
         "compared": {
@@ -64,7 +64,7 @@
             "hollow_mb": round(hollow_mb, 3),
             "real_mb": round(real_memory(real), 3),
         },
-        "delta_bytes": mean_delta(before, after),
+        "delta_bytes": mean_delta_bytes(before, after),
     }
 
 
@@ -74,13 +74,13 @@
     return with_on - real.without.memory_mb()
 
 
-def mean_first_list(first):
+def mean_first_list_bytes(first):
     """What a front receives for its first list, in bytes."""
-    received = [counts["bytes_received"] for told in first for counts in told["counts"]]
+    received = [counts["bytes_received"] for reply in first for counts in reply["counts"]]
     return round(sum(received) / len(received))
 
 
-def mean_delta(before, after):
+def mean_delta_bytes(before, after):
     """What a front receives for one delta, in bytes, where few watches end without one."""
     grown = {"bytes_received": 0, "deltas": 0}
     for was, now in zip(before, after, strict=True):
@@ -94,58 +94,58 @@
     return round(hollow / real, 3) if real > 0 else None
 
 
-def hollow_cores(yard, before, after, idle):
+def hollow_cores(deployment, before, after, idle):
     """CPU of one hollow front, in cores, above that of an idle process; that of the dearest process."""
     cores = []
-    for hollow, was, now, rest in zip(yard.hollows, before, after, idle, strict=True):
+    for hollow, was, now, rest in zip(deployment.hollows, before, after, idle, strict=True):
         busy = (now["cpu"] - was["cpu"]) / (now["at"] - was["at"])
         cores.append((busy - rest) / len(hollow.fronts))
     return max(cores[:-1])
 
 
-def hollow_memory(yard, first, empty):
+def hollow_memory(deployment, first, empty):
     """Memory of one hollow front's control, in MB, above an empty front; that of the dearest process."""
     grown = [
         (now["memory_mb"] - was) / len(hollow.fronts)
-        for hollow, now, was in zip(yard.hollows, first, empty, strict=True)
+        for hollow, now, was in zip(deployment.hollows, first, empty, strict=True)
     ]
     return max(grown[:-1])
 
 
-def all_bytes(counts):
+def total_bytes(counts):
     return counts["bytes_received"] + counts["bytes_sent"]
 
 
-async def judged(yard, play, real, plot):
+async def final_figures(deployment, steps, real, plot):
     """The books against each other, after everything is whole again."""
-    await play.whole()
-    await play.settle("the end")
-    await ends_of_distributors(yard, play)
-    collected = await yard.each("collect")
-    holdings = [one for told in await yard.each("holdings") for one in told]
+    await steps.whole()
+    await steps.settle("the end")
+    await check_distributors(deployment, steps)
+    collected = await deployment.each("collect")
+    holdings = [one for reply in await deployment.each("holdings") for one in reply]
     answers, returned = await real.answers()
-    logs = logs_of(yard.hollows, collected)
-    mixed, checked, content = count_mixed(logs, play.catalog, yard.subset)
-    times = times_in_force(logs, play.catalog, play.excuses)
+    logs = logs_of(deployment.hollows, collected)
+    mixed, checked, content = count_content_mismatches(logs, steps.catalog, deployment.subset)
+    times = times_in_force(logs, steps.catalog, steps.outages)
     figures = in_force_figures(times) | {"last_in_force": last_in_force(times, logs)}
     if plot:
-        picture(times, plot, yard.seed)
-    figures |= judge_ends(holdings, play.catalog, content, logs)
-    figures |= {"went_back": count_went_back(logs), "mixed": mixed, "checked": checked}
-    figures |= {"log_entries_left_out": sum(told["left_out"] for told in collected)}
-    figures["relayed_fronts"] = sum(len(hollow.fronts) for hollow in yard.relayed)
-    figures |= {"answers": answers, "returned": returned, "changes": len(play.catalog.publications)}
-    figures["unconfirmed"] = play.unconfirmed
-    return play.figures | figures
+        plot_in_force(times, plot, deployment.seed)
+    figures |= check_final_state(holdings, steps.catalog, content, logs)
+    figures |= {"went_back": count_version_regressions(logs), "mixed": mixed, "checked": checked}
+    figures |= {"log_entries_left_out": sum(reply["left_out"] for reply in collected)}
+    figures["relayed_fronts"] = sum(len(hollow.fronts) for hollow in deployment.relayed)
+    figures |= {"answers": answers, "returned": returned, "changes": len(steps.catalog.publications)}
+    figures["unconfirmed"] = steps.unconfirmed
+    return steps.figures | figures
 
 
-async def ends_of_distributors(yard, play):
+async def check_distributors(deployment, steps):
     """Every distributor holds the newest version, with the book's digest."""
-    digest = f"{play.catalog.digest():032x}"
-    for distributor in yard.tier.distributors:
+    digest = f"{steps.catalog.digest():032x}"
+    for distributor in deployment.tier.distributors:
         status = await distributor.status()
-        if parse(status["version"]) != play.catalog.version or status["digest"] != digest:
-            play.breaks(f"a distributor holds something else at the end: {status['version']}")
+        if parse(status["version"]) != steps.catalog.version or status["digest"] != digest:
+            steps.record_violation(f"a distributor holds something else at the end: {status['version']}")
 
 
 def in_force_figures(times):
@@ -155,21 +155,21 @@
     for one in times:
         longest[one.step] = max(longest[one.step], one.seconds)
     return {
-        "in_force_p50_s": finite(share(seconds, 0.5)),
-        "in_force_p99_s": finite(share(seconds, 0.99)),
-        "in_force_max_s": finite(seconds[-1] if seconds else inf),
+        "in_force_p50_s": rounded_or_none(quantile(seconds, 0.5)),
+        "in_force_p99_s": rounded_or_none(quantile(seconds, 0.99)),
+        "in_force_max_s": rounded_or_none(seconds[-1] if seconds else inf),
         "in_force_never": sum(map(isinf, seconds)),
-        "in_force_max_by_step_s": {step: finite(found) for step, found in longest.items()},
+        "in_force_max_by_step_s": {step: rounded_or_none(found) for step, found in longest.items()},
     }
 
 
 def broken_rules(figures):
     """Each rule that the figures break, by name."""
     limits = (
-        ("control_core", MOST_CONTROL_CORE, "a front's CPU for control"),
-        ("control_mb", MOST_CONTROL_MB, "a front's memory for control"),
-        ("control_bytes_s", MOST_CONTROL_BYTES_S, "a front's bytes for control"),
-        ("in_force_max_s", MOST_IN_FORCE_S, "a change in force everywhere"),
+        ("control_core", MAX_CONTROL_CORE, "a front's CPU for control"),
+        ("control_mb", MAX_CONTROL_MB, "a front's memory for control"),
+        ("control_bytes_s", MAX_CONTROL_BYTES_S, "a front's bytes for control"),
+        ("in_force_max_s", MAX_IN_FORCE_S, "a change in force everywhere"),
     )
     broken = [
         f"{rule} over {limit:g}"
@@ -191,7 +191,7 @@
     if not figures["answers"]["1"]:
         broken.append("the real fronts answered nothing")
     relayed = figures["relayed_fronts"]
-    each, peak = MOST_CONNECTIONS_EACH * relayed, MOST_CONNECTIONS_PEAK * relayed
+    each, peak = MAX_CONNECTIONS_EACH * relayed, MAX_CONNECTIONS_PEAK * relayed
     if figures.get("restart_connections", 0) > each or figures.get("restart_peak_per_s", 0) > peak:
         broken.append("a mass restart without backoff")
     return broken
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -1,4 +1,4 @@
-"""A hollow front's parts, put together as `serve` puts them together: decisions, list, subscription. The one
+"""A hollow front's front, put together as `serve` puts them together: decisions, list, subscription. The one
 place of the scale rig that knows the product's own constructors."""
 
 import os
@@ -31,7 +31,7 @@
     seed: int
 
 
-class Parts(NamedTuple):
+class EmptyFront(NamedTuple):
     """What a front without clients consists of before it hears of any engine."""
 
     registry: EngineRegistry
@@ -59,7 +59,7 @@
 CONFIGS = {}
 
 
-def config_of(place, zones, fronts):
+def configuration_of(place, zones, fronts):
     """A front's configuration; read once for each zone, as hollow fronts share what never changes."""
     if place.zone not in CONFIGS:
         told = configuration(settings=settings(zones, place.zone, fronts))
@@ -68,15 +68,15 @@
     return CONFIGS[place.zone]
 
 
-def empty_front(place, zones, fronts):
+def make_empty_front(place, zones, fronts):
     """A front with its decisions and an empty list."""
-    read = config_of(place, zones, fronts)
+    read = configuration_of(place, zones, fronts)
     metrics, log = Metrics(), Log(place.name, LOG_SINK)
     decisions = DecisionLoop(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
-    return Parts(EngineRegistry(), decisions, metrics, log, read)
+    return EmptyFront(EngineRegistry(), decisions, metrics, log, read)
 
 
-def control_of(parts, place, terms):
+def make_subscription(front, place, terms):
     """A subscription to the distributors and the list that it keeps."""
     distributors = tuple((host, port) for host, port in terms["distributors"])
     subscription_terms = SubscriptionTerms(
@@ -84,6 +84,6 @@
     )
     front_place = FrontIdentity(place.name, place.zone, place.rank, place.zone_rank)
     subscription = Subscription(subscription_terms, front_place, (), False, lambda listing: None)
-    names = KnownNames(parts.config.zones, parts.config.kinds)
-    SubscribedList(subscription, parts.registry, lambda engine: None, parts.decisions, names)
+    names = KnownNames(front.config.zones, front.config.kinds)
+    SubscribedList(subscription, front.registry, lambda engine: None, front.decisions, names)
     return subscription
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -12,15 +12,15 @@
 from time import monotonic, process_time
 
 from rigs.loop_lag import LoopLag
-from rigs.scale_child import commands
-from rigs.scale_front import HollowPlace, control_of, empty_front
+from rigs.scale_child import serve_commands
+from rigs.scale_front import HollowPlace, make_empty_front, make_subscription
 from thistlelever.carrier.directory import DirectoryClient
 from thistlelever.distribution.records import digest_of
 from thistlelever.distribution.versions import NO_VERSION
 from thistlelever.store.engine_registry import EngineRegistry
 
 # The log keeps at most so many entries, so that it is no large part of what is measured.
-MOST_ENTRIES = 400_000
+MAX_LOG_ENTRIES = 400_000
 
 
 class VersionLog:
@@ -34,7 +34,7 @@
         self.left_out = 0
 
     def add(self, front, life, version, digest):
-        if len(self.fronts) >= MOST_ENTRIES:
+        if len(self.fronts) >= MAX_LOG_ENTRIES:
             self.left_out += 1
             return
         number = self.digest_numbers.setdefault(digest, len(self.digests))
@@ -46,7 +46,7 @@
         self.moments.append(monotonic())
         self.digest_of_entry.append(number)
 
-    def told(self):
+    def columns(self):
         return {
             "fronts": self.fronts.tolist(),
             "lives": self.lives.tolist(),
@@ -64,16 +64,16 @@
     def __init__(self, host, number, place):
         self.host, self.number, self.place = host, number, place
         self.life, self.started_at, self.ready_at = 0, 0.0, 0.0
-        self.parts = empty_front(place, host.zones, host.fronts_in_all)
+        self.components = make_empty_front(place, host.zones, host.total_fronts)
         self.subscription, self.task = None, None
 
     def start(self):
         self.life += 1
         self.started_at, self.ready_at = monotonic(), 0.0
-        self.subscription = control_of(self.parts, self.place, self.host.terms)
-        recorded(self.subscription.replica, self)
+        self.subscription = make_subscription(self.components, self.place, self.host.terms)
+        log_versions(self.subscription.replica, self)
         self.task = asyncio.create_task(self.subscription.run())
-        self.task.add_done_callback(failed)
+        self.task.add_done_callback(abort_on_failure)
 
     async def stop(self):
         if self.task:
@@ -85,10 +85,10 @@
     async def restart(self):
         """As a process that was killed and started: nothing of its memory stays."""
         await self.stop()
-        self.parts = empty_front(self.place, self.host.zones, self.host.fronts_in_all)
+        self.components = make_empty_front(self.place, self.host.zones, self.host.total_fronts)
         self.start()
 
-    def held(self, version, digest):
+    def version_changed(self, version, digest):
         if not self.ready_at:
             self.ready_at = monotonic()
         self.host.log.add(self.number, self.life, version, digest)
@@ -108,7 +108,7 @@
     def holding(self):
         """What it holds at the end; the digest is worked out anew from its records."""
         replica = self.subscription.replica
-        registry = self.parts.registry
+        registry = self.components.registry
         listed = {
             name.decode(): "{}:{}".format(*entry.address)
             for name, entry in registry.entries.items()
@@ -126,14 +126,14 @@
         }
 
 
-def failed(task):
+def abort_on_failure(task):
     """A subscription never ends by itself: one that fails takes the process with it."""
     if not task.cancelled() and (error := task.exception()):
         traceback.print_exception(error)
         os._exit(1)
 
 
-def recorded(replica, front):
+def log_versions(replica, front):
     """Have every change of what the replica holds written into the log."""
     receive = replica.receive
 
@@ -141,7 +141,7 @@
         before = replica.version, replica.digest
         outcome = receive(update)
         if (replica.version, replica.digest) != before:
-            front.held(replica.version, replica.digest)
+            front.version_changed(replica.version, replica.digest)
         return outcome
 
     replica.receive = receive_and_log
@@ -153,11 +153,11 @@
     def __init__(self):
         self.fronts, self.log = [], VersionLog()
         self.lag = LoopLag()
-        self.zones, self.fronts_in_all, self.terms = (), 0, None
+        self.zones, self.total_fronts, self.terms = (), 0, None
 
     async def make(self, fronts, zones, fronts_in_all, seed, terms):
         """Empty fronts: decisions and an empty list, no subscription."""
-        self.zones, self.fronts_in_all, self.terms = tuple(zones), fronts_in_all, terms
+        self.zones, self.total_fronts, self.terms = tuple(zones), fronts_in_all, terms
         places = [HollowPlace(seed=seed + front["rank"], **front) for front in fronts]
         self.fronts = [HollowFront(self, number, place) for number, place in enumerate(places)]
         await self.freeze()
@@ -205,11 +205,11 @@
     async def inquire(self, count, port, zones, seconds):
         """What asking the directory at today's pace costs one front, in cores: so many ask for so long."""
         place = HollowPlace(name="front-dns", zone=zones[0], rank=0, zone_rank=0, seed=1)
-        parts = empty_front(place, tuple(zones), 1)
-        names = parts.config.zones, parts.config.kinds
+        front = make_empty_front(place, tuple(zones), 1)
+        names = front.config.zones, front.config.kinds
         clients = [
             DirectoryClient(
-                EngineRegistry(), lambda engine: None, parts.decisions, parts.metrics, *names, seed=number
+                EngineRegistry(), lambda engine: None, front.decisions, front.metrics, *names, seed=number
             )
             for number in range(count)
         ]
@@ -224,7 +224,7 @@
         return core
 
     async def collect(self):
-        return self.log.told() | {"lags": self.lag.kept}
+        return self.log.columns() | {"lags": self.lag.kept}
 
     async def holdings(self):
         return [front.holding() for front in self.fronts]
@@ -234,7 +234,7 @@
     host = Host()
     watching = asyncio.create_task(host.lag.run())
     names = "make freeze subscribe restart ready_after lowest measure inquire collect holdings"
-    await commands({name: getattr(host, name) for name in names.split()})
+    await serve_commands({name: getattr(host, name) for name in names.split()})
     watching.cancel()
 
 
--- a/rigs/scale_plot.py
+++ b/rigs/scale_plot.py
@@ -4,10 +4,10 @@
 from math import isinf
 from pathlib import Path
 
-LIMIT_S = 9.0
+IN_FORCE_LIMIT_S = 9.0
 
 
-def picture(times, folder, seed):
+def plot_in_force(times, folder, seed):
     """For each step the share of (change, front) that was in force by a time, with the limit as a line."""
     import matplotlib
 
@@ -23,7 +23,7 @@
         found.sort()
         shares = [(place + 1) / len(found) for place in range(len(found))]
         axes.plot(found, shares, label=step, linewidth=1)
-    axes.axvline(LIMIT_S, color="black", linestyle="--", label="limit")
+    axes.axvline(IN_FORCE_LIMIT_S, color="black", linestyle="--", label="limit")
     axes.set_xlabel("seconds from the publish call until a front held the change")
     axes.set_ylabel("share of changes and fronts")
     axes.legend(fontsize=7, loc="lower right")
--- a/rigs/scale_real.py
+++ b/rigs/scale_real.py
@@ -9,21 +9,21 @@
 from rigs.fleet import Client
 from rigs.scale_child import Child, cpu_seconds, memory_mb
 from rigs.scale_front import settings
+from thistlelever.standins.configuration import configuration
 from thistlelever.standins.directory import Directory
 from thistlelever.standins.http_engine import Engine
-from thistlelever.standins.configuration import configuration
 
 CLIENT_EVERY_S, CLIENT_WAIT_MS = 0.05, 2_000
 ENGINES_WITHOUT = 4
 # How many ask the directory where that is measured.
-ASKERS = 10
+DIRECTORY_CLIENTS = 10
 
 
 class RealFront:
     """One `serve`, asked for what it takes of the machine."""
 
-    def __init__(self, place, folder, yard, distributors):
-        self.place, self.folder, self.yard = place, Path(folder), yard
+    def __init__(self, place, folder, deployment, distributors):
+        self.place, self.folder, self.deployment = place, Path(folder), deployment
         self.distributors = distributors
         self.child, self.directory, self.lives = None, None, 1
         self.host, self.port = "127.0.0.1", 0
@@ -49,7 +49,7 @@
         return {
             "distribution": {
                 "distributors": addresses,
-                "heartbeat_s": self.yard.size.heartbeat_s,
+                "heartbeat_s": self.deployment.size.heartbeat_s,
                 "zone_rank": self.place["zone_rank"],
             }
         }
@@ -61,19 +61,20 @@
             lambda: Directory(asyncio.Event()), local_addr=("127.0.0.1", 0)
         )
         self.directory.entries = {
-            name: (int(address.rpartition(":")[2]), False, self.yard.zones[0]) for name, address in entries
+            name: (int(address.rpartition(":")[2]), False, self.deployment.zones[0])
+            for name, address in entries
         }
-        told = settings(self.yard.zones, self.place["zone"], len(self.yard.fronts))
-        known = [(name, address, self.yard.zones[0]) for name, address in entries]
-        config = configuration(known, f"127.0.0.1:{self.directory.port}", told)
+        front_settings = settings(self.deployment.zones, self.place["zone"], len(self.deployment.fronts))
+        known = [(name, address, self.deployment.zones[0]) for name, address in entries]
+        config = configuration(known, f"127.0.0.1:{self.directory.port}", front_settings)
         config["settings"]["Rank"] = self.place["rank"]
         config["name"] = self.place["name"]
         config_path = self.folder / f"{self.place['name']}-{bool(self.distributors)}.json"
         config_path.write_text(json.dumps(config))
         operator = config_path.with_suffix(".operator.json")
         operator.write_text(json.dumps(self.operator()))
-        words = ("thistlelever", "serve", "--operator", str(operator))
-        self.child = Child(*words, environment={"BALANCER_CONFIG": str(config_path)})
+        arguments = ("thistlelever", "serve", "--operator", str(operator))
+        self.child = Child(*arguments, environment={"BALANCER_CONFIG": str(config_path)})
         await self.child.start()
         ready = next(line for line in self.child.log if line["event"] == "ready")
         self.host, self.port = ready["listen"]
@@ -89,8 +90,8 @@
 class RealFronts:
     """The real fronts with distribution, one without, and the engines that they reach."""
 
-    def __init__(self, yard, folder):
-        self.yard, self.folder = yard, folder
+    def __init__(self, deployment, folder):
+        self.deployment, self.folder = deployment, folder
         self.engines, self.fronts, self.without, self.clients = {}, [], None, []
 
     async def open_engines(self, names):
@@ -102,28 +103,28 @@
 
     async def start(self):
         """The fronts, after the distributors; measured once all of them are up."""
-        way = await self.yard.way("real", self.yard.relays[0])
-        places = self.yard.real_places
-        self.fronts = [RealFront(place, self.folder, self.yard, way) for place in places]
-        self.without = RealFront(places[0], self.folder, self.yard, None)
-        some = list(self.engines.items())[:ENGINES_WITHOUT]
-        entries = [(name, f"127.0.0.1:{engine.port}") for name, engine in some]
+        addresses = await self.deployment.distributor_addresses("real", self.deployment.relays[0])
+        places = self.deployment.real_places
+        self.fronts = [RealFront(place, self.folder, self.deployment, addresses) for place in places]
+        self.without = RealFront(places[0], self.folder, self.deployment, None)
+        chosen = list(self.engines.items())[:ENGINES_WITHOUT]
+        entries = [(name, f"127.0.0.1:{engine.port}") for name, engine in chosen]
         await asyncio.gather(*(front.start([]) for front in self.fronts), self.without.start(entries))
-        self.yard.real = [*self.fronts, self.without]
+        self.deployment.real = [*self.fronts, self.without]
 
     async def directory_core(self, seconds):
         """What asking the directory costs the front without distribution, in cores."""
-        asker = Child("rigs.scale_hollow")
-        await asker.start()
+        poller = Child("rigs.scale_hollow")
+        await poller.start()
         try:
-            port, zones = self.without.directory.port, self.yard.zones
-            return await asker.ask(
-                "inquire", count=ASKERS, port=port, zones=zones, seconds=max(seconds - 2.0, 1.0)
+            port, zones = self.without.directory.port, self.deployment.zones
+            return await poller.request(
+                "inquire", count=DIRECTORY_CLIENTS, port=port, zones=zones, seconds=max(seconds - 2.0, 1.0)
             )
         finally:
-            await asker.kill()
+            await poller.kill()
 
-    def traffic(self):
+    def start_clients(self):
         """A client at each real front with distribution."""
         for place, front in enumerate(self.fronts):
             front.place = place
@@ -132,15 +133,15 @@
     async def answers(self):
         """How often each query was answered, of those that are over."""
         now = asyncio.get_running_loop().time()
-        found = [0, 0, 0]
+        counts = [0, 0, 0]
         for client in self.clients:
             client.task.cancel()
         for client in self.clients:
-            for asked in client.asked:
-                if now - asked.at > CLIENT_WAIT_MS / 1e3 + 0.1:
-                    found[min(asked.answers, 2)] += 1
-        returned = sum(asked.what == "returned" for client in self.clients for asked in client.asked)
-        return {"0": found[0], "1": found[1], "2+": found[2]}, returned
+            for request in client.asked:
+                if now - request.at > CLIENT_WAIT_MS / 1e3 + 0.1:
+                    counts[min(request.answers, 2)] += 1
+        returned = sum(request.what == "returned" for client in self.clients for request in client.asked)
+        return {"0": counts[0], "1": counts[1], "2+": counts[2]}, returned
 
     async def close(self):
         for client in self.clients:
--- a/rigs/scale_sabotage.py
+++ b/rigs/scale_sabotage.py
@@ -33,11 +33,11 @@
     highest, open_session = Replica.highest, Sessions.open
     Replica.highest = lambda self: highest(self) if self.strict else NO_VERSION
 
-    def open_whatever_is_held(self, request):
+    def open_with_lower_version(self, request):
         version = min(request.version, self.catalog.version)
         return open_session(self, msgspec.structs.replace(request, version=version))
 
-    Sessions.open = open_whatever_is_held
+    Sessions.open = open_with_lower_version
 
 
 def hash_order():
--- a/rigs/scale_play.py
+++ b/rigs/scale_scenario.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import NamedTuple
 
-from rigs.scale_book import restart
+from rigs.scale_catalog import restart_changes
 from rigs.scale_tier import RefusedError
 from thistlelever.distribution.versions import parse
 
@@ -19,7 +19,7 @@
 CALL_FAILED = (RefusedError, OSError, TimeoutError, asyncio.IncompleteReadError)
 
 
-class Excuse(NamedTuple):
+class Outage(NamedTuple):
     """These fronts could not hear of a change from then till then: the clock of what was published meanwhile
     starts for them at the end of it."""
 
@@ -28,19 +28,19 @@
     till: float
 
 
-class Play:
+class Scenario:
     """Publishes changes for one run and keeps the book of them."""
 
-    def __init__(self, yard, catalog, chance):
-        self.yard, self.tier, self.catalog, self.chance = yard, yard.tier, catalog, chance
-        self.broken, self.excuses, self.figures = [], [], {}
-        self.moments = []
+    def __init__(self, deployment, catalog, chance):
+        self.deployment, self.tier, self.catalog, self.chance = deployment, deployment.tier, catalog, chance
+        self.broken, self.outages, self.figures = [], [], {}
+        self.step_durations = []
         self.number = 0
         # Changes that no majority of the distributors held by the time they were answered.
         self.unconfirmed = 0
         self.repairs = []
 
-    def breaks(self, rule):
+    def record_violation(self, rule):
         if rule not in self.broken:
             self.broken.append(rule)
 
@@ -49,7 +49,7 @@
         sent_at = monotonic()
         records = list(self.catalog.records.values())
         version = await self.tier.publisher.publish_whole(None, records)
-        self.catalog.take(version, sent_at, records, (), step)
+        self.catalog.record_publication(version, sent_at, records, (), step)
 
     async def publish(self, upserts, removals, step):
         """One change, which the publisher has to take."""
@@ -58,29 +58,29 @@
         try:
             version, confirmed = await self.tier.publisher.publish(expected, upserts, removals)
         except CALL_FAILED as error:
-            self.breaks(f"a sound change was not published during: {step} ({error!r})")
-            await self.find_out(sent_at, upserts, removals, step)
+            self.record_violation(f"a sound change was not published during: {step} ({error!r})")
+            await self.resolve_failed_publish(sent_at, upserts, removals, step)
             return
-        self.catalog.take(version, sent_at, upserts, removals, step)
+        self.catalog.record_publication(version, sent_at, upserts, removals, step)
         self.unconfirmed += not confirmed
 
-    async def find_out(self, sent_at, upserts, removals, step):
+    async def resolve_failed_publish(self, sent_at, upserts, removals, step):
         """A publish call failed: whether its change was made all the same."""
-        wanted = shown(self.catalog.digest_with(upserts, removals))
+        wanted = digest_text(self.catalog.digest_with(upserts, removals))
         try:
             status = await self.tier.publisher.status()
         except CALL_FAILED:
             return
         if status["digest"] == wanted:
-            self.catalog.take(parse(status["version"]), sent_at, upserts, removals, step)
+            self.catalog.record_publication(parse(status["version"]), sent_at, upserts, removals, step)
 
     def next_change(self, step):
         """One of the three changes of an engine's restart, in their order."""
         number, stage = divmod(self.number, 3)
         self.number += 1
         if stage == 0:
-            self.restarting = self.catalog.one("restart", step, number)
-        return restart(self.restarting, number)[stage]
+            self.restarting = self.catalog.choose_engine("restart", step, number)
+        return restart_changes(self.restarting, number)[stage]
 
     async def finish_restart(self, step):
         """An engine that is half-way through its restart comes back."""
@@ -93,15 +93,15 @@
             await self.publish(*self.next_change(step), step)
             await asyncio.sleep(every)
 
-    async def settle(self, step, but=(), within=IN_FORCE_LIMIT_S):
+    async def settle(self, step, excluding=(), within=IN_FORCE_LIMIT_S):
         """Until the newest version is in force at every front that can hear of it."""
-        took = await self.yard.settle(self.catalog.version, within, but)
+        took = await self.deployment.settle(self.catalog.version, within, excluding)
         if took is None:
-            self.breaks(f"fronts without the newest version {within:g} s after: {step}")
-            await self.describe(step, but)
+            self.record_violation(f"fronts without the newest version {within:g} s after: {step}")
+            await self.describe(step, excluding)
         return took
 
-    async def describe(self, step, but):
+    async def describe(self, step, excluding):
         """What distributors and late fronts say of themselves, on standard error."""
         print(f"not in force after {step}: {self.catalog.version}", file=sys.stderr)
         for distributor in self.tier.distributors:
@@ -114,15 +114,15 @@
             print(json.dumps(status | {"lagging": len(status["lagging"])}), file=sys.stderr)
             for line in distributor.child.log[-LINES_SHOWN:]:
                 print(f"  {json.dumps(line)}", file=sys.stderr)
-        for hollow in self.yard.hollows:
-            holdings = [] if hollow in but else await hollow.child.ask("holdings")
+        for hollow in self.deployment.hollows:
+            holdings = [] if hollow in excluding else await hollow.child.request("holdings")
             late = [one for one in holdings if one["version"] != str(self.catalog.version)]
             for front in late[:LINES_SHOWN]:
                 del front["engines"]
                 print(json.dumps(front), file=sys.stderr)
 
-    def excuse(self, names, since):
-        self.excuses.append(Excuse(frozenset(names), since, monotonic()))
+    def record_outage(self, names, since):
+        self.outages.append(Outage(frozenset(names), since, monotonic()))
 
     async def promote(self, distributor, in_flight, step):
         """Another becomes the publisher. What was acknowledged has to be there; `in_flight`, a change whose
@@ -132,28 +132,28 @@
         while True:
             try:
                 await distributor.promote()
-                status = await self.tier.until(distributor, lambda told: told["role"] == "publisher", 5.0)
+                status = await self.tier.until(distributor, lambda reply: reply["role"] == "publisher", 5.0)
                 break
             except CALL_FAILED as error:
                 if monotonic() > till:
-                    self.breaks(f"nobody could be promoted during: {step} ({error!r})")
+                    self.record_violation(f"nobody could be promoted during: {step} ({error!r})")
                     return
                 await asyncio.sleep(0.2)
         self.tier.publisher = distributor
-        await self.take_over(status, sent_at, in_flight, step)
+        await self.record_takeover(status, sent_at, in_flight, step)
 
-    async def take_over(self, status, sent_at, in_flight, step):
+    async def record_takeover(self, status, sent_at, in_flight, step):
         """Into the book: which content the new publisher begins with."""
         version, digest = status["version"], status["digest"]
-        if digest == shown(self.catalog.digest()):
-            self.catalog.take(parse(version), sent_at, (), (), step, measured=False)
-        elif in_flight and digest == shown(self.catalog.digest_with(*in_flight)):
-            self.catalog.take(parse(version), sent_at, *in_flight, step, measured=False)
+        if digest == digest_text(self.catalog.digest()):
+            self.catalog.record_publication(parse(version), sent_at, (), (), step, measured=False)
+        elif in_flight and digest == digest_text(self.catalog.digest_with(*in_flight)):
+            self.catalog.record_publication(parse(version), sent_at, *in_flight, step, measured=False)
         else:
-            self.breaks(f"an acknowledged change was lost during: {step}")
-            self.catalog.take(parse(version), sent_at, (), (), step, measured=False)
+            self.record_violation(f"an acknowledged change was lost during: {step}")
+            self.catalog.record_publication(parse(version), sent_at, (), (), step, measured=False)
 
 
-def shown(digest):
+def digest_text(digest):
     """A digest as distributors write it."""
     return f"{digest:032x}"
--- a/rigs/scale_steps.py
+++ b/rigs/scale_steps.py
@@ -4,8 +4,8 @@
 import signal
 from time import monotonic
 
-from rigs.scale_book import STARTED
-from rigs.scale_play import CALL_FAILED, Play
+from rigs.scale_catalog import STARTED
+from rigs.scale_scenario import CALL_FAILED, Scenario
 from thistlelever.distribution.versions import parse
 
 # The operators' 5,000 restarts a day are 0.17 changes a second; here it is faster.
@@ -18,31 +18,33 @@
 STOPPED_S = 1.0
 CUT_S = 1.5
 # Each engine changes once while hollow and real fronts are compared, in so many changes of at most so many.
-COMPARED_CHANGES, COMPARED_EVERY_S, MOST_CHANGED = 12, 0.35, 4_000
+COMPARISON_CHANGES, COMPARISON_EVERY_S, MAX_CHANGED_ENGINES = 12, 0.35, 4_000
 # The moment between a change sent and a process killed.
-MIDDLE_S = 0.002
+CHANGE_UNDER_WAY_S = 0.002
 # What a publisher that is broken meanwhile may take to answer all the same.
 ANSWER_WITHIN_S = 0.5
 
 
-class Steps(Play):
+class Steps(Scenario):
     """Everything that may befall a yard, each under its name."""
 
     async def steady(self, seconds):
         """What it costs where nothing is wrong: measured before and after."""
-        before, spent, began = await self.yard.measure(), self.yard.distributor_cpu(), monotonic()
+        before, spent, began = await self.deployment.measure(), self.deployment.distributor_cpu(), monotonic()
         await self.changes(int(seconds / STEADY_EVERY_S), STEADY_EVERY_S, "steady state")
-        after, took = await self.yard.measure(), monotonic() - began
-        cores = {index: (cpu - spent[index]) / took for index, cpu in self.yard.distributor_cpu().items()}
+        after, took = await self.deployment.measure(), monotonic() - began
+        cores = {
+            index: (cpu - spent[index]) / took for index, cpu in self.deployment.distributor_cpu().items()
+        }
         await self.finish_restart("steady state")
         await self.settle("steady state")
         return before, after, cores
 
     async def zone_lost(self):
         """All engines of a zone in one change, and back in one."""
-        zones = self.yard.zones
+        zones = self.deployment.zones
         zone = zones[self.chance.below(len(zones), "zone lost")]
-        lost = self.catalog.of_zone(zone)
+        lost = self.catalog.engines_of_zone(zone)
         await self.publish((), [record.id for record in lost], "zone lost")
         await self.settle("zone lost")
         back = [record._replace(started=record.started + 60.0) for record in lost]
@@ -51,29 +53,31 @@
 
     async def burst(self):
         """Changes faster than they spread, and more than are kept: some fronts sleep through all of them."""
-        sleepers, since = self.yard.sleepers, monotonic()
-        sleepers.child.signal(signal.SIGSTOP)
+        suspended, since = self.deployment.suspended, monotonic()
+        suspended.child.signal(signal.SIGSTOP)
         await self.changes(BURST_CHANGES, BURST_EVERY_S, "burst")
         await self.finish_restart("burst")
-        await self.settle("burst", but=(sleepers,))
-        sleepers.child.signal(signal.SIGCONT)
-        self.excuse(sleepers.names, since)
+        await self.settle("burst", excluding=(suspended,))
+        suspended.child.signal(signal.SIGCONT)
+        self.record_outage(suspended.names, since)
         await self.settle("fronts woken")
 
     async def comparison(self):
         """Changes that concern every front: what a hollow front and a real one spend on them, in cores."""
-        began, before = monotonic(), await self.yard.measure()
-        real_before = [front.cpu() for front in self.yard.real]
-        for round_number in range(COMPARED_CHANGES):
+        began, before = monotonic(), await self.deployment.measure()
+        real_before = [front.cpu() for front in self.deployment.real]
+        for round_number in range(COMPARISON_CHANGES):
             changed = [
                 record._replace(weight=record.weight + 1.0)
                 for number, record in enumerate(self.catalog.records.values())
-                if number % COMPARED_CHANGES == round_number
+                if number % COMPARISON_CHANGES == round_number
             ]
-            await self.publish(changed[:MOST_CHANGED], (), "comparison")
-            await asyncio.sleep(COMPARED_EVERY_S)
-        took, after = monotonic() - began, await self.yard.measure()
-        real = [(front.cpu() - cpu) / took for front, cpu in zip(self.yard.real, real_before, strict=True)]
+            await self.publish(changed[:MAX_CHANGED_ENGINES], (), "comparison")
+            await asyncio.sleep(COMPARISON_EVERY_S)
+        took, after = monotonic() - began, await self.deployment.measure()
+        real = [
+            (front.cpu() - cpu) / took for front, cpu in zip(self.deployment.real, real_before, strict=True)
+        ]
         await self.settle("comparison")
         return before, after, real
 
@@ -97,7 +101,7 @@
         await self.whole()
         victim = self.other_distributor("killed")
         change = asyncio.create_task(self.changes(3, 0.05, "distributor killed"))
-        await asyncio.sleep(MIDDLE_S)
+        await asyncio.sleep(CHANGE_UNDER_WAY_S)
         await victim.kill()
         await change
         await self.settle("distributor killed")
@@ -108,28 +112,28 @@
         await self.whole()
         victim = self.other_distributor("stopped")
         change = asyncio.create_task(self.changes(3, 0.05, "distributor stopped"))
-        await asyncio.sleep(MIDDLE_S)
+        await asyncio.sleep(CHANGE_UNDER_WAY_S)
         victim.signal(signal.SIGSTOP)
         await change
-        await asyncio.sleep(self.yard.size.heartbeat_s + STOPPED_S)
+        await asyncio.sleep(self.deployment.size.heartbeat_s + STOPPED_S)
         await self.changes(1, 0.0, "distributor stopped")
         victim.signal(signal.SIGCONT)
         await self.finish_restart("distributor stopped")
         await self.settle("distributor stopped")
 
-    async def in_flight(self, publisher, step):
+    async def start_change(self, publisher, step):
         """A change under way while its publisher is broken; what became of it, and the change."""
         change = self.next_change(step)
         sent_at, expected = monotonic(), self.catalog.version
         task = asyncio.create_task(publisher.publish(expected, *change))
-        await asyncio.sleep(MIDDLE_S * self.chance.share("in flight", step) * 2)
+        await asyncio.sleep(CHANGE_UNDER_WAY_S * self.chance.share("in flight", step) * 2)
         return change, sent_at, task
 
-    async def broken_publisher(self, step, break_it):
+    async def break_publisher(self, step, break_it):
         """The publisher breaks with a change under way, and another takes its role."""
         await self.whole()
-        former, heir = self.tier.publisher, self.other_distributor(f"{step} heir")
-        change, sent_at, task = await self.in_flight(former, step)
+        former, successor = self.tier.publisher, self.other_distributor(f"{step} heir")
+        change, sent_at, task = await self.start_change(former, step)
         await break_it(former)
         unknown = change
         try:
@@ -137,17 +141,17 @@
         except CALL_FAILED:
             confirmed = False
         if confirmed:
-            self.catalog.take(version, sent_at, *change, step)
+            self.catalog.record_publication(version, sent_at, *change, step)
             unknown = None
         else:
-            self.catalog.may_be(next_version(self.catalog.version), *change)
-        await self.promote(heir, unknown, step)
+            self.catalog.add_unacknowledged(next_version(self.catalog.version), *change)
+        await self.promote(successor, unknown, step)
         await self.finish_restart(step)
         await self.changes(3, 0.05, step)
         return former
 
     async def publisher_killed(self):
-        former = await self.broken_publisher("publisher killed", lambda one: one.kill())
+        former = await self.break_publisher("publisher killed", lambda one: one.kill())
         await self.settle("publisher killed")
         await self.restore(former)
 
@@ -158,114 +162,116 @@
             distributor.signal(signal.SIGSTOP)
 
         step, version = "publisher stopped", self.catalog.version
-        former = await self.broken_publisher(step, stop)
+        former = await self.break_publisher(step, stop)
         former.signal(signal.SIGCONT)
-        upserts = [self.catalog.one(step)._replace(draining=True)]
-        self.note_rival(version, upserts)
+        upserts = [self.catalog.choose_engine(step)._replace(draining=True)]
+        self.record_rival_changes(version, upserts)
         try:
             _, confirmed = await former.publish(None, upserts, ())
         except CALL_FAILED:
             confirmed = False
         if confirmed:
-            self.breaks("two publishers: one whose term was over acknowledged a change")
+            self.record_violation("two publishers: one whose term was over acknowledged a change")
         await self.settle(step)
 
-    def note_rival(self, version, upserts):
+    def record_rival_changes(self, version, upserts):
         """What the former publisher may make of a change, behind or beside the one that was under way."""
         following = next_version(version)
         under_way = list(self.catalog.unacknowledged[following])
-        self.catalog.may_be(following, upserts, ())
+        self.catalog.add_unacknowledged(following, upserts, ())
         for first_upserts, first_removals in under_way:
             removals = [one for one in first_removals if one != upserts[0].id]
-            self.catalog.may_be(next_version(following), (*first_upserts, *upserts), removals)
-        self.catalog.may_be(next_version(following), upserts, ())
+            self.catalog.add_unacknowledged(next_version(following), (*first_upserts, *upserts), removals)
+        self.catalog.add_unacknowledged(next_version(following), upserts, ())
 
     async def loss(self):
         """Of what distributors answer a share is lost: reset, or silence."""
-        await self.yard.each_relay("lose", share=LOSS_SHARE)
+        await self.deployment.each_relay("lose", share=LOSS_SHARE)
         await self.changes(LOSS_CHANGES, LOSS_EVERY_S, "loss")
         await self.finish_restart("loss")
         await self.settle("loss")
-        await self.yard.each_relay("lose", share=0.0)
+        await self.deployment.each_relay("lose", share=0.0)
 
     async def misrouted(self):
         """Of the answers a share is another front's delta."""
-        await self.yard.each_relay("misroute", share=MISROUTED_SHARE)
+        await self.deployment.each_relay("misroute", share=MISROUTED_SHARE)
         await self.changes(MISROUTED_CHANGES, BURST_EVERY_S, "misrouted")
-        await self.yard.each_relay("misroute", share=0.0)
+        await self.deployment.each_relay("misroute", share=0.0)
         await self.settle("misrouted")
 
     async def restarted(self, names, step):
         """These fronts at once; how long each took to its first list."""
         since = monotonic()
-        await self.yard.each("restart", names=names)
-        self.excuse(names, since)
+        await self.deployment.each("restart", names=names)
+        self.record_outage(names, since)
         await self.settle(step)
-        took = [seconds for told in await self.yard.each("ready_after", names=names) for seconds in told]
-        return [IN_FORCE_FAILED if seconds is None else seconds for seconds in took]
+        took = [
+            seconds for reply in await self.deployment.each("ready_after", names=names) for seconds in reply
+        ]
+        return [NEVER_READY_S if seconds is None else seconds for seconds in took]
 
     async def zone_restarted(self):
-        zone = self.yard.zones[self.chance.below(len(self.yard.zones), "zone restarted")]
-        names = [front["name"] for front in self.yard.hollow_fronts if front["zone"] == zone]
+        zone = self.deployment.zones[self.chance.below(len(self.deployment.zones), "zone restarted")]
+        names = [front["name"] for front in self.deployment.hollow_fronts if front["zone"] == zone]
         await self.publish(*self.next_change("zone restarted"), "zone restarted")
         await self.restarted(names, "zone restarted")
         await self.finish_restart("zone restarted")
 
     async def all_restarted(self):
         """Every hollow front at once; how hard they come at the distributors."""
-        names = [front["name"] for front in self.yard.hollow_fronts]
+        names = [front["name"] for front in self.deployment.hollow_fronts]
         since = monotonic()
         took = sorted(await self.restarted(names, "all restarted"))
-        counts = await self.yard.each_relay("counts", since=since, till=monotonic())
+        counts = await self.deployment.each_relay("counts", since=since, till=monotonic())
         self.figures["restart_ready_p90_s"] = round(took[int(len(took) * 0.9)], 3)
         self.figures["restart_connections"] = sum(one["opened"] for one in counts)
         self.figures["restart_peak_per_s"] = sum(one["peak_per_s"] for one in counts)
 
     async def held_by(self, hollow):
         """Some engine that some front of that process holds."""
-        holdings = await hollow.child.ask("holdings")
+        holdings = await hollow.child.request("holdings")
         holding = holdings[self.chance.below(len(holdings), "cut off front")]
         names = [engine for engine in holding["engines"] if engine in self.catalog.records]
         return self.catalog.records[names[self.chance.below(len(names), "cut off engine")]]
 
     async def cut_off(self):
         """Fronts cut off from every distributor while an engine goes and its address is another's."""
-        hollow = self.yard.hollows[0]
+        hollow = self.deployment.hollows[0]
         since = monotonic()
-        await hollow.relay.ask("cut", group=hollow.name)
+        await hollow.relay.request("cut", group=hollow.name)
         engine = await self.held_by(hollow)
         await self.publish([engine._replace(draining=True)], (), "cut off")
         await self.publish((), [engine.id], "cut off")
-        heir = engine._replace(id=f"{engine.id}-heir", cell=engine.cell + 1, started=STARTED * 1.01)
-        await self.publish([heir], (), "cut off")
+        replacement = engine._replace(id=f"{engine.id}-heir", cell=engine.cell + 1, started=STARTED * 1.01)
+        await self.publish([replacement], (), "cut off")
         await asyncio.sleep(CUT_S)
-        await hollow.relay.ask("heal", group=hollow.name)
-        self.excuse(hollow.names, since)
+        await hollow.relay.request("heal", group=hollow.name)
+        self.record_outage(hollow.names, since)
         await self.settle("cut off")
-        holdings = await hollow.child.ask("holdings")
+        holdings = await hollow.child.request("holdings")
         if any(engine.id in holding["engines"] or not holding["listed_as_held"] for holding in holdings):
-            self.breaks("an engine whose address is another's is held after word of it")
+            self.record_violation("an engine whose address is another's is held after word of it")
 
     async def island(self):
         """A distributor hears of no change, and another's fronts come to it with newer versions."""
         await self.whole()
-        relay, victim = self.yard.relays[0], self.other_distributor("island")
+        relay, victim = self.deployment.relays[0], self.other_distributor("island")
         island = self.tier.distributors[-1]
         if island is self.tier.publisher:
             return
-        await relay.ask("cut", group="island")
+        await relay.request("cut", group="island")
         await self.changes(3, 0.05, "distributor cut off")
         await asyncio.sleep(0.5)
         await victim.kill()
         await asyncio.sleep(CUT_S)
-        await relay.ask("heal", group="island")
+        await relay.request("heal", group="island")
         await self.finish_restart("distributor cut off")
         await self.settle("distributor cut off")
         await self.restore(victim)
 
 
 # Of a front that never became ready.
-IN_FORCE_FAILED = 99.0
+NEVER_READY_S = 99.0
 
 
 def next_version(version):
@@ -275,6 +281,6 @@
 
 async def versions_of(tier):
     """What each living distributor holds."""
-    living = [one for one in tier.distributors if one.child.lives]
+    living = [one for one in tier.distributors if one.child.running]
     statuses = await asyncio.gather(*(one.status() for one in living))
     return [(parse(status["version"]), status["digest"]) for status in statuses]
--- a/rigs/scale_tier.py
+++ b/rigs/scale_tier.py
@@ -41,14 +41,14 @@
         raise ConnectionError("no answer")
     status = int(headers.split(b" ", 2)[1])
     if b"transfer-encoding: chunked" in headers.lower():
-        content = unchunked(content)
+        content = decode_chunked(content)
     answer = json.loads(content) if content else {}
     if status not in (OK, ACCEPTED):
         raise RefusedError(status, answer.get("error", ""))
     return answer
 
 
-def unchunked(content):
+def decode_chunked(content):
     found = b""
     while content:
         size, _, content = content.partition(b"\r\n")
@@ -103,7 +103,7 @@
         """The version that was made of it, and whether a majority held it by the answer."""
         change = {
             "expected": str(expected) if expected else None,
-            "upserts": [words(record) for record in upserts],
+            "upserts": [published_fields(record) for record in upserts],
             "removals": list(removals),
         }
         answer = await call(self.address, "POST", "/v1/publish", change, PUBLISH_WITHIN)
@@ -112,7 +112,7 @@
     async def publish_whole(self, expected, records):
         whole = {
             "expected": str(expected) if expected else None,
-            "engines": [words(record) for record in records],
+            "engines": [published_fields(record) for record in records],
         }
         answer = await call(self.address, "POST", "/v1/publish", whole, 60.0)
         return parse(answer["version"])
@@ -121,11 +121,11 @@
         return await call(self.address, "POST", "/v1/promote", {})
 
 
-def words(record):
+def published_fields(record):
     """A record as it is published."""
-    told = record._asdict()
-    del told["in_subset"]
-    return told
+    fields = record._asdict()
+    del fields["in_subset"]
+    return fields
 
 
 class Tier:
@@ -160,7 +160,7 @@
     async def follow(self, version, within=10.0):
         """Until every distributor that lives holds that version."""
         for distributor in self.distributors:
-            if distributor.child.lives:
+            if distributor.child.running:
                 await self.until(distributor, lambda s: parse(s["version"]) >= version, within)
 
     async def close(self):
--- a/rigs/scale_verdict.py
+++ b/rigs/scale_verdict.py
@@ -15,14 +15,14 @@
 SAMPLE_EVERY = 16
 
 
-class Held:
+class FrontHistory:
     """What one front held since when: in order, as (life, version, moment, digest); and the lags of the
     process that it shares with others."""
 
     def __init__(self, place, process, lags):
         self.place, self.entries = place, []
         self.process, self.lags = process, lags
-        self.excuses = []
+        self.outages = []
 
 
 class InForce(NamedTuple):
@@ -38,17 +38,17 @@
 def logs_of(hollows, collected):
     """Each front's log by its name."""
     logs = {}
-    for hollow, told in zip(hollows, collected, strict=True):
+    for hollow, reply in zip(hollows, collected, strict=True):
         for front in hollow.fronts:
-            logs[front["name"]] = Held(FrontIdentity(**front), hollow.name, told["lags"])
-        columns = (told[key] for key in ("fronts", "lives", "versions", "moments", "digest_numbers"))
+            logs[front["name"]] = FrontHistory(FrontIdentity(**front), hollow.name, reply["lags"])
+        columns = (reply[key] for key in ("fronts", "lives", "versions", "moments", "digest_numbers"))
         for number, life, version, moment, digest in zip(*columns, strict=True):
             held = logs[hollow.fronts[number]["name"]]
-            held.entries.append((life, unpacked(version), moment, int(told["digests"][digest], 16)))
+            held.entries.append((life, unpacked(version), moment, int(reply["digests"][digest], 16)))
     return logs
 
 
-def count_went_back(logs):
+def count_version_regressions(logs):
     """How often a front went to a lower version within one life."""
     back = 0
     for held in logs.values():
@@ -99,7 +99,7 @@
     return found
 
 
-def count_mixed(logs, catalog, subset):
+def count_content_mismatches(logs, catalog, subset):
     """How often a front held at a version what is not that version's content for its place; versions that
     nobody published count too. Also the content at the end."""
     content, entries, mixed, checked = Content(subset), entries_by_version(logs), 0, 0
@@ -116,11 +116,11 @@
             if version.term not in terms:
                 # The first version of a term that was claimed and never came to a publication.
                 changes.append(((), ()))
-            mixed += unexplained(content, changes, held)
+            mixed += count_unexplained(content, changes, held)
     return mixed, checked, content
 
 
-def unexplained(content, changes, held):
+def count_unexplained(content, changes, held):
     """How many hold under a version without acknowledgement what none of the changes would give."""
     left = set(held)
     for upserts, removals in changes:
@@ -130,12 +130,12 @@
     return len(left)
 
 
-def times_in_force(logs, catalog, excuses):
+def times_in_force(logs, catalog, outages):
     """How long each measured change took at each front, from the call until it held that or a newer one."""
     first = catalog.publications[0].version
-    for excuse in excuses:
-        for name in excuse.fronts:
-            logs[name].excuses.append(excuse)
+    for outage in outages:
+        for name in outage.fronts:
+            logs[name].outages.append(outage)
     found = []
     measured = [p for p in catalog.publications if p.measured and p.version > first]
     for name, held in logs.items():
@@ -148,7 +148,7 @@
             at = bisect_right(highest, publication.version)
             at -= at > 0 and highest[at - 1] == publication.version
             held_at = moments[at] if at < len(moments) else inf
-            seconds = clock(held_at, publication, held)
+            seconds = propagation_seconds(held_at, publication, held)
             found.append(InForce(seconds, publication.step, name, publication.version, held_at))
     return found
 
@@ -170,28 +170,28 @@
         "front": last.front,
         "process": held.process,
         "process_lag_s": round(still, 3),
-        "first_s": finite(seconds[0]),
-        "half_s": finite(share(seconds, 0.5)),
-        "ninth_tenth_s": finite(share(seconds, 0.9)),
-        "last_s": finite(last.seconds),
+        "first_s": rounded_or_none(seconds[0]),
+        "half_s": rounded_or_none(quantile(seconds, 0.5)),
+        "ninth_tenth_s": rounded_or_none(quantile(seconds, 0.9)),
+        "last_s": rounded_or_none(last.seconds),
         "over_half_as_late": sum(one > last.seconds / 2 for one in seconds),
     }
 
 
-def finite(seconds):
+def rounded_or_none(seconds):
     return None if isinf(seconds) else round(seconds, 3)
 
 
-def clock(moment, publication, held):
+def propagation_seconds(moment, publication, held):
     """How long it took, from the end of what the front could not hear through."""
     start = publication.sent_at
-    for excuse in held.excuses:
-        if excuse.since <= moment and excuse.till > start and moment >= excuse.till:
-            start = excuse.till
+    for outage in held.outages:
+        if outage.since <= moment and outage.till > start and moment >= outage.till:
+            start = outage.till
     return max(moment - start, 0.0)
 
 
-def judge_ends(holdings, catalog, content, logs):
+def check_final_state(holdings, catalog, content, logs):
     """What each front holds at the end: differing ones by kind, and how often each engine is held."""
     version, load = str(catalog.version), dict.fromkeys(catalog.records, 0)
     found = {"versions_differ": 0, "subsets_differ": 0, "lists_differ": 0, "gone_held": 0}
@@ -209,6 +209,6 @@
     return found
 
 
-def share(values, part):
+def quantile(values, fraction):
     """The value that so large a part of the sorted values is below."""
-    return values[min(int(len(values) * part), len(values) - 1)] if values else inf
+    return values[min(int(len(values) * fraction), len(values) - 1)] if values else inf
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,10 +4,10 @@
 from math import inf
 
 import pytest
+from test_rigs import played
 
 from rigs.loop_lag import lag_between
-from rigs.scale_verdict import Held, InForce, last_in_force
-from test_rigs import played
+from rigs.scale_verdict import FrontHistory, InForce, last_in_force
 from thistlelever.distribution.versions import Version
 
 # Half the usual heartbeat, as most of the time goes by waiting for one.
@@ -50,7 +50,7 @@
     times = [in_force(1.0, "a", 2), in_force(9.5, "a", 3), in_force(0.5, "b", 3), in_force(2.0, "b", 2)]
     if never:
         times.append(in_force(inf, "c", 4))
-    logs = {name: Held(None, "hollow-0", [(105.0, 4.0)]) for name in "abc"}
+    logs = {name: FrontHistory(None, "hollow-0", [(105.0, 4.0)]) for name in "abc"}
     told = last_in_force(times, logs)
     if never:
         assert told["front"] == "c" and told["last_s"] is None and told["process_lag_s"] == 0.0
