--- a/rigs/publisher_loss.py
+++ b/rigs/publisher_loss.py
@@ -1,8 +1,8 @@
-"""Distributors whose publisher is killed or stopped again and again: how long until a change is confirmed by
-the next one, without a person.
+"""Automatic failover of the publisher: kills or stops it again and again, and measures the time until another
+distributor confirms a change.
 
 `python -m rigs.publisher_loss --seed 1 [--distributors 7] [--losses 6]`. Real processes on loopback. A loss
-is over when a publish at any other distributor is answered 200: a majority holds it.
+ends when another distributor answers a publish with 200, that is, a majority holds the change.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 def engine(number, started=0.0):
-    """An engine as it is published."""
+    """The fields of an engine in a publish request."""
     return {
         "id": f"engine-{number:05}",
         "zone": f"zone-{number % 23:02}",
@@ -44,7 +44,7 @@
         self.folder, self.processes = Path(folder), {}
 
     async def start(self, index):
-        """One distributor, with its own store."""
+        """Starts one distributor with its own store."""
         addresses = [f"{HOST}:{port}" for port in self.ports]
         config = self.folder / f"{index}.json"
         settings = {
@@ -61,7 +61,7 @@
             self.processes[index] = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, stdout=log)
 
     async def call(self, index, method, path, body=None):
-        """Status and answer; status 0 where there is none."""
+        """One HTTP call to a distributor: status and answer, or (0, {}) without an answer."""
         data = None if body is None else json.dumps(body)
         url = f"http://{HOST}:{self.ports[index]}{path}"
         request = HTTPRequest(url, method, body=data, request_timeout=4.0)
@@ -71,11 +71,12 @@
         except (OSError, ValueError):
             return 0, {}
 
-    async def publish_anywhere(self, body, away=None, within=START_WITHIN_S):
-        """Publish at whichever distributor confirms it; its place, and None where none does in time."""
+    async def publish_anywhere(self, body, excluding=None, within=START_WITHIN_S):
+        """Tries the distributors in turn, without `excluding`, until one confirms the change; returns its
+        index, or None after `within` seconds."""
         till = monotonic() + within
         while monotonic() < till:
-            for index in (place for place in self.processes if place != away):
+            for index in (other for other in self.processes if other != excluding):
                 status, _ = await self.call(index, "POST", "/v1/publish", body)
                 if status == 200:
                     return index
@@ -83,7 +84,7 @@
         return None
 
     async def close(self):
-        """End every process; how many ended otherwise than by our word."""
+        """Terminates every process; returns how many had an exit code other than 0."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
@@ -92,7 +93,8 @@
 
 
 async def cause_loss(tier, chance, number, publisher):
-    """Kill or stop the publisher; who publishes next and how long that took, or None."""
+    """Kills or stops the publisher until another distributor has confirmed a change; returns the kind, the
+    indices of both (`next` is None where none confirmed it) and the seconds."""
     kind = "stopped" if chance.share("stopped", number) < 0.5 else "killed"
     began = monotonic()
     tier.processes[publisher].send_signal(signal.SIGSTOP if kind == "stopped" else signal.SIGKILL)
@@ -108,6 +110,7 @@
 
 
 async def run_rig(seed, distributors, losses):
+    """Runs the rig; returns the broken rules and the figures."""
     chance, records, broken = Chance(seed), [], []
     with tempfile.TemporaryDirectory() as folder:
         tier = Tier(distributors, folder)
--- a/rigs/scale.py
+++ b/rigs/scale.py
@@ -1,9 +1,10 @@
-"""Thousands of fronts before tens of thousands of engines: distributors, hollow fronts and a few real ones as
-processes on loopback; changes, a burst, a zone lost and back, deaths, stops, loss, cuts and mass restarts;
-then each front's log against the rig's own book.
+"""Distribution of the engine list to thousands of fronts. Runs distributors, hollow fronts (fronts without
+clients) and a few real fronts as processes on loopback; publishes changes and injects faults: a burst, a lost
+zone, killed and stopped distributors, lost answers, cut connections and mass restarts. Then compares the
+version log of each front with what was published.
 
-`python -m rigs.scale --seed 1` plays 300 hollow fronts and 2,000 engines in less than a minute; `--full`
-3,200 and 22,000. `--sabotage NAME` takes one guard out. The figures are explained in `docs/CAPACITY.md`.
+`python -m rigs.scale --seed 1` runs 300 hollow fronts and 2,000 engines in less than a minute; `--full`
+3,200 and 22,000. `--sabotage NAME` disables one safeguard. The figures are explained in `docs/CAPACITY.md`.
 """
 
 import asyncio
@@ -26,12 +27,12 @@
 from thistlelever.subsetting import FrontIdentity
 
 STEADY_S, STEADY_FULL_S, STEADY_SABOTAGED_S = 5.0, 20.0, 2.0
-# How long the front without distribution and what asks the directory in its stead are measured.
+# How long the CPU of directory polling is measured, with the front without distribution beside it.
 DIRECTORY_S = 3.0
 FIRST_LIST_WITHIN_S, SUBSCRIBE_EACH_S = 30.0, 0.005
-# Two steps in which the publisher breaks: one of them is played, both at the full size.
+# The steps in which the publisher fails: one of them runs, drawn by the seed; both at the full size.
 PUBLISHER_STEPS = ("publisher_killed", "publisher_stopped")
-# With a guard taken out, only the fault is played that it is there for.
+# With a safeguard disabled, only the fault runs that it protects against.
 FAULTS_OF_SABOTAGE = {
     "gap": ["misrouted"],
     "back": ["island"],
@@ -53,12 +54,12 @@
 
 
 def unused_addresses(count):
-    """An address of loopback for each engine, where nothing listens."""
+    """A loopback address for each engine, where nothing listens."""
     return [f"127.{64 + (n >> 14)}.{n >> 7 & 127}.{1 + (n & 127)}:9" for n in range(count)]
 
 
 def shuffled_faults(seed, full):
-    """The faults, shuffled by the seed."""
+    """The names of the faults to run, in an order drawn by the seed."""
     chance = Chance(seed)
     names = list(FAULTS)
     names += PUBLISHER_STEPS if full else [PUBLISHER_STEPS[chance.below(2, "publisher step")]]
@@ -69,7 +70,8 @@
 
 
 async def start_real_engines(deployment, catalog, real):
-    """Stand-ins for the engines that the real fronts hold first, under their addresses in the list."""
+    """Starts fake engines for those in the first subsets of the real fronts, and puts their addresses into
+    the catalog."""
     content = Content(deployment.subset)
     content.apply(catalog.records.values(), ())
     held = {engine for place in deployment.real_places for engine in content.subset(FrontIdentity(**place))}
@@ -78,11 +80,14 @@
 
 
 async def send_first_list(deployment, steps, real):
-    """The first list to every front; what an empty front is, and the bytes of a first list."""
+    """Publishes the first list and waits until every hollow front holds it; then starts the real fronts.
+    Returns memory and CPU of the empty processes, and the measurements of each process with its first
+    list."""
     await steps.publish_whole("first list")
     await deployment.tier.follow(steps.catalog.version, FIRST_LIST_WITHIN_S)
     empty = await deployment.make()
-    # The mass start that is measured comes later, where it competes with no process that starts.
+    # The subscriptions begin one after the other: the mass start is measured later (`all_restarted`), when no
+    # process that starts competes with it.
     await deployment.each("subscribe", within=SUBSCRIBE_EACH_S * deployment.size.fronts)
     await steps.settle("first list", within=FIRST_LIST_WITHIN_S)
     first = await deployment.measure()
@@ -92,7 +97,7 @@
 
 
 class Run(NamedTuple):
-    """What is played: which faults after how long a steady state, and with which programs."""
+    """What one run consists of: size, seconds of steady state, names of the faults, and programs."""
 
     seed: int
     size: Size
@@ -103,6 +108,7 @@
 
 
 async def run_rig(run):
+    """Runs the rig; returns the broken rules that the steps found and the figures."""
     chance, size = Chance(run.seed), run.size
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment(run.seed, size, folder, run.programs)
--- a/rigs/scale_before.py
+++ b/rigs/scale_before.py
@@ -1,4 +1,5 @@
-"""Today's way at the same size, for comparison: the whole list in one DNS answer, asked for steadily."""
+"""Discovery without distributors at the same size, for comparison: fronts poll a directory, which answers
+with the whole list in one DNS datagram."""
 
 from time import perf_counter
 
@@ -14,7 +15,8 @@
 
 
 def directory_figures(catalog, zones, fronts):
-    """What the same list costs a front by DNS; None where that way breaks."""
+    """What the same list costs a front by DNS, in bytes, bytes per second, and seconds; `in_force_max_s` is
+    None where the list does not fit a datagram."""
     entries = {
         record.id: (int(record.address.rpartition(":")[2]), record.draining, record.zone)
         for record in catalog.records.values()
@@ -33,7 +35,8 @@
 
 
 def single_change_cpu(answer, zones, fronts):
-    """CPU seconds of one front for one changed engine: the list is read and told whole."""
+    """CPU seconds of one front for one changed engine: it decodes the whole list and passes it to its
+    decisions. The least of several repetitions, without the first, which fills the empty list."""
     place = HollowPlace(name="front-before", zone=zones[0], rank=0, zone_rank=0, seed=1)
     front = make_empty_front(place, zones, fronts)
     client = DirectoryClient(
--- a/rigs/scale_child.py
+++ b/rigs/scale_child.py
@@ -1,5 +1,4 @@
-"""Child processes of the scale rig: started, asked over JSON lines, signalled, and what they take of the
-machine."""
+"""Child processes of the scale rig: start, requests over JSON lines, signals, CPU time and memory."""
 
 import asyncio
 import json
@@ -9,25 +8,25 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
-START_WITHIN = 40.0
-# The longest line that a child may answer with: the whole log of its fronts.
-LONGEST_LINE = 2**28
-NANOSECONDS = 1e9
+START_WITHIN_S = 40.0
+# The longest reply of a child, in bytes, is the whole version log of its fronts.
+MAX_LINE_BYTES = 2**28
+NANOSECONDS_PER_S = 1e9
 
 
 def cpu_seconds(pid):
-    """CPU time of all threads of a process so far, or 0 where it is gone."""
+    """CPU seconds of all threads of a process so far, or 0 where the process no longer exists."""
     total = 0
     try:
         for task in os.listdir(f"/proc/{pid}/task"):
             total += int(Path(f"/proc/{pid}/task/{task}/schedstat").read_text().split()[0])
     except (OSError, ValueError):
         return 0.0
-    return total / NANOSECONDS
+    return total / NANOSECONDS_PER_S
 
 
 def memory_mb(pid):
-    """Resident memory of a process, or 0 where it is gone."""
+    """Resident memory of a process in MB, or 0 where the process no longer exists."""
     try:
         status = Path(f"/proc/{pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0]) / 1024
@@ -36,11 +35,12 @@
 
 
 class ChildFailedError(Exception):
-    """A child process ended while something was asked of it."""
+    """A child process ended before it was ready, or before it replied to a request."""
 
 
 class Child:
-    """One process of the rig's own; `log` has the JSON lines that it wrote unasked."""
+    """One child process, started as `python -O -m ARGUMENTS`. `log` holds the JSON lines that it wrote other
+    than replies."""
 
     def __init__(self, *arguments, environment=None):
         self.arguments, self.environment = arguments, environment or {}
@@ -49,13 +49,18 @@
 
     @property
     def pid(self):
+        """The process id."""
         return self.process.pid
 
     @property
     def running(self):
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self):
+        """Starts the process and waits until it writes the event `ready`.
+
+        Raises ChildFailedError where it ends before, and TimeoutError after `START_WITHIN_S`."""
         self.ready = asyncio.Event()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -66,17 +71,19 @@
             env=os.environ | self.environment,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LONGEST_LINE,
+            limit=MAX_LINE_BYTES,
         )
         self.reader = asyncio.create_task(self.read(self.process))
         ready = asyncio.create_task(self.ready.wait())
-        async with asyncio.timeout(START_WITHIN):
+        async with asyncio.timeout(START_WITHIN_S):
             await asyncio.wait((ready, self.reader), return_when=asyncio.FIRST_COMPLETED)
         if not ready.done():
             ready.cancel()
             raise ChildFailedError(f"{self.arguments} ended before it was ready")
 
     async def read(self, process):
+        """Sorts the lines of standard output into replies and log until the output ends; skips other
+        lines."""
         while line := await process.stdout.readline():
             try:
                 message = json.loads(line)
@@ -90,7 +97,9 @@
                 self.ready.set()
 
     async def request(self, command, **fields):
-        """One command and its answer."""
+        """Sends one command with its fields and returns the reply; one request at a time.
+
+        Raises ChildFailedError where the process ends before it replies."""
         async with self.lock:
             self.process.stdin.write(json.dumps({"do": command, **fields}).encode() + b"\n")
             await self.process.stdin.drain()
@@ -102,10 +111,12 @@
             return answer.result()
 
     def signal(self, number):
+        """Sends a signal, unless the process has ended."""
         if self.running:
             self.process.send_signal(number)
 
     async def kill(self):
+        """Kills the process, also a stopped one, and waits for its end."""
         if self.running:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
@@ -116,9 +127,10 @@
 
 
 async def serve_commands(handlers):
-    """The child's side: reads commands from standard input until it ends, and answers each in order."""
+    """Runs in the child: reads commands from standard input until it ends, calls the handler (command ->
+    async function) of each with its fields, and writes the replies in the same order."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     write_line({"event": "ready"})
     while line := await reader.readline():
@@ -128,5 +140,6 @@
 
 
 def write_line(line):
+    """Writes one value as a JSON line to standard output."""
     sys.stdout.write(json.dumps(line) + "\n")
     sys.stdout.flush()
--- a/rigs/scale_deployment.py
+++ b/rigs/scale_deployment.py
@@ -1,4 +1,4 @@
-"""The yard of the scale rig: distributors, hollow fronts, real fronts and relays, each a process."""
+"""The processes of the scale rig: distributors, hollow fronts, real fronts and relays."""
 
 import asyncio
 import resource
@@ -11,23 +11,24 @@
 from rigs.scale_tier import Tier
 
 PATIENCE_S = 1.0
-# Whole subsets that a distributor tells a second, for as many fronts as one has at the full size; as large a
-# part for fewer.
+# Whole subsets that a distributor sends a second at the full size, and how many fronts it has there. With
+# fewer fronts the rate is lower in proportion, down to a minimum.
 SNAPSHOTS_PER_S, FRONTS_A_DISTRIBUTOR, LEAST_SNAPSHOTS_PER_S = 50, 133, 2
-# Changes that distributors keep.
+# The number of changes that distributors keep for deltas.
 HISTORY = 12
-# A front holds so many engines; of few engines it holds a part, as otherwise each change concerns each front.
+# The subset of a front, and the largest share of all engines in it: with few engines, each change would
+# otherwise concern each front.
 SUBSET = {"engines": 96, "home_share": 0.5, "least": 4}
 SUBSET_SHARE = 0.05
-# One hollow process in which few fronts are put to sleep.
+# The share of the hollow fronts that run in the process which is suspended at times.
 SUSPENDED_SHARE = 0.05
-SAMPLE_EVERY = 0.5
-# What a measurement of an idle process takes.
+SAMPLE_EVERY_S = 0.5
+# How long an idle process is measured.
 IDLE_S = 1.5
 
 
 class Size(NamedTuple):
-    """How large a run is."""
+    """The size of a run: how many fronts, engines, processes and zones."""
 
     fronts: int
     engines: int
@@ -35,7 +36,7 @@
     hollow_processes: int
     zones: int
     relays: int
-    # How many hollow processes reach the distributors through relays; those that sleep at times do not.
+    # How many hollow processes reach the distributors through relays; the suspended one never does.
     relayed_processes: int
     heartbeat_s: float = 2.0
 
@@ -50,7 +51,8 @@
 
 
 class Programs(NamedTuple):
-    """The modules that are run as distributors and as hollow fronts, and what their environment adds."""
+    """The modules that run as distributors and as hollow fronts, and the variables added to their
+    environment."""
 
     distributor: str = "thistlelever"
     hollow: str = "rigs.scale_hollow"
@@ -58,13 +60,14 @@
 
 
 def snapshots_per_s(size):
-    """A rate at which a mass start takes as long as at the full size."""
+    """The rate of whole subsets at which a mass start takes as long as at the full size."""
     rate = round(SNAPSHOTS_PER_S * size.fronts / size.distributors / FRONTS_A_DISTRIBUTOR)
     return max(rate, LEAST_SNAPSHOTS_PER_S)
 
 
 class HollowProcess:
-    """One process of hollow fronts. With a `relay` it reaches the distributors through a group of its own."""
+    """One process of hollow fronts. With a `relay` it reaches the distributors through its own group of
+    relays."""
 
     def __init__(self, name, fronts, relay):
         self.name, self.fronts, self.relay = name, fronts, relay
@@ -72,6 +75,7 @@
 
     @property
     def names(self):
+        """The names of its fronts."""
         return [front["name"] for front in self.fronts]
 
 
@@ -98,7 +102,7 @@
         self.peak_mb, self.most_processes, self.sampling = 0.0, 0, None
 
     def front(self, rank):
-        """A front's name and place; ranks go round the zones."""
+        """The name, zone and ranks of a front; ranks are assigned to the zones in turn."""
         return {
             "name": f"front-{rank:05d}",
             "zone": self.zones[rank % len(self.zones)],
@@ -108,10 +112,12 @@
 
     @property
     def hollow_fronts(self):
+        """All fronts but the real ones."""
         return self.fronts[: self.size.fronts]
 
     @property
     def real_places(self):
+        """The names, zones and ranks of the real fronts."""
         return self.fronts[self.size.fronts :]
 
     async def __aenter__(self):
@@ -122,11 +128,11 @@
             raise
 
     async def open(self):
-        """Every process up, and a publisher."""
-        # Relays have both ends of all connections of hundreds of fronts; children inherit the limit.
+        """Starts every process but the real fronts, and waits for the publisher."""
+        # Relays hold both ends of the connections of hundreds of fronts; child processes inherit the limit.
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-        # A rig that is ended by a signal must not leave its distributors behind.
+        # On SIGTERM the rig must end its child processes too.
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
         self.sampling = asyncio.create_task(self.sample())
         self.relays = [Child("rigs.scale_relay") for _ in range(self.size.relays)]
@@ -140,7 +146,7 @@
         return self
 
     def assign_fronts(self):
-        """Hollow fronts over processes; the last few into one that is put to sleep."""
+        """Assigns the hollow fronts to processes; the last few to the one that is suspended at times."""
         suspended_count = max(2, int(self.size.fronts * SUSPENDED_SHARE))
         awake = self.hollow_fronts[:-suspended_count]
         count = self.size.hollow_processes
@@ -151,30 +157,33 @@
         ]
 
     def relay_for(self, number):
-        """The relay process of the hollow process at this place."""
+        """The relay process of the hollow process with this number, or None."""
         return self.relays[number % len(self.relays)] if number < self.size.relayed_processes else None
 
     @property
     def relayed(self):
-        """The hollow processes whose ways are relays."""
+        """The hollow processes that reach the distributors through relays."""
         return [hollow for hollow in self.hollows if hollow.relay]
 
     def children(self):
+        """All relays and hollow processes."""
         return self.relays + [hollow.child for hollow in self.hollows]
 
     @property
     def suspended(self):
+        """The hollow process that is suspended at times."""
         return self.hollows[-1]
 
     async def open_island(self):
-        """The last distributor reaches the others by relays, so that it can be cut off from them."""
+        """Opens relays by which the last distributor reaches the others, so that it can be cut off from
+        them."""
         island = self.tier.distributors[-1]
         targets = [other.address for other in self.tier.distributors[:-1]]
         ports = await self.relays[0].request("open", seed=self.seed, group="island", targets=targets)
         island.peer_addresses = [(RELAY_HOST, port) for port in ports] + [island.address]
 
     async def distributor_addresses(self, group, relay):
-        """The address of each distributor, or of a relay of that group to it."""
+        """The address of each distributor, or of a new relay of that group to it."""
         targets = [one.address for one in self.tier.distributors]
         if relay is None:
             return targets
@@ -182,7 +191,8 @@
         return [(RELAY_HOST, port) for port in ports]
 
     async def make(self):
-        """Empty hollow fronts in every process, and what an idle process takes: (memory, CPU a second)."""
+        """Creates the empty hollow fronts; returns for each process its memory in MB and its idle use of CPU
+        in cores."""
         before = []
         for hollow in self.hollows:
             terms = {
@@ -206,19 +216,21 @@
         return [measured["memory_mb"] for measured in after], idle
 
     async def each(self, command, **fields):
-        """The same asked of every hollow process."""
+        """Sends a command to every hollow process; returns the replies."""
         return await asyncio.gather(*(hollow.child.request(command, **fields) for hollow in self.hollows))
 
     async def measure(self):
+        """CPU, memory and counters of every hollow process."""
         return await self.each("measure")
 
     async def each_relay(self, command, **fields):
-        """The same asked for the group of every relayed process."""
-        asked = (hollow.relay.request(command, group=hollow.name, **fields) for hollow in self.relayed)
-        return await asyncio.gather(*asked)
+        """Sends a command to the relay group of every relayed process; returns the replies."""
+        requests = (hollow.relay.request(command, group=hollow.name, **fields) for hollow in self.relayed)
+        return await asyncio.gather(*requests)
 
     async def settle(self, version, within, excluding=()):
-        """Until every hollow front holds that version; how long it took, or None."""
+        """Waits until every hollow front outside the processes in `excluding` holds that version; returns the
+        seconds it took, or None after `within` seconds."""
         began = monotonic()
         awake = [hollow for hollow in self.hollows if hollow not in excluding]
         while monotonic() < began + within:
@@ -229,23 +241,24 @@
         return None
 
     def pids(self):
+        """The ids of all child processes that run."""
         children = self.children() + [one.child for one in self.tier.distributors if one.child]
         children += [one for one in self.real if one.process]
         return [child.pid for child in children if child.process and child.running]
 
     def distributor_cpu(self):
-        """CPU seconds of each distributor that lives, by index."""
+        """CPU seconds of each running distributor, by index."""
         living = [one for one in self.tier.distributors if one.child and one.child.running]
         return {one.index: cpu_seconds(one.child.pid) for one in living}
 
     async def sample(self):
-        """The memory of all processes together, and how many there are."""
+        """Samples the memory and the number of all processes, and keeps the maxima."""
         while True:
             pids = self.pids()
             own = memory_mb("self")
             self.peak_mb = max(self.peak_mb, own + sum(map(memory_mb, pids)))
             self.most_processes = max(self.most_processes, 1 + len(pids))
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_EVERY_S)
 
     async def __aexit__(self, *why):
         self.sampling.cancel()
--- a/rigs/scale_figures.py
+++ b/rigs/scale_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run of the scale rig, and the rules that they are judged by."""
+"""The figures of a run of the scale rig, and the limits that they must keep."""
 
 from collections import defaultdict
 from math import inf, isinf
@@ -16,16 +16,17 @@
 )
 from thistlelever.distribution.versions import parse
 
-# What a front may spend on control, and how long a change may take to be in force: the operators' figures.
+# The operators' requirements: what a front may spend on its engine list (cores, MB, bytes per second), and
+# the seconds until a change is in force.
 MAX_CONTROL_CORE, MAX_CONTROL_MB, MAX_CONTROL_BYTES_S = 0.049, 32.0, 18_000
 MAX_IN_FORCE_S = 9.0
-# How many connections a front may open in a mass restart, and how many in one second, on average. With
-# backoff and jitter it is about two, as each whole subset that is not admitted costs one more.
+# Connections that a front may open in a mass restart, and in one second of it, on average. With backoff and
+# jitter it opens about two, as each whole subset that is not admitted costs one more.
 MAX_CONNECTIONS_EACH, MAX_CONNECTIONS_PEAK = 3.5, 2.5
 
 
 def steady_figures(deployment, real, empty, first, steady):
-    """What a front and a distributor cost where nothing is wrong."""
+    """What a front and a distributor cost without faults: cores, MB and bytes per second."""
     before, after, cores = steady
     hollow_mb, real_mb = hollow_memory(deployment, first, empty[0]), real_memory(real)
     seconds = after[0]["at"] - before[0]["at"]
@@ -36,7 +37,7 @@
     ]
     return {
         "control_core": round(hollow_cores(deployment, before, after, empty[1]), 6),
-        # A hollow front shares its modules with others of its process: the dearer of both counts.
+        # A hollow front shares its modules with the others of its process, so the larger value counts.
         "control_mb": round(max(hollow_mb, real_mb), 3),
         "control_bytes_s": round(max(bytes_s)),
         "control_bytes_s_mean": round(sum(bytes_s) / len(bytes_s)),
@@ -47,11 +48,11 @@
 
 
 def comparison_figures(deployment, real, empty, compared, directory_core):
-    """A hollow front beside a real one, while every front has changes to take in."""
+    """Compares a hollow front with a real one while changes concern every front."""
     before, after, real_cores = compared
     hollow_core = hollow_cores(deployment, before, after, empty[1])
     with_on, with_off = sum(real_cores[:-1]) / len(real_cores[:-1]), real_cores[-1]
-    # The front without distribution asks the directory instead, which is none of what the other does.
+    # The front without distribution polls the directory, which the others do not: its cost is left out.
     real_core = with_on - (with_off - directory_core)
     hollow_mb = hollow_memory(deployment, compared[0], empty[0])
     return {
@@ -69,19 +70,20 @@
 
 
 def real_memory(real):
-    """Memory of a real front with distribution above that of one without, in MB."""
+    """Memory in MB that distribution adds to a real front."""
     with_on = sum(front.memory_mb() for front in real.fronts) / len(real.fronts)
     return with_on - real.without.memory_mb()
 
 
 def mean_first_list_bytes(first):
-    """What a front receives for its first list, in bytes."""
+    """The mean number of bytes that a front receives for its first list."""
     received = [counts["bytes_received"] for reply in first for counts in reply["counts"]]
     return round(sum(received) / len(received))
 
 
 def mean_delta_bytes(before, after):
-    """What a front receives for one delta, in bytes, where few watches end without one."""
+    """The mean number of bytes that a front receives for one delta; includes watches that end without one,
+    which are few in that step."""
     grown = {"bytes_received": 0, "deltas": 0}
     for was, now in zip(before, after, strict=True):
         for a, b in zip(was["counts"], now["counts"], strict=True):
@@ -91,11 +93,13 @@
 
 
 def ratio(hollow, real):
+    """The cost of a hollow front relative to a real one; None where the real one cost nothing."""
     return round(hollow / real, 3) if real > 0 else None
 
 
 def hollow_cores(deployment, before, after, idle):
-    """CPU of one hollow front, in cores, above that of an idle process; that of the dearest process."""
+    """Cores of one hollow front above those of an idle process, in the process with the highest value. The
+    last process, whose few fronts are suspended at times, is left out."""
     cores = []
     for hollow, was, now, rest in zip(deployment.hollows, before, after, idle, strict=True):
         busy = (now["cpu"] - was["cpu"]) / (now["at"] - was["at"])
@@ -104,7 +108,8 @@
 
 
 def hollow_memory(deployment, first, empty):
-    """Memory of one hollow front's control, in MB, above an empty front; that of the dearest process."""
+    """MB that a subscription and its list add to an empty hollow front, in the process with the highest
+    value. The last process, whose few fronts are suspended at times, is left out."""
     grown = [
         (now["memory_mb"] - was) / len(hollow.fronts)
         for hollow, now, was in zip(deployment.hollows, first, empty, strict=True)
@@ -113,11 +118,13 @@
 
 
 def total_bytes(counts):
+    """Bytes received and sent."""
     return counts["bytes_received"] + counts["bytes_sent"]
 
 
 async def final_figures(deployment, steps, real, plot):
-    """The books against each other, after everything is whole again."""
+    """Waits until all faults are repaired, compares the fronts' logs with what was published, and returns all
+    figures. Draws the plot into the folder `plot`, if any."""
     await steps.whole()
     await steps.settle("the end")
     await check_distributors(deployment, steps)
@@ -140,7 +147,7 @@
 
 
 async def check_distributors(deployment, steps):
-    """Every distributor holds the newest version, with the book's digest."""
+    """Checks that every distributor holds the newest version with the catalog's digest."""
     digest = f"{steps.catalog.digest():032x}"
     for distributor in deployment.tier.distributors:
         status = await distributor.status()
@@ -149,7 +156,7 @@
 
 
 def in_force_figures(times):
-    """All changes together, and the longest of each step."""
+    """Quantiles of the time in force over all changes, and the maximum of each step, in seconds."""
     seconds = sorted(one.seconds for one in times)
     longest = defaultdict(float)
     for one in times:
@@ -164,7 +171,7 @@
 
 
 def broken_rules(figures):
-    """Each rule that the figures break, by name."""
+    """The texts of the rules that the figures break."""
     limits = (
         ("control_core", MAX_CONTROL_CORE, "a front's CPU for control"),
         ("control_mb", MAX_CONTROL_MB, "a front's memory for control"),
--- a/rigs/scale_front.py
+++ b/rigs/scale_front.py
@@ -1,5 +1,5 @@
-"""A hollow front's front, put together as `serve` puts them together: decisions, list, subscription. The one
-place of the scale rig that knows the product's own constructors."""
+"""Builds a hollow front as `serve` builds a front: decisions, engine list and subscription, without clients.
+The only module of the scale rig that calls the constructors of these components."""
 
 import os
 from typing import NamedTuple
@@ -18,11 +18,11 @@
 
 KINDS = ("std", "large")
 KIND_CORES, KIND_MEMORY_MB = (16, 32), (32768.0, 65536.0)
-LOG_SINK = open(os.devnull, "wb")  # noqa: SIM115 - as long as the process
+LOG_SINK = open(os.devnull, "wb")  # noqa: SIM115 - open until the process ends
 
 
 class HollowPlace(NamedTuple):
-    """A front by name, where it stands, and the chance it is given."""
+    """The name, zone, rank and random seed of a front."""
 
     name: str
     zone: str
@@ -32,7 +32,7 @@
 
 
 class EmptyFront(NamedTuple):
-    """What a front without clients consists of before it hears of any engine."""
+    """The components of a front without clients and with an empty engine list."""
 
     registry: EngineRegistry
     decisions: DecisionLoop
@@ -42,7 +42,7 @@
 
 
 def settings(zones, zone, fronts):
-    """A front's settings among so many zones and fronts."""
+    """The settings of a front in `zone`, given all zones and the number of fronts."""
     family = SETTINGS["FamilyInfo"] | {
         "KindCores": list(KIND_CORES),
         "MemoryByKindMb": list(KIND_MEMORY_MB),
@@ -60,24 +60,26 @@
 
 
 def configuration_of(place, zones, fronts):
-    """A front's configuration; read once for each zone, as hollow fronts share what never changes."""
+    """A front's configuration; read once for each zone, as the hollow fronts of a process share it."""
     if place.zone not in CONFIGS:
-        told = configuration(settings=settings(zones, place.zone, fronts))
-        told["name"] = place.name
-        CONFIGS[place.zone] = front_config.read(told, {})
+        values = configuration(settings=settings(zones, place.zone, fronts))
+        values["name"] = place.name
+        CONFIGS[place.zone] = front_config.read(values, {})
     return CONFIGS[place.zone]
 
 
 def make_empty_front(place, zones, fronts):
-    """A front with its decisions and an empty list."""
-    read = configuration_of(place, zones, fronts)
+    """A front with its decision loop and an empty engine list."""
+    config = configuration_of(place, zones, fronts)
     metrics, log = Metrics(), Log(place.name, LOG_SINK)
-    decisions = DecisionLoop(Front(read.settings, place.seed), read.settings.tick, Batches(), metrics, log)
-    return EmptyFront(EngineRegistry(), decisions, metrics, log, read)
+    decisions = DecisionLoop(
+        Front(config.settings, place.seed), config.settings.tick, Batches(), metrics, log
+    )
+    return EmptyFront(EngineRegistry(), decisions, metrics, log, config)
 
 
 def make_subscription(front, place, terms):
-    """A subscription to the distributors and the list that it keeps."""
+    """A subscription to the distributors in `terms`, which writes into the engine list of `front`."""
     distributors = tuple((host, port) for host, port in terms["distributors"])
     subscription_terms = SubscriptionTerms(
         distributors, terms["heartbeat_s"], terms["patience_s"], place.seed
--- a/rigs/scale_hollow.py
+++ b/rigs/scale_hollow.py
@@ -1,6 +1,6 @@
-"""Many hollow fronts in one process: the control part of a front (subscription, list, decisions) on real
-sockets, without clients. A child process of the scale rig (`python -m rigs.scale_hollow`), driven by JSON
-lines; it keeps a log of every version that each front held."""
+"""Many hollow fronts in one process: subscription, engine list and decisions of a front on real sockets,
+without clients. A child process of the scale rig (`python -m rigs.scale_hollow`), which takes its commands as
+JSON lines and logs every version that each front held."""
 
 import asyncio
 import gc
@@ -19,12 +19,13 @@
 from thistlelever.distribution.versions import NO_VERSION
 from thistlelever.store.engine_registry import EngineRegistry
 
-# The log keeps at most so many entries, so that it is no large part of what is measured.
+# Limits the log, so that its memory is a small part of what is measured.
 MAX_LOG_ENTRIES = 400_000
 
 
 class VersionLog:
-    """What each front held since when, as columns: front, its life, packed version, moment, digest."""
+    """The versions that each front held, in columns: number of the front, its life (one more after each
+    restart), packed version, moment in monotonic seconds, and digest."""
 
     def __init__(self):
         self.fronts, self.lives = array("H"), array("H")
@@ -34,6 +35,7 @@
         self.left_out = 0
 
     def add(self, front, life, version, digest):
+        """Adds an entry; counts it as left out where the log is full."""
         if len(self.fronts) >= MAX_LOG_ENTRIES:
             self.left_out += 1
             return
@@ -47,6 +49,7 @@
         self.digest_of_entry.append(number)
 
     def columns(self):
+        """The columns as they are sent to the rig."""
         return {
             "fronts": self.fronts.tolist(),
             "lives": self.lives.tolist(),
@@ -59,7 +62,7 @@
 
 
 class HollowFront:
-    """One front without clients, over its lives."""
+    """One front without clients; a restart begins its next life."""
 
     def __init__(self, host, number, place):
         self.host, self.number, self.place = host, number, place
@@ -68,6 +71,7 @@
         self.subscription, self.task = None, None
 
     def start(self):
+        """Begins a life: subscribes to the distributors."""
         self.life += 1
         self.started_at, self.ready_at = monotonic(), 0.0
         self.subscription = make_subscription(self.components, self.place, self.host.terms)
@@ -76,6 +80,7 @@
         self.task.add_done_callback(abort_on_failure)
 
     async def stop(self):
+        """Ends the subscription."""
         if self.task:
             self.task.cancel()
             with suppress(asyncio.CancelledError):
@@ -83,21 +88,23 @@
             self.task = None
 
     async def restart(self):
-        """As a process that was killed and started: nothing of its memory stays."""
+        """Starts again with nothing in memory, as a killed process does."""
         await self.stop()
         self.components = make_empty_front(self.place, self.host.zones, self.host.total_fronts)
         self.start()
 
     def version_changed(self, version, digest):
+        """Logs what the front holds now."""
         if not self.ready_at:
             self.ready_at = monotonic()
         self.host.log.add(self.number, self.life, version, digest)
 
     def version(self):
+        """The version that the front holds."""
         return self.subscription.replica.version if self.subscription else NO_VERSION
 
     def counts(self):
-        """Every counter; bytes with those of the connection that is open."""
+        """All counters; bytes include those of the open connection."""
         subscription = self.subscription
         sent, received = subscription.connection_bytes()
         counts = dict(subscription.counts)
@@ -106,7 +113,7 @@
         return counts
 
     def holding(self):
-        """What it holds at the end; the digest is worked out anew from its records."""
+        """What the front holds; the digest is computed from its records."""
         replica = self.subscription.replica
         registry = self.components.registry
         listed = {
@@ -127,14 +134,14 @@
 
 
 def abort_on_failure(task):
-    """A subscription never ends by itself: one that fails takes the process with it."""
+    """Ends the process where a subscription failed, as it never ends by itself."""
     if not task.cancelled() and (error := task.exception()):
         traceback.print_exception(error)
         os._exit(1)
 
 
 def log_versions(replica, front):
-    """Have every change of what the replica holds written into the log."""
+    """Wraps the replica so that every change of what it holds is logged."""
     receive = replica.receive
 
     def receive_and_log(update):
@@ -148,7 +155,7 @@
 
 
 class Host:
-    """All fronts of this process."""
+    """All fronts of this process, and the commands of the rig on them."""
 
     def __init__(self):
         self.fronts, self.log = [], VersionLog()
@@ -156,7 +163,7 @@
         self.zones, self.total_fronts, self.terms = (), 0, None
 
     async def make(self, fronts, zones, fronts_in_all, seed, terms):
-        """Empty fronts: decisions and an empty list, no subscription."""
+        """Creates fronts with decisions and an empty list, without subscription; returns a measurement."""
         self.zones, self.total_fronts, self.terms = tuple(zones), fronts_in_all, terms
         places = [HollowPlace(seed=seed + front["rank"], **front) for front in fronts]
         self.fronts = [HollowFront(self, number, place) for number, place in enumerate(places)]
@@ -164,35 +171,37 @@
         return await self.measure()
 
     async def freeze(self):
-        """As `serve` does: what was made at the start is not looked at again. Otherwise each collection walks
-        what all fronts of this process hold, which is no cost of any one of them."""
+        """Excludes present objects from garbage collection, as `serve` does. Otherwise each collection would
+        visit the objects of all fronts of this process, which no single front has to pay for."""
         gc.collect()
         gc.freeze()
 
     async def subscribe(self, within):
-        """All fronts, one after the other in so many seconds."""
+        """Starts all subscriptions, evenly over `within` seconds."""
         for front in self.fronts:
             front.start()
             await asyncio.sleep(within / len(self.fronts))
         return monotonic()
 
     async def restart(self, names):
-        """The named fronts at once."""
+        """Restarts the named fronts at once."""
         chosen = [front for front in self.fronts if front.place.name in set(names)]
         await asyncio.gather(*(front.restart() for front in chosen))
         return monotonic()
 
     async def ready_after(self, names):
-        """How long each named front's present life took to its first list; None where it has none yet."""
+        """The seconds from the last start of each named front to its first list; None where it has none
+        yet."""
         chosen = [front for front in self.fronts if front.place.name in set(names)]
         return [round(f.ready_at - f.started_at, 4) if f.ready_at else None for f in chosen]
 
     async def lowest(self):
-        """The lowest version that any front holds, packed, and how many hold none."""
+        """The lowest version that any front holds, packed, and how many fronts hold none."""
         versions = [front.version() for front in self.fronts]
         return {"lowest": min(versions).packed(), "empty": versions.count(NO_VERSION)}
 
     async def measure(self):
+        """CPU seconds and memory of this process, and the counters of each front."""
         counts = [front.counts() for front in self.fronts if front.subscription]
         status = Path(f"/proc/{os.getpid()}/status").read_text()
         return {
@@ -203,7 +212,8 @@
         }
 
     async def inquire(self, count, port, zones, seconds):
-        """What asking the directory at today's pace costs one front, in cores: so many ask for so long."""
+        """The cores that one front spends on polling the directory: the mean of `count` clients over
+        `seconds`."""
         place = HollowPlace(name="front-dns", zone=zones[0], rank=0, zone_rank=0, seed=1)
         front = make_empty_front(place, tuple(zones), 1)
         names = front.config.zones, front.config.kinds
@@ -216,26 +226,29 @@
         for client in clients:
             await client.open(("127.0.0.1", port))
         tasks = [asyncio.create_task(client.run()) for client in clients]
-        began, spent = monotonic(), process_time()
+        began, cpu_before = monotonic(), process_time()
         await asyncio.sleep(seconds)
-        core = (process_time() - spent) / (monotonic() - began) / count
+        core = (process_time() - cpu_before) / (monotonic() - began) / count
         for task in tasks:
             task.cancel()
         return core
 
     async def collect(self):
+        """The version log, and the event loop lags of this process."""
         return self.log.columns() | {"lags": self.lag.kept}
 
     async def holdings(self):
+        """What each front holds."""
         return [front.holding() for front in self.fronts]
 
 
 async def main():
+    """Serves commands until standard input ends."""
     host = Host()
-    watching = asyncio.create_task(host.lag.run())
+    lag_task = asyncio.create_task(host.lag.run())
     names = "make freeze subscribe restart ready_after lowest measure inquire collect holdings"
     await serve_commands({name: getattr(host, name) for name in names.split()})
-    watching.cancel()
+    lag_task.cancel()
 
 
 if __name__ == "__main__":
--- a/rigs/scale_plot.py
+++ b/rigs/scale_plot.py
@@ -1,4 +1,4 @@
-"""A picture of a run of the scale rig: how long changes took to be in force, step by step."""
+"""Plots how long changes took to be in force during a run of the scale rig, one curve for each step."""
 
 from collections import defaultdict
 from math import isinf
@@ -8,7 +8,9 @@
 
 
 def plot_in_force(times, folder, seed):
-    """For each step the share of (change, front) that was in force by a time, with the limit as a line."""
+    """Writes `scale-SEED.png` into `folder`: for each step the cumulative distribution of the time in force,
+    in seconds, over all pairs of change and front, with the limit as a vertical line. `times` are `InForce`;
+    pairs that never came into force are left out."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/rigs/scale_real.py
+++ b/rigs/scale_real.py
@@ -1,5 +1,5 @@
-"""The real fronts of the scale rig: `thistlelever serve` with and without distribution, stand-in engines for
-what they hold, and a few clients."""
+"""The real fronts of the scale rig: `thistlelever serve` with and without distribution, fake engines for what
+they hold, and a few clients."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 
 CLIENT_EVERY_S, CLIENT_WAIT_MS = 0.05, 2_000
 ENGINES_WITHOUT = 4
-# How many ask the directory where that is measured.
+# How many clients poll the directory while the cost of that is measured.
 DIRECTORY_CLIENTS = 10
 
 
 class RealFront:
-    """One `serve`, asked for what it takes of the machine."""
+    """One process of `thistlelever serve`."""
 
     def __init__(self, place, folder, deployment, distributors):
         self.place, self.folder, self.deployment = place, Path(folder), deployment
@@ -30,19 +30,24 @@
 
     @property
     def process(self):
+        """The process, or None before the start."""
         return self.child.process if self.child else None
 
     @property
     def pid(self):
+        """The process id."""
         return self.child.pid
 
     def cpu(self):
+        """CPU seconds so far."""
         return cpu_seconds(self.child.pid)
 
     def memory_mb(self):
+        """Resident memory in MB."""
         return memory_mb(self.child.pid)
 
     def operator(self):
+        """The content of its operator file."""
         if not self.distributors:
             return {}
         addresses = [f"{host}:{port}" for host, port in self.distributors]
@@ -55,7 +60,8 @@
         }
 
     async def start(self, entries):
-        """Up and ready; `entries` are the engines that the directory tells where distribution is off."""
+        """Starts the front and waits until it is ready. `entries` are the engines, as (name, address), that
+        its directory returns where distribution is off."""
         loop = asyncio.get_running_loop()
         _, self.directory = await loop.create_datagram_endpoint(
             lambda: Directory(asyncio.Event()), local_addr=("127.0.0.1", 0)
@@ -80,6 +86,7 @@
         self.host, self.port = ready["listen"]
 
     async def close(self):
+        """Kills the front and ends its directory."""
         if self.child and self.child.process:
             self.child.signal(signal.SIGKILL)
             await self.child.kill()
@@ -95,14 +102,15 @@
         self.engines, self.fronts, self.without, self.clients = {}, [], None, []
 
     async def open_engines(self, names):
-        """A stand-in for each of these engines; the address of each."""
+        """Starts a fake for each of these engines; returns their addresses by name."""
         for name in names:
             self.engines[name] = Engine(asyncio.Event())
             await self.engines[name].start()
         return {name: f"127.0.0.1:{engine.port}" for name, engine in self.engines.items()}
 
     async def start(self):
-        """The fronts, after the distributors; measured once all of them are up."""
+        """Starts the fronts; the distributors must run already. Measurements include them once all are
+        ready."""
         addresses = await self.deployment.distributor_addresses("real", self.deployment.relays[0])
         places = self.deployment.real_places
         self.fronts = [RealFront(place, self.folder, self.deployment, addresses) for place in places]
@@ -113,7 +121,7 @@
         self.deployment.real = [*self.fronts, self.without]
 
     async def directory_core(self, seconds):
-        """What asking the directory costs the front without distribution, in cores."""
+        """The cores that one front spends on polling its directory, measured in a process of its own."""
         poller = Child("rigs.scale_hollow")
         await poller.start()
         try:
@@ -125,13 +133,14 @@
             await poller.kill()
 
     def start_clients(self):
-        """A client at each real front with distribution."""
+        """Starts a client at each real front with distribution."""
         for place, front in enumerate(self.fronts):
             front.place = place
         self.clients = [Client(None, front, CLIENT_EVERY_S, CLIENT_WAIT_MS) for front in self.fronts]
 
     async def answers(self):
-        """How often each query was answered, of those that are over."""
+        """How many queries had no, one, or more final answers, of those whose deadline has passed; and how
+        many were returned."""
         now = asyncio.get_running_loop().time()
         counts = [0, 0, 0]
         for client in self.clients:
@@ -144,6 +153,7 @@
         return {"0": counts[0], "1": counts[1], "2+": counts[2]}, returned
 
     async def close(self):
+        """Ends clients, fronts and fake engines."""
         for client in self.clients:
             client.task.cancel()
         for front in [*self.fronts, self.without]:
--- a/rigs/scale_relay.py
+++ b/rigs/scale_relay.py
@@ -1,5 +1,6 @@
-"""Relays between fronts and distributors, and between distributors: connections that can be cut, reset, or
-lost at a share. A child process of the scale rig (`python -m rigs.scale_relay`), driven by JSON lines."""
+"""TCP relays between fronts and distributors, and between distributors, that can cut connections, lose a
+share of the answers or misroute them. A child process of the scale rig (`python -m rigs.scale_relay`), which
+takes its commands as JSON lines."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -10,12 +11,12 @@
 from rigs.verdict import Chance
 from thistlelever.distribution import codec
 
-# Where all relays listen, each at a port that the system gives.
+# All relays listen here, each at a port that the system assigns.
 RELAY_HOST = "127.0.0.1"
 CHUNK_BYTES = 2**16
-# Connections are counted in bins of so many seconds, for the peak rate.
+# New connections are counted in bins of this many seconds, for the peak rate.
 BIN_S = 0.1
-# Of what is lost, half is reset and half falls silent until its receiver gives up.
+# The share of lost answers whose connection is reset; the others stay silent until the receiver gives up.
 RESET_SHARE = 0.5
 
 
@@ -30,6 +31,7 @@
         self.lost, self.opened = 0, Counter()
 
     def reset(self):
+        """Resets every open connection."""
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -41,7 +43,7 @@
         self.groups, self.servers, self.chance = defaultdict(lambda: None), [], Chance(0)
 
     async def open(self, seed, group, targets):
-        """One port for each target; the ports, in order."""
+        """Opens a relay for each target (host, port); returns their ports in the same order."""
         self.chance = Chance(seed)
         relay_group = self.groups[group] = self.groups[group] or RelayGroup(group)
         ports = []
@@ -56,6 +58,7 @@
         return ports
 
     async def serve(self, group, reader, writer, host, port):
+        """Forwards one connection in both directions until either side ends it."""
         group.connections += 1
         group.opened[int(monotonic() / BIN_S)] += 1
         number = group.connections
@@ -78,7 +81,8 @@
             downstream.transport.abort()
 
     async def forward(self, group, source, target, number):
-        """What comes from `source`; `number` is the connection's where answers may be lost."""
+        """Forwards what `source` sends. `number` is that of the connection in the direction of answers, which
+        may be lost or misrouted, and None in the other."""
         with suppress(ConnectionError):
             while chunk := await source.read(CHUNK_BYTES):
                 if number is not None and (group.loss or group.misrouted):
@@ -92,14 +96,15 @@
         target.transport.abort()
 
     async def lose_answer(self, group, source):
-        """Its connection is reset, or silent until the other side gives up."""
+        """Returns at once, whereupon the connection is reset, or reads and drops what comes until the source
+        ends."""
         group.lost += 1
         if self.chance.share("how", group.name, group.chunks) >= RESET_SHARE:
             while await source.read(CHUNK_BYTES):
                 pass
 
     def maybe_misroute(self, group, number, chunk):
-        """This answer, or in its place a delta that was for another connection, as a faulty proxy does."""
+        """This answer, or in its place a delta for another connection, as a faulty proxy does."""
         if self.chance.share("misrouted", group.name, group.chunks) >= group.misrouted:
             if is_delta(chunk):
                 group.delta, group.delta_for = chunk, number
@@ -110,24 +115,29 @@
         return group.delta
 
     async def cut(self, group):
+        """Resets all connections of a group, and new ones until `heal`."""
         self.groups[group].cut = True
         self.groups[group].reset()
         return True
 
     async def heal(self, group):
+        """Lets connections of a group through again."""
         self.groups[group].cut = False
         return True
 
     async def lose(self, group, share):
+        """Sets the share of answers that are lost."""
         self.groups[group].loss = share
         return True
 
     async def misroute(self, group, share):
+        """Sets the share of answers that are replaced by a delta for another connection."""
         self.groups[group].misrouted = share
         return True
 
     async def counts(self, group, since, till):
-        """Connections opened in that time: in all, and the most in one second."""
+        """Connections opened in that time (monotonic seconds), in all and at most in one second; and answers
+        lost or misrouted since the start."""
         relay_group = self.groups[group]
         bins = [relay_group.opened[number] for number in range(int(since / BIN_S), int(till / BIN_S) + 1)]
         second = int(1 / BIN_S)
@@ -136,7 +146,7 @@
 
 
 def is_delta(chunk):
-    """Whether this is a whole answer with a delta."""
+    """Whether this chunk is a complete HTTP answer with a delta."""
     head, _, body = chunk.partition(b"\r\n\r\n")
     if not head.startswith(b"HTTP/1.1 200"):
         return False
@@ -148,6 +158,7 @@
 
 
 async def main():
+    """Serves commands until standard input ends."""
     relays = Relays()
     names = ("open", "cut", "heal", "lose", "misroute", "counts")
     await serve_commands({name: getattr(relays, name) for name in names})
--- a/rigs/scale_sabotage.py
+++ b/rigs/scale_sabotage.py
@@ -1,6 +1,6 @@
-"""Distributors and hollow fronts with one guard taken out on purpose, for the scale rig that has to say no:
-`python -m rigs.scale_sabotage` in place of `thistlelever` or `rigs.scale_hollow`; SCALE_SABOTAGE names the
-guard."""
+"""Runs a distributor or hollow fronts with one safeguard disabled, to test that the scale rig reports the
+broken rule: `python -m rigs.scale_sabotage` in place of `thistlelever` or `rigs.scale_hollow`; the
+environment variable SCALE_SABOTAGE names the safeguard."""
 
 import asyncio
 import os
@@ -22,14 +22,14 @@
 
 
 def gap():
-    """A delta is applied to whatever is held."""
+    """Fronts apply a delta without comparing its base and digest with what they hold."""
     holds_base, digest_after = Replica._holds_base, Replica._digest_after
     Replica._holds_base = lambda self, delta: not self.strict or holds_base(self, delta)
     Replica._digest_after = lambda self, delta: digest_after(self, delta) if self.strict else delta.digest
 
 
 def back():
-    """A version that goes back is believed by a front, and a distributor that is behind tells it."""
+    """Fronts accept a lower version than they held, and distributors that are behind send them one."""
     highest, open_session = Replica.highest, Sessions.open
     Replica.highest = lambda self: highest(self) if self.strict else NO_VERSION
 
@@ -41,12 +41,12 @@
 
 
 def hash_order():
-    """Engines are put on the ring by Python's hashes, which differ from one process to the next."""
+    """Engines are placed on the ring by Python's `hash`, which differs between processes."""
     index.engine_positions = lambda engine: (hash(engine) % RING_SIZE, hash(engine[::-1]) % RING_SIZE)
 
 
 def no_jitter():
-    """Who failed or was refused comes again at once, all together."""
+    """Fronts reconnect at once after a failure, and refused ones are told to retry without jitter."""
     Failover.failed = lambda self, retry_after=0.0: 0.01
     SnapshotAdmission.jitter = lambda self: 0.0
 
--- a/rigs/scale_scenario.py
+++ b/rigs/scale_scenario.py
@@ -1,5 +1,5 @@
-"""What the scale rig does to its yard: publishes changes, breaks what the seed says, and notes for whom the
-clock of a change starts later."""
+"""What the steps of the scale rig share: publishing changes, waiting until they are in force, promoting a
+publisher, and recording broken rules and outages of fronts."""
 
 import asyncio
 import json
@@ -11,17 +11,18 @@
 from rigs.scale_tier import RefusedError
 from thistlelever.distribution.versions import parse
 
-# How long a change may take to be in force everywhere.
+# How many seconds a change may take to be in force everywhere.
 IN_FORCE_LIMIT_S = 9.0
-# Of each distributor's log and of late fronts so many are shown where something is late.
+# Where a change is late, this many lines of each distributor's log and this many late fronts of each process
+# are printed.
 LINES_SHOWN = 6
-# What a call to a distributor may end in where that distributor was broken on purpose.
+# What a call to a distributor may raise where the rig killed or stopped that distributor.
 CALL_FAILED = (RefusedError, OSError, TimeoutError, asyncio.IncompleteReadError)
 
 
 class Outage(NamedTuple):
-    """These fronts could not hear of a change from then till then: the clock of what was published meanwhile
-    starts for them at the end of it."""
+    """A span (monotonic seconds) in which these fronts could receive nothing: for them, the time in force of
+    a change that was published meanwhile counts from its end."""
 
     fronts: frozenset[str]
     since: float
@@ -29,30 +30,31 @@
 
 
 class Scenario:
-    """Publishes changes for one run and keeps the book of them."""
+    """Publishes the changes of one run and records them in the catalog."""
 
     def __init__(self, deployment, catalog, chance):
         self.deployment, self.tier, self.catalog, self.chance = deployment, deployment.tier, catalog, chance
         self.broken, self.outages, self.figures = [], [], {}
         self.step_durations = []
         self.number = 0
-        # Changes that no majority of the distributors held by the time they were answered.
+        # Changes that were answered before a majority of the distributors held them.
         self.unconfirmed = 0
         self.repairs = []
 
     def record_violation(self, rule):
+        """Records the text of a broken rule, once."""
         if rule not in self.broken:
             self.broken.append(rule)
 
     async def publish_whole(self, step):
-        """The first list."""
+        """Publishes all records as the first list."""
         sent_at = monotonic()
         records = list(self.catalog.records.values())
         version = await self.tier.publisher.publish_whole(None, records)
         self.catalog.record_publication(version, sent_at, records, (), step)
 
     async def publish(self, upserts, removals, step):
-        """One change, which the publisher has to take."""
+        """Publishes one change, which the publisher must accept."""
         sent_at = monotonic()
         expected = self.catalog.version
         try:
@@ -65,7 +67,7 @@
         self.unconfirmed += not confirmed
 
     async def resolve_failed_publish(self, sent_at, upserts, removals, step):
-        """A publish call failed: whether its change was made all the same."""
+        """After a failed publish call: records the change if the publisher made it nevertheless."""
         wanted = digest_text(self.catalog.digest_with(upserts, removals))
         try:
             status = await self.tier.publisher.status()
@@ -75,7 +77,7 @@
             self.catalog.record_publication(parse(status["version"]), sent_at, upserts, removals, step)
 
     def next_change(self, step):
-        """One of the three changes of an engine's restart, in their order."""
+        """The next of the three changes of an engine's restart."""
         number, stage = divmod(self.number, 3)
         self.number += 1
         if stage == 0:
@@ -83,18 +85,19 @@
         return restart_changes(self.restarting, number)[stage]
 
     async def finish_restart(self, step):
-        """An engine that is half-way through its restart comes back."""
+        """Publishes the rest of an engine restart that is half done."""
         while self.number % 3:
             await self.publish(*self.next_change(step), step)
 
     async def changes(self, count, every, step):
-        """So many changes of one engine each, at that pace."""
+        """Publishes `count` changes of one engine each, with `every` seconds between them."""
         for _ in range(count):
             await self.publish(*self.next_change(step), step)
             await asyncio.sleep(every)
 
     async def settle(self, step, excluding=(), within=IN_FORCE_LIMIT_S):
-        """Until the newest version is in force at every front that can hear of it."""
+        """Waits until the newest version is in force at every hollow front outside the processes in
+        `excluding`; a broken rule where that takes over `within` seconds. Returns the seconds, or None."""
         took = await self.deployment.settle(self.catalog.version, within, excluding)
         if took is None:
             self.record_violation(f"fronts without the newest version {within:g} s after: {step}")
@@ -102,7 +105,7 @@
         return took
 
     async def describe(self, step, excluding):
-        """What distributors and late fronts say of themselves, on standard error."""
+        """Prints the state of the distributors and of late fronts to standard error."""
         print(f"not in force after {step}: {self.catalog.version}", file=sys.stderr)
         for distributor in self.tier.distributors:
             try:
@@ -122,11 +125,12 @@
                 print(json.dumps(front), file=sys.stderr)
 
     def record_outage(self, names, since):
+        """Records an outage of these fronts that ends now."""
         self.outages.append(Outage(frozenset(names), since, monotonic()))
 
     async def promote(self, distributor, in_flight, step):
-        """Another becomes the publisher. What was acknowledged has to be there; `in_flight`, a change whose
-        fate is unknown, may be."""
+        """Promotes a distributor to publisher. It must hold every acknowledged change; it may hold
+        `in_flight`, a change of unknown outcome."""
         sent_at = monotonic()
         till = sent_at + IN_FORCE_LIMIT_S
         while True:
@@ -143,7 +147,7 @@
         await self.record_takeover(status, sent_at, in_flight, step)
 
     async def record_takeover(self, status, sent_at, in_flight, step):
-        """Into the book: which content the new publisher begins with."""
+        """Records the content that the new publisher starts with."""
         version, digest = status["version"], status["digest"]
         if digest == digest_text(self.catalog.digest()):
             self.catalog.record_publication(parse(version), sent_at, (), (), step, measured=False)
--- a/rigs/scale_steps.py
+++ b/rigs/scale_steps.py
@@ -1,4 +1,5 @@
-"""The steps of the scale rig: steady state, then each fault. Each leaves everything that it broke whole."""
+"""The steps of the scale rig: steady state, then each fault. Each step repairs what it broke, or starts the
+repair that `whole` waits for."""
 
 import asyncio
 import signal
@@ -8,28 +9,31 @@
 from rigs.scale_scenario import CALL_FAILED, Scenario
 from thistlelever.distribution.versions import parse
 
-# The operators' 5,000 restarts a day are 0.17 changes a second; here it is faster.
+# Seconds between changes. The operators' 5,000 restarts a day are 0.17 changes a second; the rig is faster.
 STEADY_EVERY_S = 1.0
 BURST_CHANGES, BURST_EVERY_S = 20, 0.1
 LOSS_SHARE = 0.05
 LOSS_CHANGES, LOSS_EVERY_S = 6, 0.5
 MISROUTED_SHARE, MISROUTED_CHANGES = 0.2, 12
-# A stopped distributor comes back so long after its fronts have surely gone elsewhere.
+# A stopped distributor continues this many seconds after one heartbeat, by when its fronts have gone to
+# others.
 STOPPED_S = 1.0
 CUT_S = 1.5
-# Each engine changes once while hollow and real fronts are compared, in so many changes of at most so many.
+# The comparison of hollow and real fronts changes each engine once: the number of changes, the seconds
+# between them, and the most engines in one.
 COMPARISON_CHANGES, COMPARISON_EVERY_S, MAX_CHANGED_ENGINES = 12, 0.35, 4_000
-# The moment between a change sent and a process killed.
+# Seconds from sending a change until a process is killed or stopped.
 CHANGE_UNDER_WAY_S = 0.002
-# What a publisher that is broken meanwhile may take to answer all the same.
+# Seconds within which a publisher that was killed or stopped may still answer a call.
 ANSWER_WITHIN_S = 0.5
 
 
 class Steps(Scenario):
-    """Everything that may befall a yard, each under its name."""
+    """One method for each step; names of faults are in `FAULTS` and `PUBLISHER_STEPS` of `rigs.scale`."""
 
     async def steady(self, seconds):
-        """What it costs where nothing is wrong: measured before and after."""
+        """Publishes single changes for so many seconds. Returns the measurements before and after, and the
+        cores that each distributor used."""
         before, spent, began = await self.deployment.measure(), self.deployment.distributor_cpu(), monotonic()
         await self.changes(int(seconds / STEADY_EVERY_S), STEADY_EVERY_S, "steady state")
         after, took = await self.deployment.measure(), monotonic() - began
@@ -41,7 +45,7 @@
         return before, after, cores
 
     async def zone_lost(self):
-        """All engines of a zone in one change, and back in one."""
+        """All engines of a zone are removed in one change, and added again in one."""
         zones = self.deployment.zones
         zone = zones[self.chance.below(len(zones), "zone lost")]
         lost = self.catalog.engines_of_zone(zone)
@@ -52,7 +56,8 @@
         await self.settle("zone back")
 
     async def burst(self):
-        """Changes faster than they spread, and more than are kept: some fronts sleep through all of them."""
+        """Changes come faster than they spread, and more than distributors keep; some fronts are suspended
+        during all of them."""
         suspended, since = self.deployment.suspended, monotonic()
         suspended.child.signal(signal.SIGSTOP)
         await self.changes(BURST_CHANGES, BURST_EVERY_S, "burst")
@@ -63,7 +68,8 @@
         await self.settle("fronts woken")
 
     async def comparison(self):
-        """Changes that concern every front: what a hollow front and a real one spend on them, in cores."""
+        """Changes that concern every front. Returns the measurements of hollow processes before and after,
+        and the cores that each real front used."""
         began, before = monotonic(), await self.deployment.measure()
         real_before = [front.cpu() for front in self.deployment.real]
         for round_number in range(COMPARISON_CHANGES):
@@ -82,22 +88,22 @@
         return before, after, real
 
     async def restore(self, *distributors):
-        """Start again what was killed, while the run goes on; `whole` waits for it."""
+        """Starts killed distributors again in the background; `whole` waits for it."""
         self.repairs += [asyncio.create_task(one.start()) for one in distributors]
 
     async def whole(self):
-        """Until all distributors are up and hold what is published."""
+        """Waits until all distributors run and hold the newest version."""
         await asyncio.gather(*self.repairs)
         self.repairs.clear()
         await self.tier.follow(self.catalog.version)
 
     def other_distributor(self, what):
-        """One that is neither the publisher nor the one that is cut off at times."""
+        """A distributor that is neither the publisher nor the last one, which `island` cuts off."""
         others = [one for one in self.tier.distributors[:-1] if one is not self.tier.publisher]
         return others[self.chance.below(len(others), what)]
 
     async def distributor_killed(self):
-        """In the middle of a change; it starts again later, from its disk."""
+        """A distributor is killed during a change and starts again later with its stored state."""
         await self.whole()
         victim = self.other_distributor("killed")
         change = asyncio.create_task(self.changes(3, 0.05, "distributor killed"))
@@ -108,7 +114,7 @@
         await self.restore(victim)
 
     async def distributor_stopped(self):
-        """In the middle of a change: its connections stay, and say nothing."""
+        """A distributor is stopped during a change: its connections stay open and silent."""
         await self.whole()
         victim = self.other_distributor("stopped")
         change = asyncio.create_task(self.changes(3, 0.05, "distributor stopped"))
@@ -122,7 +128,8 @@
         await self.settle("distributor stopped")
 
     async def start_change(self, publisher, step):
-        """A change under way while its publisher is broken; what became of it, and the change."""
+        """Sends a change and waits a short random time. Returns the change, when it was sent, and the task of
+        the call."""
         change = self.next_change(step)
         sent_at, expected = monotonic(), self.catalog.version
         task = asyncio.create_task(publisher.publish(expected, *change))
@@ -130,7 +137,8 @@
         return change, sent_at, task
 
     async def break_publisher(self, step, break_it):
-        """The publisher breaks with a change under way, and another takes its role."""
+        """The publisher fails during a change, and another distributor is promoted; returns the former
+        publisher."""
         await self.whole()
         former, successor = self.tier.publisher, self.other_distributor(f"{step} heir")
         change, sent_at, task = await self.start_change(former, step)
@@ -151,12 +159,14 @@
         return former
 
     async def publisher_killed(self):
+        """The publisher is killed during a change."""
         former = await self.break_publisher("publisher killed", lambda one: one.kill())
         await self.settle("publisher killed")
         await self.restore(former)
 
     async def publisher_stopped(self):
-        """It wakes and still believes that it may publish: nothing of that may be acknowledged."""
+        """The publisher is stopped during a change and continues after another was promoted: it must
+        acknowledge no change any more."""
 
         async def stop(distributor):
             distributor.signal(signal.SIGSTOP)
@@ -175,7 +185,8 @@
         await self.settle(step)
 
     def record_rival_changes(self, version, upserts):
-        """What the former publisher may make of a change, behind or beside the one that was under way."""
+        """Notes the versions that the former publisher may create from a change: after the one that was under
+        way, or in its place."""
         following = next_version(version)
         under_way = list(self.catalog.unacknowledged[following])
         self.catalog.add_unacknowledged(following, upserts, ())
@@ -185,7 +196,7 @@
         self.catalog.add_unacknowledged(next_version(following), upserts, ())
 
     async def loss(self):
-        """Of what distributors answer a share is lost: reset, or silence."""
+        """A share of the distributors' answers is lost: the connection is reset, or falls silent."""
         await self.deployment.each_relay("lose", share=LOSS_SHARE)
         await self.changes(LOSS_CHANGES, LOSS_EVERY_S, "loss")
         await self.finish_restart("loss")
@@ -193,14 +204,14 @@
         await self.deployment.each_relay("lose", share=0.0)
 
     async def misrouted(self):
-        """Of the answers a share is another front's delta."""
+        """A share of the answers is replaced by a delta for another front."""
         await self.deployment.each_relay("misroute", share=MISROUTED_SHARE)
         await self.changes(MISROUTED_CHANGES, BURST_EVERY_S, "misrouted")
         await self.deployment.each_relay("misroute", share=0.0)
         await self.settle("misrouted")
 
     async def restarted(self, names, step):
-        """These fronts at once; how long each took to its first list."""
+        """Restarts these fronts at once; returns the seconds that each took to its first list."""
         since = monotonic()
         await self.deployment.each("restart", names=names)
         self.record_outage(names, since)
@@ -211,6 +222,7 @@
         return [NEVER_READY_S if seconds is None else seconds for seconds in took]
 
     async def zone_restarted(self):
+        """All hollow fronts of one zone restart at once."""
         zone = self.deployment.zones[self.chance.below(len(self.deployment.zones), "zone restarted")]
         names = [front["name"] for front in self.deployment.hollow_fronts if front["zone"] == zone]
         await self.publish(*self.next_change("zone restarted"), "zone restarted")
@@ -218,7 +230,7 @@
         await self.finish_restart("zone restarted")
 
     async def all_restarted(self):
-        """Every hollow front at once; how hard they come at the distributors."""
+        """Every hollow front restarts at once; adds the connections that they open to the figures."""
         names = [front["name"] for front in self.deployment.hollow_fronts]
         since = monotonic()
         took = sorted(await self.restarted(names, "all restarted"))
@@ -228,14 +240,15 @@
         self.figures["restart_peak_per_s"] = sum(one["peak_per_s"] for one in counts)
 
     async def held_by(self, hollow):
-        """Some engine that some front of that process holds."""
+        """The record of an engine that a front of this process holds, both drawn by the seed."""
         holdings = await hollow.child.request("holdings")
         holding = holdings[self.chance.below(len(holdings), "cut off front")]
         names = [engine for engine in holding["engines"] if engine in self.catalog.records]
         return self.catalog.records[names[self.chance.below(len(names), "cut off engine")]]
 
     async def cut_off(self):
-        """Fronts cut off from every distributor while an engine goes and its address is another's."""
+        """The fronts of one process are cut off from every distributor while an engine is removed and another
+        engine gets its address."""
         hollow = self.deployment.hollows[0]
         since = monotonic()
         await hollow.relay.request("cut", group=hollow.name)
@@ -253,7 +266,8 @@
             self.record_violation("an engine whose address is another's is held after word of it")
 
     async def island(self):
-        """A distributor hears of no change, and another's fronts come to it with newer versions."""
+        """A distributor is cut off from the others during changes; then another is killed, whose fronts come
+        to the first with newer versions."""
         await self.whole()
         relay, victim = self.deployment.relays[0], self.other_distributor("island")
         island = self.tier.distributors[-1]
@@ -270,17 +284,17 @@
         await self.restore(victim)
 
 
-# Of a front that never became ready.
+# Seconds recorded for a front that never got its first list.
 NEVER_READY_S = 99.0
 
 
 def next_version(version):
-    """The version that a publisher makes after one of its own."""
+    """The next version of the same publisher."""
     return version._replace(number=version.number + 1)
 
 
 async def versions_of(tier):
-    """What each living distributor holds."""
+    """The version and digest that each running distributor holds."""
     living = [one for one in tier.distributors if one.child.running]
     statuses = await asyncio.gather(*(one.status() for one in living))
     return [(parse(status["version"]), status["digest"]) for status in statuses]
--- a/rigs/scale_tier.py
+++ b/rigs/scale_tier.py
@@ -1,4 +1,4 @@
-"""The distributors of the scale rig: their processes, and what is asked of them over HTTP."""
+"""The distributors of the scale rig: their processes and HTTP calls to them."""
 
 import asyncio
 import json
@@ -11,21 +11,23 @@
 from rigs.scale_child import Child
 from thistlelever.distribution.versions import parse
 
-ASK_WITHIN = 5.0
+CALL_WITHIN_S = 5.0
 OK, ACCEPTED = 200, 202
-PUBLISH_WITHIN = 8.0
+PUBLISH_WITHIN_S = 8.0
 
 
 class RefusedError(Exception):
-    """A distributor said no: its HTTP status and its words."""
+    """A distributor refused a call: its HTTP status and error text."""
 
     def __init__(self, status, error):
         super().__init__(f"{status}: {error}")
         self.status, self.error = status, error
 
 
-async def call(address, method, path, value=None, within=ASK_WITHIN):
-    """One HTTP request of its own connection to a host and port; the answer's JSON."""
+async def call(address, method, path, value=None, within=CALL_WITHIN_S):
+    """Sends one HTTP request on its own connection to a host and port, and returns the JSON of the answer.
+
+    Raises RefusedError for other statuses than 200 and 202, and TimeoutError after `within` seconds."""
     body = b"" if value is None else json.dumps(value).encode()
     head = f"{method} {path} HTTP/1.1\r\nHost: {address[0]}\r\nConnection: close\r\n"
     head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -49,6 +51,7 @@
 
 
 def decode_chunked(content):
+    """The body of a response in chunked transfer encoding."""
     found = b""
     while content:
         size, _, content = content.partition(b"\r\n")
@@ -60,16 +63,17 @@
 
 
 class Distributor:
-    """One place of the tier and its process while it lives."""
+    """One distributor by its index, and its process."""
 
     def __init__(self, tier, index):
         self.tier, self.index = tier, index
         self.address = HOST, free_port(socket.SOCK_STREAM)
         self.child, self.publisher = None, False
-        # Where it reaches the others: a relay for one that is to be cut off from them.
+        # The addresses at which it reaches the others; relays for one that the rig cuts off from them.
         self.peer_addresses = None
 
     def configuration(self, publisher):
+        """The content of its configuration file."""
         addresses = self.peer_addresses or [other.address for other in self.tier.distributors]
         return {
             "name": f"d{self.index}",
@@ -82,6 +86,7 @@
         }
 
     async def start(self, publisher=False):
+        """Writes the configuration file and starts the process."""
         path = self.tier.folder / f"distributor-{self.index}.json"
         path.write_text(json.dumps(self.configuration(publisher)))
         environment = self.tier.environment | {"PYTHONHASHSEED": str(self.index + 1)}
@@ -91,25 +96,30 @@
         await self.child.start()
 
     def signal(self, number):
+        """Sends a signal to the process."""
         self.child.signal(number)
 
     async def kill(self):
+        """Kills the process and waits for its end."""
         await self.child.kill()
 
     async def status(self):
+        """What it answers to `GET /v1/status`."""
         return await call(self.address, "GET", "/v1/status")
 
     async def publish(self, expected, upserts, removals):
-        """The version that was made of it, and whether a majority held it by the answer."""
+        """Publishes a change; returns its version, and whether a majority held it by the time of the
+        answer."""
         change = {
             "expected": str(expected) if expected else None,
             "upserts": [published_fields(record) for record in upserts],
             "removals": list(removals),
         }
-        answer = await call(self.address, "POST", "/v1/publish", change, PUBLISH_WITHIN)
+        answer = await call(self.address, "POST", "/v1/publish", change, PUBLISH_WITHIN_S)
         return parse(answer["version"]), answer.get("confirmed", True)
 
     async def publish_whole(self, expected, records):
+        """Publishes a whole list; returns its version."""
         whole = {
             "expected": str(expected) if expected else None,
             "engines": [published_fields(record) for record in records],
@@ -118,11 +128,12 @@
         return parse(answer["version"])
 
     async def promote(self):
+        """Asks it to become the publisher."""
         return await call(self.address, "POST", "/v1/promote", {})
 
 
 def published_fields(record):
-    """A record as it is published."""
+    """The fields of a record that a publish request has."""
     fields = record._asdict()
     del fields["in_subset"]
     return fields
@@ -138,13 +149,14 @@
         self.publisher = self.distributors[0]
 
     async def start(self):
-        """The publisher last: it claims its term once a majority answers."""
+        """Starts all distributors, the publisher last: it claims its term once a majority answers."""
         await asyncio.gather(*(one.start() for one in self.distributors[1:]))
         await self.publisher.start(publisher=True)
         await self.until(self.publisher, lambda status: status["role"] == "publisher")
 
     async def until(self, distributor, holds, within=10.0):
-        """Until its status is so; the status."""
+        """Polls a distributor until `holds(status)` is true and returns the status; TimeoutError after
+        `within` seconds."""
         till = monotonic() + within
         while True:
             try:
@@ -158,12 +170,13 @@
             await asyncio.sleep(0.05)
 
     async def follow(self, version, within=10.0):
-        """Until every distributor that lives holds that version."""
+        """Waits until every running distributor holds that version or a newer one."""
         for distributor in self.distributors:
             if distributor.child.running:
                 await self.until(distributor, lambda s: parse(s["version"]) >= version, within)
 
     async def close(self):
+        """Kills every distributor."""
         for distributor in self.distributors:
             if distributor.child:
                 distributor.signal(signal.SIGCONT)
--- a/rigs/scale_verdict.py
+++ b/rigs/scale_verdict.py
@@ -1,4 +1,4 @@
-"""The scale rig's verdict: what the fronts held against the book of what was published."""
+"""Checks what the fronts of the scale rig held against what was published."""
 
 from bisect import bisect_right
 from math import inf, isinf
@@ -9,15 +9,15 @@
 from thistlelever.distribution.versions import NO_VERSION, Version, unpacked
 from thistlelever.subsetting import EngineRing, FrontIdentity, SubsetParameters
 
-# Of many fronts every so many-th has each of its versions checked, the others those that changed what they
-# hold.
+# Up to this many fronts, every version of each is checked. Of more fronts this holds for every
+# `SAMPLE_EVERY`-th; for the others, versions are checked that changed what they hold.
 CHECK_ALL_UP_TO = 400
 SAMPLE_EVERY = 16
 
 
 class FrontHistory:
-    """What one front held since when: in order, as (life, version, moment, digest); and the lags of the
-    process that it shares with others."""
+    """The versions that one front held, in order, as (life, version, moment, digest); a restart begins the
+    next life. `lags` are the event loop lags of its process, which it shares with other fronts."""
 
     def __init__(self, place, process, lags):
         self.place, self.entries = place, []
@@ -26,7 +26,8 @@
 
 
 class InForce(NamedTuple):
-    """How long one change took to be in force at one front, and when it was; infinite where it never was."""
+    """How many seconds one change took to be in force at one front, and the moment when it was; both infinite
+    where it never was."""
 
     seconds: float
     step: str
@@ -36,7 +37,7 @@
 
 
 def logs_of(hollows, collected):
-    """Each front's log by its name."""
+    """The history of each front by its name, from the logs that the hollow processes returned."""
     logs = {}
     for hollow, reply in zip(hollows, collected, strict=True):
         for front in hollow.fronts:
@@ -49,7 +50,7 @@
 
 
 def count_version_regressions(logs):
-    """How often a front went to a lower version within one life."""
+    """How often a front went to a lower version than it held before in the same life."""
     back = 0
     for held in logs.values():
         highest = {}
@@ -60,14 +61,14 @@
 
 
 class Content:
-    """The whole content at one version after the other, and what a front must hold of it."""
+    """All engines at one version after the other, and the subset of them that a front must hold."""
 
     def __init__(self, subset):
         self.ring = EngineRing(SubsetParameters(**subset))
         self.records = {}
 
     def apply(self, upserts, removals):
-        """One change; what undoes it."""
+        """Applies one change; returns the (upserts, removals) that undo it."""
         touched = [record.id for record in upserts] + list(removals)
         before = [self.records[engine] for engine in touched if engine in self.records]
         added = [engine for engine in touched if engine not in self.records]
@@ -80,14 +81,17 @@
         return before, added
 
     def subset(self, place):
+        """The ids of the engines that a front must hold."""
         return self.ring.ids(place, (), False)
 
     def digest(self, place):
+        """The digest of the records that a front must hold."""
         return digest_of(self.records[engine] for engine in self.subset(place))
 
 
 def entries_by_version(logs):
-    """Who held what at each version, without what says nothing new of a front that is not in the sample."""
+    """The pairs of front and digest to check at each version. For fronts outside the sample, entries that
+    repeat the digest of the entry before are left out."""
     found = {}
     for number, held in enumerate(logs.values()):
         every = len(logs) <= CHECK_ALL_UP_TO or number % SAMPLE_EVERY == 0
@@ -100,8 +104,8 @@
 
 
 def count_content_mismatches(logs, catalog, subset):
-    """How often a front held at a version what is not that version's content for its place; versions that
-    nobody published count too. Also the content at the end."""
+    """How many pairs of front and digest differ from what the front must hold at that version; versions that
+    were never published count too. Returns that, the number of pairs checked, and the content at the end."""
     content, entries, mixed, checked = Content(subset), entries_by_version(logs), 0, 0
     published = {publication.version: publication for publication in catalog.publications}
     terms = {version.term for version in published}
@@ -114,14 +118,14 @@
         else:
             changes = list(catalog.unacknowledged.get(version, ()))
             if version.term not in terms:
-                # The first version of a term that was claimed and never came to a publication.
+                # A publisher claimed this term and published nothing in it: its first version has no changes.
                 changes.append(((), ()))
             mixed += count_unexplained(content, changes, held)
     return mixed, checked, content
 
 
 def count_unexplained(content, changes, held):
-    """How many hold under a version without acknowledgement what none of the changes would give."""
+    """How many of the pairs at an unacknowledged version match none of the changes that it may consist of."""
     left = set(held)
     for upserts, removals in changes:
         before, added = content.apply(upserts, removals)
@@ -131,7 +135,8 @@
 
 
 def times_in_force(logs, catalog, outages):
-    """How long each measured change took at each front, from the call until it held that or a newer one."""
+    """For each measured change and front, the time from the publish call until the front held that version or
+    a newer one."""
     first = catalog.publications[0].version
     for outage in outages:
         for name in outage.fronts:
@@ -154,22 +159,22 @@
 
 
 def last_in_force(times, logs):
-    """Of the change that took longest: the front that was last, when others held it, and how long the process
-    of that front stood still meanwhile. None where no change was measured."""
+    """Describes the change that took longest: the front that was last, when the others held it, and the event
+    loop lag of that front's process meanwhile, in seconds. None where no change was measured."""
     if not times:
         return None
     last = max(times, key=lambda one: one.seconds)
     seconds = sorted(one.seconds for one in times if one.version == last.version)
     held = logs[last.front]
-    still = 0.0
+    lag = 0.0
     if not isinf(last.seconds):
-        still = lag_between(held.lags, last.held_at - last.seconds, last.held_at)
+        lag = lag_between(held.lags, last.held_at - last.seconds, last.held_at)
     return {
         "step": last.step,
         "version": str(last.version),
         "front": last.front,
         "process": held.process,
-        "process_lag_s": round(still, 3),
+        "process_lag_s": round(lag, 3),
         "first_s": rounded_or_none(seconds[0]),
         "half_s": rounded_or_none(quantile(seconds, 0.5)),
         "ninth_tenth_s": rounded_or_none(quantile(seconds, 0.9)),
@@ -179,11 +184,12 @@
 
 
 def rounded_or_none(seconds):
+    """Seconds rounded to milliseconds, or None where infinite."""
     return None if isinf(seconds) else round(seconds, 3)
 
 
 def propagation_seconds(moment, publication, held):
-    """How long it took, from the end of what the front could not hear through."""
+    """Seconds from the publish call, or from the end of a later outage of the front, until `moment`."""
     start = publication.sent_at
     for outage in held.outages:
         if outage.since <= moment and outage.till > start and moment >= outage.till:
@@ -192,7 +198,8 @@
 
 
 def check_final_state(holdings, catalog, content, logs):
-    """What each front holds at the end: differing ones by kind, and how often each engine is held."""
+    """Counts the fronts that differ at the end, by the kind of the difference, and the load of the engine
+    that most fronts hold over the mean."""
     version, load = str(catalog.version), dict.fromkeys(catalog.records, 0)
     found = {"versions_differ": 0, "subsets_differ": 0, "lists_differ": 0, "gone_held": 0}
     for holding in holdings:
@@ -210,5 +217,5 @@
 
 
 def quantile(values, fraction):
-    """The value that so large a part of the sorted values is below."""
+    """The value below which this fraction of the sorted values lies; infinite where there are none."""
     return values[min(int(len(values) * fraction), len(values) - 1)] if values else inf
--- a/tests/test_publisher_loss.py
+++ b/tests/test_publisher_loss.py
@@ -1,4 +1,4 @@
-"""The rig of lost publishers, small, as CI plays it."""
+"""A small run of the rig for publisher failover, as CI runs it."""
 
 from test_rigs import played
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,16 +1,16 @@
-"""The scale rig small, as CI plays it; and that it names the rule that is broken where a guard of the product
-is taken out on purpose."""
+"""A small run of the scale rig, as CI runs it; with a safeguard of the product disabled, the rig must report
+the rule that is broken then."""
 
 from math import inf
 
 import pytest
-from test_rigs import played
 
 from rigs.loop_lag import lag_between
 from rigs.scale_verdict import FrontHistory, InForce, last_in_force
+from test_rigs import played
 from thistlelever.distribution.versions import Version
 
-# Half the usual heartbeat, as most of the time goes by waiting for one.
+# Half the usual heartbeat: most of a run is spent waiting for heartbeats.
 SMALL = ("--fronts", "60", "--engines", "400", "--heartbeat", "1")
 
 
