--- a/rigs/scale_deployment.py
+++ b/rigs/scale_deployment.py
@@ -80,7 +80,7 @@
 
 
 class Deployment:
-    """All processes of one run: `async with Deployment(...) as yard`."""
+    """All processes of one run: `async with Deployment(...) as deployment`."""
 
     def __init__(self, seed, size, folder, programs):
         self.seed, self.size, self.programs = seed, size, programs
