--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rigs.loop_lag import lag_between
-from rigs.scale_verdict import Held, InForce, last_in_force
+from rigs.scale_verdict import FrontHistory, InForce, last_in_force
 from test_rigs import run_rig
 from thistlelever.distribution.versions import Version
 
@@ -50,7 +50,7 @@
     applied = [in_force(1.0, "a", 2), in_force(9.5, "a", 3), in_force(0.5, "b", 3), in_force(2.0, "b", 2)]
     if never:
         applied.append(in_force(inf, "c", 4))
-    logs = {name: Held(None, "hollow-0", [(105.0, 4.0)]) for name in "abc"}
+    logs = {name: FrontHistory(None, "hollow-0", [(105.0, 4.0)]) for name in "abc"}
     found = last_in_force(applied, logs)
     if never:
         assert found["front"] == "c" and found["last_s"] is None and found["process_lag_s"] == 0.0
