--- a/thistlelever/carrier/peers.py
+++ b/thistlelever/carrier/peers.py
@@ -87,7 +87,7 @@
         """
         if (
             not self.metrics.check_invariant(
-                len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their opened"
+                len(data) <= wire.MAX_DATAGRAM_SIZE, "datagrams within their bound"
             )
             or self.socket is None
         ):
