--- a/thistlelever/admission/decide.py
+++ b/thistlelever/admission/decide.py
@@ -3,7 +3,11 @@
     front = Front(settings, seed)           # once, at start
     actions = front.handle(now, events)     # all events of one moment, answered in order
 
-The types are in `ground/interface.py`; `docs/design.md` says what follows the paper and what departs from it.
+A front is one process of this program. Its carrier is the code that does its I/O and owns the sockets. The
+types are in `ground/interface.py`. The paper is Bacchouche and Limam, "Combining scheduling and concurrency
+control of Real-time transactions within the MOA Architecture": (m,k)-firm guarantees and distance-based
+priority. `docs/design.md` says what follows it and what departs from it.
+
 Times are in seconds, memory is in megabytes. The work of a batch is its run time times its width (the threads
 that it uses), in thread-seconds. The code does no I/O and reads no clock; all randomness comes from the seed.
 
@@ -41,7 +45,8 @@
 # front spends its time on looking.
 SAMPLE_SIZE = 10
 RANDOM_CANDIDATES = 2
-# How many engines one choice may probe, so that one silent engine does not delay a batch.
+# The most engines that each step of one choice, `sample_engines` and `choose_engine`, may probe: several, so
+# that one silent engine does not delay a batch.
 MAX_PROBES = 2
 # What the task of a batch requests beside a dispatch (an engine's index) or an action.
 ENQUEUE = "enqueue"
@@ -84,7 +89,7 @@
 
 
 class Batch:
-    """One batch without a final answer, or with a dispatch that outlasts it."""
+    """One batch that has no final answer yet, or is answered and still has an open dispatch."""
 
     def __init__(
         self,
@@ -115,7 +120,7 @@
         )
         self.dispatch_count = 0
         self.open_dispatches: dict[int, OpenDispatch] = {}
-        # Number, engine and time of each dispatch that may have run, the first of them first.
+        # Number, engine and time of each dispatch that may have run, in dispatch order.
         self.possible_runs: list[tuple[int, int, float]] = []
         self.queued = False
         self.answered = False
@@ -138,8 +143,8 @@
     """The decisions of one front, made from its own events alone.
 
     An engine has a dense index, its place in all of the lists that `init_engine_columns` makes: a variable
-    `engine` holds that index, but for those of the list of engines. A query class has an index too, its
-    place in `settings.tariffs`.
+    `engine` holds that index; only in the code for lists of engines and learned state can it be an entry or
+    an id instead. A query class has an index too, its place in `settings.tariffs`.
     """
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
@@ -152,7 +157,7 @@
         self.init_options(settings)
         self.init_engine_columns()
         # How many fronts the settings name, how many are alive, and how many may send to any one engine of
-        # the list (0: not known).
+        # the list (0: all fronts).
         self.configured_fronts = settings.fronts
         self.live_fronts = max(settings.fronts, 1)
         self.fronts_per_engine = 0
@@ -197,7 +202,8 @@
         # Priorities for engines: 3 for the highest value, one less for each lower value, at least 0.
         self.class_priorities = [max(3 - values.index(one.utility), 0) for one in classes]
         # The m of each class's (m,k)-firm guarantee. The paper wants that of the top class distinctly above
-        # the others': all of its last k batches in time, half of them for a class without value.
+        # the others': all of its last k batches in time, half of them for a class without value. By rounding,
+        # a class of at least 95% of the highest value needs all of them too.
         self.required_successes = [
             min(HISTORY_LENGTH, round(HISTORY_LENGTH * (1 + one.utility / top_value) / 2)) for one in classes
         ]
@@ -205,25 +211,31 @@
         self.max_dispatches = [
             1 + round((settings.most_dispatches - 1) * max(one.utility / top_value, 0.5)) for one in classes
         ]
-        # 1 for each of the last k batches that was answered in time, 0 for each that was not.
+        # 1 for each of the last k batches that was answered in time, 0 for each that was not. All start at 0:
+        # until a class has its required successes, its guarantee counts as broken, and it competes with other
+        # such classes by the latency objectives of their first batches.
         self.success_history = [deque([0] * HISTORY_LENGTH, HISTORY_LENGTH) for _ in classes]
         # Batches that wait for an engine, in the order of `Batch.__lt__`.
         self.queues: list[list[Batch]] = [[] for _ in classes]
         self.any_class_yields = any(one.yields_to_loads for one in classes)
         self.widest = max(one.width for one in classes)
-        # Moving averages of a batch's work (thread-seconds).
+        # Moving averages of the clients' estimates of work, corrected (thread-seconds). Without any estimate
+        # a class keeps this first value.
         self.typical_work = [one.goal * one.width / (2 + 2 * one.goal_stretch) for one in classes]
         # Threads of the largest kind of engine, and how many batches of mean width fill it.
         self.largest_engine_threads = max(settings.kind_cores, default=0) * THREADS_PER_CORE
         self.batches_to_fill = self.largest_engine_threads * len(classes) / sum(one.width for one in classes)
-        # Factors that correct the clients' estimates of work and memory by what engines report.
+        # Factors that correct the clients' estimates of work and memory by what engines report. Those of work
+        # also learn from batches without an estimate, by the typical work, and those of memory as if 1 MB had
+        # been estimated.
         self.work_corrections = [1.0] * len(classes)
         self.memory_corrections = [1.25] * len(classes)
         # Measured over estimated run time of each class, when it was measured, and the mean estimate.
         self.class_slowdowns = [1.0] * len(classes)
         self.class_slowdowns_at = [0.0] * len(classes)
         self.mean_run_times = [work / one.width for work, one in zip(self.typical_work, classes, strict=True)]
-        # Without news an estimate decays over this time, the longest latency objective.
+        # Without news an estimate decays over this time, the longest latency objective without its
+        # stretch.
         self.decay_time = max(one.goal for one in classes)
 
     def init_options(self, settings: it.Settings) -> None:
@@ -231,7 +243,8 @@
         self.tick = settings.tick
         self.home_zone = settings.zone
         self.zone_cost = 10 * settings.cross_price
-        # Work that all fronts together may send a cold engine in its window, in thread-seconds a core.
+        # Work that all fronts together may send a cold engine in its window, in thread-seconds a core, if it
+        # had all of its capacity. The settings `fall_multiple` and `fall_window` say how much is too much.
         self.cold_budget = settings.fall_multiple * BUSY_THRESHOLD * settings.fall_window
         self.cold_capacity = settings.cold_share
         self.warm_up_time = settings.warm_after
@@ -275,7 +288,7 @@
         self.started_at: list[float] = []
         self.fresh_since: list[float] = []
         # How many threads of this front's dispatches it may run, by additive increase, multiplicative
-        # decrease.
+        # decrease. The limit binds only while the engine's load estimate is high (`has_capacity`).
         self.concurrency_limits: list[float] = []
         # Threads of this front's dispatches that are open there, and the dispatches.
         self.open_widths: list[int] = []
@@ -288,7 +301,8 @@
         self.report_changed_at: list[float] = []
         self.report_intervals: list[float] = []
         self.probed_at: list[float] = []
-        # Busy share and granted share of memory, as last reported.
+        # Utilization, derived from the last report (cores, disk, batches in flight, queue; it may exceed 1),
+        # at least 1 after a refusal for lack of room; and the granted share of memory as last reported.
         self.utilizations: list[float] = []
         self.granted_memory: list[float] = []
         # Measured over estimated run time, and when it was measured.
@@ -422,7 +436,10 @@
         )
 
     def within_retry_budget(self, batch: Batch) -> bool:
-        """Whether the batch's next dispatch is its first, or the retry budget has room for one more."""
+        """Whether the batch's next dispatch is its first, or the retry budget has room for one more.
+
+        It also drops what is older than the budget's window.
+        """
         if not self.retry_budget:
             return True
         floor, share, window = self.retry_budget
@@ -438,10 +455,11 @@
         return len(self.retry_times) + 1 <= floor + share * len(self.received_times)
 
     def is_straggling(self, batch: Batch, note: it.ProgressNote) -> bool:
-        """Whether the rest of this dispatch would outlast a new one, and a new one is allowed.
+        """Whether the rest would take over twice a new run's expected time, and a new dispatch is allowed.
 
-        This finds bad query plans. A slow engine is not mistaken for one: a dispatch at the same pace
-        as the engine's others has no bad plan.
+        The expected time is at the engine's last measured slowdown, without its decay, but at least 1. This
+        finds bad query plans. A slow engine is not mistaken for one: a dispatch at the same pace as the
+        engine's others has no bad plan.
         """
         idempotent = self.query_classes[batch.class_index].repeat is it.Idempotency.IDEMPOTENT
         if not (self.can_cancel and idempotent) or note.kind is not it.ProgressKind.PROGRESS:
@@ -454,7 +472,11 @@
     # Events.
 
     def batch_received(self, received: it.BatchReceived) -> None:
-        """Estimate the batch's cost, start its task, and queue it."""
+        """Estimate the batch's cost, start its task, and queue it.
+
+        A batch that another front has dispatched to a known engine is dispatched there at once; an unknown
+        engine is ignored.
+        """
         class_index = received.query_class
         query_class = self.query_classes[class_index]
         work = self.typical_work[class_index]
@@ -570,7 +592,7 @@
         self.finish(batch, None)
 
     def front_stopping(self, stopping: it.FrontStopping) -> None:
-        """Bound all batches by the moment when the front ends.
+        """Bound all batches that are open now by the moment when the front ends.
 
         A result that comes later is lost. A batch refused now can still be submitted elsewhere in time.
         """
@@ -580,7 +602,7 @@
         self.queues = [sorted(queue) for queue in self.queues]
 
     def front_count_changed(self, changed: it.FrontCountChanged) -> None:
-        """Share the engines with so many live fronts.
+        """Update the number of live fronts that share the engines.
 
         The budget of a cold engine stays as it is: a front taken for dead may only be cut off from this
         one, and still be sending.
@@ -591,8 +613,8 @@
     def update_shares(self) -> None:
         """Set what depends on how many fronts share each engine.
 
-        Where each front knows only a subset of the engines, shares are by the fronts that have the engine:
-        one of all fronts' shares would leave it almost idle. The budget of a cold engine counts all fronts
+        Where each front knows only a subset of the engines, an engine is shared by the fronts that have
+        it: dividing by all fronts would leave it almost idle. The budget of a cold engine counts all fronts
         that can reach it, dead or alive.
         """
         self.sharing_fronts = min(self.live_fronts, self.fronts_per_engine or self.live_fronts)
@@ -601,10 +623,12 @@
             self.sharing_fronts * self.batches_to_fill / (self.sharing_fronts + self.batches_to_fill), 1.0
         )
         # This front's share of the largest engine, counted in batches of the widest class, at most 1. It is
-        # the additive increase of concurrency limits. Below 1 a share is less than a batch, and several
-        # rules differ.
+        # the additive increase of concurrency limits. Below 1 a share is less than a batch: then
+        # concurrency limits have no lower bound, more candidates are random, dispatches are paced when the
+        # engines are saturated, and classes whose late answers have value get no time-out.
         self.share_in_batches = min(self.largest_engine_threads / self.widest / self.sharing_fronts, 1.0)
-        # This front's part of a cold engine's budget, in thread-seconds a core.
+        # This front's part of a cold engine's budget, half of an equal one, in thread-seconds a core. The
+        # setting `cold_share` is something else: it is `self.cold_capacity` here.
         self.cold_share = self.cold_budget / (self.fronts_per_engine or self.configured_fronts) / 2
 
     def learned_state(self, now: float) -> it.LearnedState:
@@ -708,7 +732,10 @@
         return index
 
     def forget_engines(self, listed: tuple[it.Engine, ...]) -> None:
-        """Free the indexes of engines that have left, once no dispatch and no open batch refers to them."""
+        """Free the indexes of engines that are neither ready nor in `listed`.
+
+        An engine is kept while it has an open dispatch, or an open batch has been dispatched to it.
+        """
         referenced = {index for batch in self.open_batches.values() for index in batch.tried_engines}
         referenced |= {self.engine_index[engine.id] for engine in listed}
         gone = [
@@ -722,8 +749,9 @@
     # What is known of an engine.
 
     def apply_report(self, engine: int, values: tuple[float, ...], width: int) -> None:
-        """Take over a load report, and adjust the concurrency limit by it (AIMD).
+        """Record a load report, and adjust the concurrency limit by it (AIMD).
 
+        One with the same values as the last adjusts nothing: only its time is recorded.
         `width` is the width of the dispatch that brought the report, 1 for a probe.
         """
         if not values:
@@ -819,7 +847,10 @@
             self.backoff_until[engine] = self.now + self.backoffs[engine]
 
     def clear_suspicion(self, engine: int) -> None:
-        """The engine answers: end its back-off."""
+        """End the engine's back-off: it returned a result or is treated as restarted.
+
+        An error does not end it.
+        """
         if self.down[engine]:
             # It answers after it was down: it may be cold before the list says so.
             self.reset_engine(engine, self.now)
@@ -839,14 +870,14 @@
         self.clear_suspicion(engine)
 
     def warm_capacity(self, engine: int) -> float:
-        """The share of its capacity that the engine has for certain: it rises to 1 over the warm-up time."""
+        """The estimated share of its capacity that the engine has: it rises to 1 over the warm-up time."""
         age = self.now - self.started_at[engine]
         if age >= self.warm_up_time:
             return 1.0
         return self.cold_capacity + (1 - self.cold_capacity) * max(age, 0.0) / self.warm_up_time
 
     def unreported_dispatches(self, engine: int) -> list[OpenDispatch]:
-        """Open dispatches that the last report cannot show yet; all of them where the engine is silent."""
+        """Open dispatches that the last report may not show yet; all if the engine has never reported."""
         return [
             dispatch
             for dispatch in self.engine_dispatches[engine].values()
@@ -856,9 +887,10 @@
     def load_estimate(self, engine: int) -> float:
         """The reported utilization, and what all fronts are assumed to have sent since, kept for this moment.
 
-        The other fronts act on like reports, so each is assumed to have sent as much as this one, up to
-        what fills an engine. If the estimate is too low, all pour onto one engine that looks free; if it is
-        too high, a single dispatch keeps all others away.
+        The other fronts act on like reports, so each is assumed to have sent as much as this one; with
+        more fronts this saturates smoothly, towards one own batch counting as what fills an engine. If
+        the estimate is too low, all pour onto one engine that looks free; if it is too high, a single
+        dispatch keeps all others away.
         """
         if engine not in self.load_estimates:
             sent = sum(dispatch.width for dispatch in self.unreported_dispatches(engine))
@@ -875,7 +907,10 @@
     # Which engines may run a batch.
 
     def is_eligible(self, batch: Batch, engine: int) -> bool:
-        """Whether the engine may run the batch at all: it is up, placed right, and has memory.
+        """Whether the engine may run the batch at all, however busy it is.
+
+        It must be ready, not backed off, and allowed by placement, deduplication and slow start. Where
+        engines page, it must have memory too.
 
         Where engines can be probed, a suspected one is tried by probes alone: batches pile up at an engine
         that accepts all and answers nothing, and each trial costs a batch its latency objective.
@@ -901,7 +936,8 @@
             return False
         if not self.engines_page:
             return True
-        # An engine that pages slows all that it runs, so the memory limit holds for the first batch as well.
+        # An engine that pages slows all that it runs, so the memory limit also holds for a batch
+        # that would be alone there.
         unreported = sum(dispatch.memory for dispatch in self.unreported_dispatches(engine))
         needed = (unreported * self.load_multiplier + batch.memory) / self.engine_memory[engine]
         return self.granted_memory[engine] + needed <= 1
@@ -914,13 +950,14 @@
         )
 
     def pacing_permits(self, batch: Batch) -> bool:
-        """Whether the front may dispatch a batch now though the engines are saturated.
+        """Whether the front may dispatch a batch now though the engines are saturated; starts the pacing.
 
         This is for a front whose share of an engine is less than a batch. From the first batch that finds
-        no free engine until no batch is queued, it dispatches one batch in each time in which its shares of
-        all engines would have run one. One batch for each front and engine would be several engines' worth
-        of work, and what all fronts have queued would be sent at once when engines are next free; so the
-        first of these moments is random for each front.
+        no free engine until a call of `handle` finds no batch queued, it dispatches one batch in each time
+        in which its shares of all engines would have run one. Batches for free engines need not wait for
+        that, unless engines page. One batch for each front and engine would be several engines' worth of
+        work, and what all fronts have queued would be sent at once when engines are next free: to spread
+        that, a front's first moment is random.
         """
         if not self.pacing:
             self.pacing = True
@@ -976,9 +1013,10 @@
     # The choice of an engine.
 
     def affinity_order(self, table_group: float) -> list[tuple[int, int]]:
-        """The ready engines as (rank, index), in the order in which they keep the table group warm.
+        """The ready engines as (rank, index), in the table group's order of preference.
 
-        It is a rendezvous hash: all fronts get the same order without communicating.
+        Keeping to the order lets engines keep the group's tables warm. It is a rendezvous hash: all fronts
+        that know the same engines get the same order without communicating.
         """
         if table_group not in self.affinity_orders:
             if len(self.affinity_orders) > 4096:
@@ -1002,7 +1040,8 @@
         free: list[tuple[int, int]] = []
         busy: list[tuple[int, int]] = []
         probes_left = MAX_PROBES if self.probes else 0
-        # Table loads go through the order from its other end where other classes yield to them.
+        # Where classes yield to table loads, loads go through the order from its other end, away from the
+        # engines that other batches of the table group prefer.
         candidates = self.affinity_order(batch.table_group)[:: -1 if is_load and self.any_class_yields else 1]
         if len(candidates) > SAMPLE_SIZE:
             # Hundreds of fronts that get few reports would all look at the same few engines, and fill them
@@ -1033,7 +1072,8 @@
 
         Of the sampled engines it takes the one of lowest cost: load, relative slowdown, rank in the table
         group's order, another zone and an earlier dispatch of this batch there, with random (Gumbel) noise.
-        If that engine has no recent report it is probed first, and the batch waits for the reply.
+        Where engines are probed and that one has no recent report, it is probed, the next best too if it has
+        none, and the batch waits.
         """
         is_load = self.query_classes[batch.class_index].holds_tables
         free, busy = self.sample_engines(batch, is_load)
@@ -1056,6 +1096,7 @@
             if not is_load:
                 cost += RANK_COST * rank
             elif self.any_class_yields:
+                # A load costs most where the other batches of its table group prefer to go.
                 cost += 1 / (1 + rank)
             if self.engine_zones[engine] != self.home_zone:
                 cost += self.zone_cost
@@ -1128,8 +1169,8 @@
     def is_hopeless(self, batch: Batch) -> bool:
         """Whether the batch can no longer meet its latency objective.
 
-        One just received counts with its estimate alone: its result may show that the slowdown of its class
-        is out of date.
+        One that was just received, waits for a probe or was dispatched before counts with its estimate alone:
+        its result may show that the slowdown of its class is out of date.
         """
         if batch.dispatch_count or self.now <= batch.fresh_until:
             needed = batch.run_time
@@ -1145,9 +1186,9 @@
         return 1.5 * batch.run_time * max(self.slowdown_of_class(batch.class_index), 0.5)
 
     def release_one(self, class_index: int) -> bool:
-        """Take the first batch that can go out of the class's queue; whether there was one.
+        """Dispatch or refuse the first batch of the class's queue that can go; return whether one did.
 
-        It is dispatched, or refused if the retry budget has been spent since it was queued.
+        It is refused if the retry budget has been spent since it was queued.
         """
         for batch in self.queues[class_index]:
             if self.is_key_blocked(batch) or (class_index, batch.table_group) in self.table_conflicts:
@@ -1202,7 +1243,7 @@
         """Whether the batch must wait for its key.
 
         Batches of one key run one at a time, in the order received, with a cool-down after one that may run
-        on.
+        on. A further dispatch of the same batch does not wait for the cool-down.
         """
         if not batch.key_queue:
             return False
@@ -1226,7 +1267,7 @@
     # The terms of a dispatch.
 
     def dispatch(self, batch: Batch, engine: int) -> None:
-        """Send the batch to the engine, with its memory grant, its priority and its time-out."""
+        """Send the batch to the engine with a time-out; the first dispatch also sets grant and priority."""
         if batch.dispatch_count:
             self.retry_times.append(self.now)
         dispatch = OpenDispatch(batch, engine, self.now)
@@ -1277,8 +1318,9 @@
     def dispatch_timeout(self, batch: Batch) -> float:
         """How many seconds the dispatch may go unanswered, so that the next can meet the objective.
 
-        0: as long as the batch's time limit allows. It is at least four times the usual run time of the
-        class, so that it does not trip while all engines are slow. There is no time-out
+        Where late answers have value, no time is reserved for the next. 0: as long as the batch's time limit
+        allows. It is at least four times the batch's estimated run time, times the slowdown of its class
+        where that is over 1, so that it does not trip while all engines are slow. There is no time-out
         - where copies are allowed: work that a time-out does not stop costs more, and probes find silent
           engines;
         - where nothing can be cancelled: the engine runs on, and until it has surely ended no other may
@@ -1288,6 +1330,7 @@
         - where a further dispatch is not allowed.
         """
         query_class = self.query_classes[batch.class_index]
+        # True for the first two cases: copies are allowed, or nothing can be cancelled.
         runs_on = self.allows_copies or not self.can_cancel
         late_answers_count = self.share_in_batches < 1.0 and query_class.late_share
         if runs_on or late_answers_count or query_class.repeat is it.Idempotency.NON_IDEMPOTENT:
--- a/thistlelever/ground/interface.py
+++ b/thistlelever/ground/interface.py
@@ -349,8 +349,7 @@
 class EngineListReceived(NamedTuple):
     """A list of engines has come, or could not be had.
 
-    `fronts` is how many fronts may send to any one of these engines, where that is fewer than all; 0: all
-    fronts.
+    `fronts` is how many fronts may send to any one engine of the list (0: all fronts).
     """
 
     kind: ListKind
